--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -4,7 +4,7 @@
 mod absence;
 mod admin;
 mod commits;
-mod desk;
+mod frontend;
 mod lead;
 mod member;
 mod message;
@@ -12,10 +12,10 @@
 mod past;
 mod peers;
 mod pings;
-mod reign;
 mod rows;
 mod shared;
 mod takeover;
+mod term;
 mod watch;
 
 #[cfg(test)]
@@ -59,8 +59,8 @@
     let (nudge, nudged) = mpsc::unbounded();
     let shared = Rc::new(Shared::new(settings, life, sender, nudge));
     let (trigger, drain) = Drain::new();
-    let desk = shared.clone();
-    let handle = move |request| desk::handle(desk.clone(), request);
+    let callers = shared.clone();
+    let handle = move |request| frontend::handle(callers.clone(), request);
     monoio::spawn(web::server::serve(web, limits, drain.clone(), handle));
     monoio::spawn(peers::serve(rpc, Bridge::start(shared.clone())));
     for listener in [Some(admin), metrics].into_iter().flatten() {
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -5,7 +5,7 @@
 use monoio::net::TcpListener;
 use tonic::{Request, Response, Status};
 
-use super::desk;
+use super::frontend;
 use super::message::Message;
 use super::pings;
 use super::shared::Shared;
@@ -40,7 +40,7 @@
     if shared.leading().is_none() {
         return Ok(AskReply::default());
     }
-    match desk::ask_here(&shared, ask, request.left).await {
+    match frontend::ask_here(&shared, ask, request.left).await {
         Some(answer) => Ok(AskReply {
             answer: encode(&answer),
         }),
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -3,9 +3,9 @@
 use super::absence::Absence;
 use super::others::Others;
 use super::past::page;
-use super::reign::Reign;
 use super::shared::{Seen, Shared};
 use super::takeover::jobs;
+use super::term::Reign;
 use crate::metrics::{self, End};
 use crate::options::daemon;
 use crate::sched::job::{Job, Outcome, Queue};
