--- a/src/daemon/lead.rs
+++ b/src/daemon/lead.rs
@@ -12,7 +12,7 @@
 use super::message::Message;
 use super::past;
 use super::shared::{Shared, now};
-use super::term::Reign;
+use super::term::Term;
 use super::watch;
 use crate::sched::message::{Action, Answer, Event, Ticket, Written};
 use crate::sched::owner::Owner;
@@ -28,7 +28,7 @@
 /// An owner in this process.
 struct Lead {
     owner: Owner,
-    reign: Reign,
+    term: Term,
     /// Callers that wait for an answer.
     tickets: HashMap<Ticket, oneshot::Sender<Answer>>,
     next_ticket: Ticket,
@@ -47,7 +47,7 @@
         woke = clock::now();
         if let Some(lead) = &mut lead {
             // What the last round took counts as well: a starved owner is starved there.
-            lead.reign.late(woke.saturating_sub(due), woke);
+            lead.term.late(woke.saturating_sub(due), woke);
         }
         let mut next = match message {
             Ok(Some(message)) => Some(message),
@@ -63,7 +63,7 @@
 }
 
 fn tick(lead: &Option<Lead>) -> Message {
-    Message::Event(lead.as_ref().map_or(0, |l| l.reign.epoch), Event::Tick)
+    Message::Event(lead.as_ref().map_or(0, |l| l.term.epoch), Event::Tick)
 }
 
 fn take(shared: &Rc<Shared>, lead: &mut Option<Lead>, message: Message) {
@@ -89,13 +89,13 @@
             lead.tickets.insert(ticket, reply);
             lead.step(shared, Event::Ask(ticket, ask));
         }
-        (Message::Event(epoch, event), Some(lead)) if epoch == lead.reign.epoch => {
+        (Message::Event(epoch, event), Some(lead)) if epoch == lead.term.epoch => {
             lead.step(shared, event);
         }
-        (Message::PredecessorEnded(epoch), Some(lead)) if epoch == lead.reign.epoch => {
+        (Message::PredecessorEnded(epoch), Some(lead)) if epoch == lead.term.epoch => {
             lead.owner.predecessor_ended(now());
         }
-        (Message::Superseded(epoch), Some(held)) if epoch > held.reign.epoch => {
+        (Message::Superseded(epoch), Some(held)) if epoch > held.term.epoch => {
             end(shared, lead, "superseded");
         }
         (Message::Bounds(bounds), Some(lead)) => lead.owner.rebound(bounds),
@@ -110,7 +110,7 @@
 
 fn begin(owner: Owner, epoch: u64, load: Millis) -> Lead {
     Lead {
-        reign: Reign::begin(epoch, load, clock::now()),
+        term: Term::begin(epoch, load, clock::now()),
         owner,
         tickets: HashMap::new(),
         next_ticket: 1,
@@ -120,8 +120,8 @@
 }
 
 fn end(shared: &Shared, lead: &mut Option<Lead>, reason: &'static str) {
-    if let Some(Lead { owner, reign, .. }) = lead.take() {
-        reign.end(&owner, reason, clock::now());
+    if let Some(Lead { owner, term, .. }) = lead.take() {
+        term.end(&owner, reason, clock::now());
     }
     shared.set_leading(None);
     shared.nudge();
@@ -133,12 +133,12 @@
         return;
     };
     shared.set_confirmed(held.owner.confirmed());
-    held.reign.show(&held.owner, clock::now());
+    held.term.show(&held.owner, clock::now());
     if held.owner.deposed() {
         end(shared, lead, "deposed");
     } else if held.owner.released() {
         end(shared, lead, "released");
-    } else if shared.leading() != Some(held.reign.epoch) {
+    } else if shared.leading() != Some(held.term.epoch) {
         end(shared, lead, "superseded");
     }
 }
@@ -151,7 +151,7 @@
         let (kind, begun) = (event.kind(), clock::micros());
         let actions = self.owner.step(event, now());
         let ended = clock::micros();
-        self.reign.spent(kind, ended - begun, ended / 1_000);
+        self.term.spent(kind, ended - begun, ended / 1_000);
         for action in actions {
             self.act(shared, action);
         }
@@ -160,11 +160,11 @@
     /// Makes way for a box with more cores, once this owner has settled.
     fn make_way(&mut self, own: u32, other: u32) {
         if self.owner.gives_up()
-            || !succession::makes_way(own, other, self.reign.began, clock::now())
+            || !succession::makes_way(own, other, self.term.began, clock::now())
         {
             return;
         }
-        log::info!(target: "owner", "event=makes-way epoch={} cores={own} for_cores={other}", self.reign.epoch);
+        log::info!(target: "owner", "event=makes-way epoch={} cores={own} for_cores={other}", self.term.epoch);
         self.owner.make_way(other, now());
     }
 
@@ -181,7 +181,7 @@
     }
 
     fn act(&mut self, shared: &Rc<Shared>, action: Action) {
-        let epoch = self.reign.epoch;
+        let epoch = self.term.epoch;
         match action {
             Action::Reply(ticket, answer) => {
                 if let Some(reply) = self.tickets.remove(&ticket) {
--- a/src/daemon/term.rs
+++ b/src/daemon/term.rs
@@ -15,7 +15,7 @@
 const COUNT: Millis = 1_000;
 
 /// The time of an owner in this process.
-pub struct Reign {
+pub struct Term {
     /// Epoch of the owner.
     pub epoch: u64,
     /// When it began to serve.
@@ -31,7 +31,7 @@
     leaves: Option<Millis>,
 }
 
-impl Reign {
+impl Term {
     /// Begins the time of an owner that took so long to load.
     pub fn begin(epoch: u64, load: Millis, now: Millis) -> Self {
         let metrics = metrics::get();
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -5,7 +5,7 @@
 use super::past::page;
 use super::shared::{Seen, Shared};
 use super::takeover::jobs;
-use super::term::Reign;
+use super::term::Term;
 use crate::metrics::{self, End};
 use crate::options::daemon;
 use crate::sched::job::{Job, Outcome, Queue};
@@ -107,14 +107,14 @@
 #[test]
 fn the_gauges_of_an_owner_end_with_it() {
     let mut owner = owner(1_000);
-    let mut reign = Reign::begin(7, 300, 1_300);
-    reign.late(250, 1_400);
+    let mut term = Term::begin(7, 300, 1_300);
+    term.late(250, 1_400);
     owner.resign(Now {
         steady: 2_400,
         wall: 2_400,
     });
-    reign.show(&owner, 2_500);
-    reign.show(&owner, 3_000);
+    term.show(&owner, 2_500);
+    term.show(&owner, 3_000);
     let metrics = metrics::get();
     let gauges = || {
         [
@@ -127,7 +127,7 @@
         ]
     };
     assert_eq!(gauges(), [7, 1, 1, 2_000, 250, 500]);
-    reign.end(&owner, "deposed", 3_100);
+    term.end(&owner, "deposed", 3_100);
     assert_eq!(gauges(), [0; 6]);
     assert_eq!(metrics.load.get(), 300, "the last load stays");
     let ends = metrics.ends.get_or_create(&End { reason: "deposed" });
