--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -7,6 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
+use willowpoint::sched::history::PastPage;
 use willowpoint::sched::job::{Queue, TaskKey};
 use willowpoint::sched::journal::{Journal, OwnerRow};
 use willowpoint::sched::lives::Life;
@@ -14,7 +15,6 @@
     Action, Ask, Ended, Entry, Event, Hold, How, Reply, Report, Running, Start, Word, Written,
 };
 use willowpoint::sched::owner::{Bounds, Now, Owner};
-use willowpoint::sched::past::PastPage;
 use willowpoint::sched::spec::{JobSpec, Room, StepSpec};
 use willowpoint::sched::switches::Switches;
 use willowpoint::sched::worker::Listing;
--- a/src/daemon/lead.rs
+++ b/src/daemon/lead.rs
@@ -14,9 +14,9 @@
 use super::shared::{Shared, now};
 use super::term::Term;
 use super::watch;
+use crate::sched::failover;
 use crate::sched::message::{Action, Answer, Event, Ticket, Written};
 use crate::sched::owner::Owner;
-use crate::sched::succession;
 use crate::utils::clock::{self, Millis};
 
 /// Shortest and longest wait for a commit's answer, in milliseconds, before
@@ -159,8 +159,7 @@
 
     /// Makes way for a box with more cores, once this owner has settled.
     fn make_way(&mut self, own: u32, other: u32) {
-        if self.owner.gives_up()
-            || !succession::makes_way(own, other, self.term.began, clock::now())
+        if self.owner.gives_up() || !failover::makes_way(own, other, self.term.began, clock::now())
         {
             return;
         }
--- a/src/daemon/member.rs
+++ b/src/daemon/member.rs
@@ -13,8 +13,8 @@
 use super::takeover::acquire;
 use crate::platform::config;
 use crate::proto::PingReply;
+use crate::sched::failover::{self, Verdict};
 use crate::sched::journal::OwnerRow;
-use crate::sched::succession::{self, Verdict};
 use crate::table::Row;
 use crate::utils::clock::{self, Millis};
 use crate::utils::hash::stable;
@@ -44,7 +44,7 @@
 
 /// Returns the milliseconds until the next look.
 fn pause(shared: &Shared) -> Millis {
-    let weaker = |seen: Seen| succession::wait(shared.settings.cores, &seen.row) > 0;
+    let weaker = |seen: Seen| failover::wait(shared.settings.cores, &seen.row) > 0;
     match shared.owner().is_some_and(weaker) {
         true => PING_WEAKER,
         false => PING,
@@ -83,7 +83,7 @@
         }
     };
     let (cores, epoch, now) = (shared.settings.cores, seen.row.epoch, clock::now());
-    match succession::judge(cores, epoch, seen.life, pong, now) {
+    match failover::judge(cores, epoch, seen.life, pong, now) {
         Verdict::Follow(life) => shared.heard(epoch, life),
         Verdict::Look(life) => {
             shared.heard(epoch, life);
@@ -166,7 +166,7 @@
     }
     let stagger = stable(&[&shared.settings.name]) % STAGGER;
     let vacant = vacant(shared, &seen.row);
-    let pause = succession::pause(shared.settings.cores, &seen.row, vacant, stagger);
+    let pause = failover::pause(shared.settings.cores, &seen.row, vacant, stagger);
     if pause > 0 {
         sleep(Duration::from_millis(pause)).await;
     }
--- a/src/daemon/past.rs
+++ b/src/daemon/past.rs
@@ -8,10 +8,10 @@
 use super::message::Message;
 use super::rows::READ;
 use super::shared::{PART, Shared};
+use crate::sched::history::{PastPage, PastRow};
 use crate::sched::job::Outcome;
 use crate::sched::journal::PAST_TABLE;
 use crate::sched::message::Event;
-use crate::sched::past::{PastPage, PastRow};
 use crate::table::{Row, decode};
 
 /// Rows of one page, the most that the platform gives: about 75 KB on the wire, as
--- a/src/daemon/pings.rs
+++ b/src/daemon/pings.rs
@@ -9,8 +9,8 @@
 use crate::proto::cluster_client::ClusterClient;
 use crate::proto::{PingReply, PingRequest};
 use crate::rpc::client::CallError;
+use crate::sched::failover::{self, Life, Pong};
 use crate::sched::journal::{OWNER_KEY, OwnerRow};
-use crate::sched::succession::{self, Life, Pong};
 use crate::table::{Row, decode, encode};
 use crate::utils::clock::{self, Millis};
 
@@ -68,7 +68,7 @@
         config: shared.queues().version(),
         address: shared.settings.rpc.to_string(),
         others: shared.others().wants(clock::now()),
-        cores: succession::offered(
+        cores: failover::offered(
             shared.settings.cores,
             shared.store_serves(),
             shared.stopping(),
--- a/src/daemon/rows.rs
+++ b/src/daemon/rows.rs
@@ -6,8 +6,8 @@
 
 use super::shared::{PART, Seen, Shared};
 use crate::platform::store::StoreError;
+use crate::sched::failover::Life;
 use crate::sched::journal::{OWNER_KEY, OWNER_TABLE};
-use crate::sched::succession::Life;
 use crate::table::decode;
 use crate::utils::clock::{self, Millis};
 
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -17,10 +17,10 @@
 use crate::platform::{config, worker::Workers};
 use crate::queues::Queues;
 use crate::rpc::client::Channel;
+use crate::sched::failover::Life;
 use crate::sched::journal::OwnerRow;
 use crate::sched::message::Event;
 use crate::sched::owner::{Bounds, Now};
-use crate::sched::succession::Life;
 use crate::table::Row;
 use crate::utils::clock::{self, Millis};
 
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -14,15 +14,15 @@
 use crate::harm::Known;
 use crate::platform::store::{PAGE, Page};
 use crate::proto::PingRequest;
+use crate::sched::failover::{self, Life};
 use crate::sched::job::JobRow;
 use crate::sched::journal::{
     BELIEF_TABLE, JOB_TABLE, Journal, OWNER_KEY, OWNER_TABLE, OwnerRow, PRESSURE_KEY, SPEC_TABLE,
 };
-use crate::sched::legacy::{Legacy, predecessors};
 use crate::sched::message::{Write, Written};
 use crate::sched::owner::{Kept, Owner};
+use crate::sched::predecessors::{Legacy, predecessors};
 use crate::sched::spec::JobSpec;
-use crate::sched::succession::{self, Life};
 use crate::table::{Row, decode, encode};
 use crate::utils::Name;
 use crate::utils::clock::{self, Millis};
@@ -54,7 +54,7 @@
         seq: 0,
         settled: Legacy::of(before.as_ref().map(|b| &b.row), &settings.name).settled(),
         released: false,
-        cores: succession::wanted(settings.cores, before.as_ref().map(|b| &b.row)),
+        cores: failover::wanted(settings.cores, before.as_ref().map(|b| &b.row)),
     };
     let version = before.as_ref().map_or(0, |b| b.version);
     let sent = clock::now();
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -8,12 +8,12 @@
 use super::term::Term;
 use crate::metrics::{self, End};
 use crate::options::daemon;
+use crate::sched::failover::Life;
+use crate::sched::history::PastRow;
 use crate::sched::job::{Job, Outcome, Queue};
 use crate::sched::journal::{Journal, OwnerRow};
 use crate::sched::owner::{Bounds, Kept, Now, Owner};
-use crate::sched::past::PastRow;
 use crate::sched::spec::{JobSpec, StepSpec};
-use crate::sched::succession::Life;
 use crate::sched::switches::Switches;
 use crate::table::{Row, encode};
 
--- a/src/sched.rs
+++ b/src/sched.rs
@@ -3,12 +3,12 @@
 //! The way of a job: accepted (`asks`), kept (`journal`, `commits`), placed
 //! (`order`, `placing`, `gang`, `choice`, `permits`, `preempt`), started and
 //! stopped (`starts`, `late`), watched (`reports`), ended (`ends`), shown (`asks`); once it is
-//! over, `past` knows what callers may still ask.
+//! over, `history` knows what callers may still ask.
 //! Workers come and go by `directory` and `silence`, get nothing new by `cordon`, and are
 //! asked in turn by `agenda`; `addresses` tells who was listed where. What they report of
 //! their load is taken in by `gauges` (with `recent` and `loads`) and becomes what `pressure`
 //! knows; `paces` and `swaps` keep fillers from slowing serving tasks by it, a little less so
-//! while `backlog` is long. `legacy` tells what earlier owners may still do, `succession`
+//! while `backlog` is long. `predecessors` tells what earlier owners may still do, `failover`
 //! which box comes next; `switches` turns mechanisms off.
 //! Everything here is plain state without sockets and clocks.
 
@@ -24,22 +24,23 @@
 mod crashes;
 mod directory;
 mod ends;
+pub mod failover;
 mod gang;
 mod gauges;
+pub mod history;
 pub mod job;
 pub mod journal;
 mod late;
-pub mod legacy;
 pub mod lives;
 mod loads;
 pub mod message;
 mod order;
 pub mod owner;
 mod paces;
-pub mod past;
 mod permits;
 mod placement;
 mod placing;
+pub mod predecessors;
 mod preempt;
 mod pressure;
 mod recent;
@@ -48,7 +49,6 @@
 pub mod spec;
 mod spells;
 mod starts;
-pub mod succession;
 mod swaps;
 pub mod switches;
 pub mod worker;
--- a/src/sched/asks.rs
+++ b/src/sched/asks.rs
@@ -1,11 +1,11 @@
 //! Callers' requests about jobs.
 
+use super::failover;
 use super::job::{Job, Outcome, Queue};
 use super::journal::After;
 use super::message::{Answer, Ask, Ticket};
 use super::owner::Owner;
 use super::spec::JobSpec;
-use super::succession;
 use crate::utils::Name;
 
 impl Owner {
@@ -102,7 +102,7 @@
     /// Returns true while no other box can be the owner: one that gives the cell up may have
     /// done so by a commit without an answer.
     fn alone(&self) -> bool {
-        !self.gives_up() && succession::alone(self.journal.confirmed(), self.now.steady)
+        !self.gives_up() && failover::alone(self.journal.confirmed(), self.now.steady)
     }
 
     /// Asks those that wait once more, where it has just been confirmed that this is the owner.
--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -4,13 +4,13 @@
 
 use serde::Serialize;
 
+use super::history::PastRow;
 use super::job::{Job, Outcome, TaskKey};
 use super::journal::{
     After, BELIEF_TABLE, JOB_TABLE, PAST_TABLE, PRESSURE_KEY, SPEC_TABLE, Settled, spare,
 };
 use super::message::{Action, Write, Written};
 use super::owner::Owner;
-use super::past::PastRow;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -5,9 +5,9 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
+use super::history::PastPage;
 use super::job::{Queue, Shown, StepKey, TaskKey};
 use super::lives::{Boot, Life};
-use super::past::PastPage;
 use super::spec::JobSpec;
 use super::worker::Listing;
 use crate::cordons::Halls;
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeSet;
 
+use super::history::NO_TASK;
 use super::job::{Outcome, TaskKey, parse_task};
 use super::lives::{Standing, standing};
 use super::message::{Action, Hold, Refusal, Reply, Report, Running};
 use super::owner::Owner;
 use super::paces::FULL_PACE;
-use super::past::NO_TASK;
 use super::placement::{Placement, Stage};
 use super::silence::Ending;
 use super::worker::Contact;
--- a/src/sched/tests/succession.rs
+++ b/src/sched/tests/failover.rs
@@ -1,10 +1,10 @@
 //! Which box takes the place of an owner.
 
 use super::world::owner_row;
-use crate::sched::journal::OwnerRow;
-use crate::sched::succession::{
+use crate::sched::failover::{
     Cause, Life, Pong, Verdict, judge, makes_way, offered, pause, wait, wanted,
 };
+use crate::sched::journal::OwnerRow;
 use crate::utils::clock::Millis;
 
 #[test]
--- a/src/sched/tests/past.rs
+++ b/src/sched/tests/history.rs
@@ -1,10 +1,10 @@
 //! Jobs that are over: kept apart, known to the next owner, and forgotten in time.
 
 use super::world::{BOUNDS, World, job, lasting, queue, step};
+use crate::sched::history::{PastPage, PastRow};
 use crate::sched::job::{Job, Outcome, Shown};
 use crate::sched::journal::{JOB_TABLE, PAST_TABLE, SPEC_TABLE};
 use crate::sched::message::{Answer, Ask, Event, How};
-use crate::sched::past::{PastPage, PastRow};
 use crate::table::encode;
 
 /// Milliseconds within which the owner before has certainly ended.
--- a/src/sched/tests/legacy.rs
+++ b/src/sched/tests/predecessors.rs
@@ -2,7 +2,7 @@
 
 use super::world::{BOUNDS, owner_row};
 use crate::sched::journal::OwnerRow;
-use crate::sched::legacy::{Legacy, predecessors};
+use crate::sched::predecessors::{Legacy, predecessors};
 use crate::sched::worker::lease_span;
 
 #[test]
--- a/src/sched/tests/rolling.rs
+++ b/src/sched/tests/rolling.rs
@@ -1,13 +1,11 @@
 //! Boxes of uneven strength that are stopped in turn: who owns the cell meanwhile, in
-//! virtual time, by the decisions of `succession` alone.
+//! virtual time, by the decisions of `failover` alone.
 
 use std::ops::Range;
 
 use super::world::owner_row;
+use crate::sched::failover::{Life, Pong, Verdict, judge, makes_way, offered, pause, wait, wanted};
 use crate::sched::journal::OwnerRow;
-use crate::sched::succession::{
-    Life, Pong, Verdict, judge, makes_way, offered, pause, wait, wanted,
-};
 use crate::utils::clock::Millis;
 
 /// Thousandths of cores of strong and weak boxes.
--- a/src/sched/tests/world/calls.rs
+++ b/src/sched/tests/world/calls.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 
 use super::{FakeWorker, World};
+use crate::sched::history::PastPage;
 use crate::sched::journal::{OWNER_KEY, OWNER_TABLE, PAST_TABLE};
 use crate::sched::message::{
     Advice, Advise, Event, Hold, Pace, Refusal, Reply, Start, Stop, Write, Written,
 };
-use crate::sched::past::PastPage;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
