--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -15,7 +15,7 @@
     Action, Ask, Ended, Entry, Event, Hold, How, Reply, Report, Running, Start, Word, Written,
 };
 use willowpoint::sched::owner::{Bounds, Now, Owner};
-use willowpoint::sched::spec::{JobSpec, Room, StepSpec};
+use willowpoint::sched::spec::{JobSpec, Resources, StepSpec};
 use willowpoint::sched::switches::Switches;
 use willowpoint::sched::worker::Listing;
 use willowpoint::utils::Name;
@@ -124,7 +124,7 @@
         hall: "h".into(),
         labels: vec!["a".into()],
         rack: format!("r{}", place / 12).into(),
-        capacity: Room {
+        capacity: Resources {
             cpu: if place % 3 == 2 { 96_000 } else { 64_000 },
             memory: 256_000,
             gpu: 0,
@@ -409,7 +409,7 @@
         text: "lasting".into(),
         steps: vec![StepSpec {
             count: width,
-            room: Room {
+            resources: Resources {
                 cpu: 13_000,
                 memory: 26_000,
                 gpu: 0,
@@ -430,7 +430,7 @@
     let width = if fills { settle_width } else { 10 };
     let step = |after: Vec<usize>, image: u64| StepSpec {
         count: width,
-        room: Room {
+        resources: Resources {
             cpu: if fills { 7_000 } else { 6_300 },
             memory: 13_000,
             gpu: 0,
@@ -441,7 +441,7 @@
         } else {
             "".into()
         },
-        filler: fills,
+        best_effort: fills,
         saves: fills,
         after,
         ..StepSpec::default()
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -4,7 +4,7 @@
 use super::wire::Beat;
 use crate::queues::Queues;
 use crate::sched::message::Entry;
-use crate::sched::spec::Room;
+use crate::sched::spec::Resources;
 use crate::sched::worker::Listing;
 use crate::table::{Row, decode};
 use crate::utils::Name;
@@ -78,7 +78,7 @@
         // The platform lists the rack after the worker's kind.
         rack: beat.labels.get(RACK).cloned().unwrap_or_default(),
         labels: beat.labels,
-        capacity: Room {
+        capacity: Resources {
             cpu: beat.capacity.cpu,
             memory: beat.capacity.mem_mb,
             gpu: beat.capacity.gpu,
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -8,7 +8,7 @@
 use crate::queues::Queues;
 use crate::sched::job::Shown;
 use crate::sched::message::{Answer, Ask};
-use crate::sched::spec::{JobSpec, Room, Schedule, StepSpec};
+use crate::sched::spec::{JobSpec, Resources, Schedule, StepSpec};
 use crate::utils::clock::Millis;
 use crate::web::{Reply, Request};
 
@@ -86,7 +86,7 @@
 fn step(step: Step) -> StepSpec {
     StepSpec {
         count: step.count,
-        room: Room {
+        resources: Resources {
             cpu: step.cpu,
             memory: step.mem_mb,
             gpu: step.gpu,
@@ -104,7 +104,7 @@
         one_rack: step.same_rack,
         speculative: step.speculative,
         lasting: step.persistent,
-        filler: step.fills,
+        best_effort: step.fills,
     }
 }
 
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -86,7 +86,7 @@
     assert_eq!((&*id, &*queue.name), ("5c0e7a21d94b36f8", "r-long"));
     let (first, second) = (&spec.steps[0], &spec.steps[1]);
     assert_eq!(
-        (first.count, first.room.cpu, first.room.memory),
+        (first.count, first.resources.cpu, first.resources.memory),
         (4, 500, 256)
     );
     assert_eq!(
@@ -94,7 +94,7 @@
         ("r1-3", 2, "a")
     );
     assert!(second.saves && second.gang && second.one_rack && second.lasting);
-    assert!(second.filler && second.speculative);
+    assert!(second.best_effort && second.speculative);
     assert_eq!((second.target, second.disruptions), (50, Some(0)));
     assert_eq!(second.reserved().cpu, 0, "a filler reserves no processors");
     let schedule = spec.schedule.expect("a schedule");
--- a/src/sched/backlog.rs
+++ b/src/sched/backlog.rs
@@ -48,8 +48,8 @@
         };
         let asked = job.step(step.task(0));
         let counts = || prospect(job, step.round as usize, self.now.wall).0 != Prospect::Lost;
-        match asked.filler && !asked.lasting && counts() {
-            true => asked.room.cpu as f64 * asked.estimate as f64,
+        match asked.best_effort && !asked.lasting && counts() {
+            true => asked.resources.cpu as f64 * asked.estimate as f64,
             false => 0.0,
         }
     }
--- a/src/sched/beside.rs
+++ b/src/sched/beside.rs
@@ -55,7 +55,7 @@
                 own_load: placement.gauge.as_ref().map(|g| g.own_load),
             });
         }
-        if placement.filler {
+        if placement.best_effort {
             self.fillers.push(Filling {
                 key,
                 image,
@@ -84,5 +84,5 @@
 
 /// Returns the processor share that a serving task leaves to others: about half.
 fn idle_part(placement: &Placement) -> u64 {
-    placement.room.cpu / 2
+    placement.resources.cpu / 2
 }
--- a/src/sched/choice.rs
+++ b/src/sched/choice.rs
@@ -108,7 +108,7 @@
     /// had better wait.
     pub fn best(&self, wish: &Wish<'_>) -> Option<Name> {
         let Reverse((score, id)) = self.order.peek()?;
-        let waits = wish.step.filler && *score > UNHELPFUL && wish.waited < PATIENCE;
+        let waits = wish.step.best_effort && *score > UNHELPFUL && wish.waited < PATIENCE;
         (!waits).then(|| id.clone())
     }
 }
@@ -141,7 +141,7 @@
     permitted
         && worker.admits(wish.key, wish.suspect)
         && worker.spares(wish.key, wish.step.reserved())
-        && !(wish.step.filler && worker.over_target())
+        && !(wish.step.best_effort && worker.over_target())
         && suits(worker, wish, now)
 }
 
@@ -164,12 +164,16 @@
     let step = wish.step;
     let all = worker.listing.capacity;
     let load = |cpu: u64| cpu * WHOLE / all.cpu.max(1);
-    let mut score = match (step.target > 0, step.filler) {
-        (true, _) => packing(worker, wish.image, load(worker.used.cpu + step.room.cpu)),
-        (_, true) => crowding(load(worker.taken() + worker.soft + step.room.cpu)),
-        _ => load(worker.used.cpu + worker.soft + step.room.cpu),
+    let mut score = match (step.target > 0, step.best_effort) {
+        (true, _) => packing(
+            worker,
+            wish.image,
+            load(worker.used.cpu + step.resources.cpu),
+        ),
+        (_, true) => crowding(load(worker.taken() + worker.soft + step.resources.cpu)),
+        _ => load(worker.used.cpu + worker.soft + step.resources.cpu),
     };
-    if (step.target > 0 || step.filler)
+    if (step.target > 0 || step.best_effort)
         && let Some(pressure) = wish.pressure
     {
         let excess = pressure.excess_with(worker, step, wish.image);
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -106,9 +106,10 @@
             self.addresses.add(now, id.clone());
         }
         if worker.listing.capacity != listing.capacity {
-            let (before, room, used) = (worker.listing.capacity, listing.capacity, worker.used);
-            log::info!(target: "worker", "worker={id} event=room now={room} before={before} used={used}");
-            worker.most = worker.most.max(room);
+            let (before, resources, used) =
+                (worker.listing.capacity, listing.capacity, worker.used);
+            log::info!(target: "worker", "worker={id} event=room now={resources} before={before} used={used}");
+            worker.most = worker.most.max(resources);
         }
         worker.listing = listing;
         worker.cordoned = cordoned;
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -43,7 +43,7 @@
         let capacity = worker.listing.capacity.cpu.max(1) as f64;
         for Listed { key, run } in running {
             let placement = key.and_then(|k| worker.placements.get_mut(&k));
-            let Some(placement) = placement.filter(|p| p.filler && p.run == run.run) else {
+            let Some(placement) = placement.filter(|p| p.best_effort && p.run == run.run) else {
                 continue;
             };
             if placement.use_processors(run.gauge, self.now.steady) {
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -175,7 +175,7 @@
 /// Returns the declared work of one task of a step, in thousandths of cores times
 /// milliseconds; never 0, as tasks without either are work too.
 fn task_work(step: &StepSpec) -> f64 {
-    step.room.cpu.max(1) as f64 * step.estimate.max(1) as f64
+    step.resources.cpu.max(1) as f64 * step.estimate.max(1) as f64
 }
 
 /// Returns the declared work of a round of a job.
--- a/src/sched/paces.rs
+++ b/src/sched/paces.rs
@@ -72,7 +72,7 @@
 /// Returns the running fillers of a worker, all wished at full pace.
 fn fillers(worker: &Worker) -> Vec<Filler> {
     let capacity = worker.listing.capacity.cpu.max(1) as f64;
-    let fillers = worker.placements.iter().filter(|(_, s)| s.filler);
+    let fillers = worker.placements.iter().filter(|(_, s)| s.best_effort);
     fillers
         .filter(|(_, s)| s.running())
         .map(|(key, placement)| Filler {
--- a/src/sched/permits.rs
+++ b/src/sched/permits.rs
@@ -107,13 +107,13 @@
     /// then unknown ones, those with most room first.
     fn questioned(&self, key: TaskKey) -> Vec<Name> {
         let known = &self.permits[&key.of_step()];
-        let room = self.jobs[&key.job].step(key).reserved();
+        let resources = self.jobs[&key.job].step(key).reserved();
         let now = self.now.steady;
         let open = |name: &Name| !known.bad.contains(name) && !known.allow(name, now);
         let able = self.able(key).into_iter().filter(open);
         let mut able: Vec<Name> = able.collect();
         able.sort_by_key(|name| {
-            let free = self.workers[name].free(room);
+            let free = self.workers[name].free(resources);
             (!known.good.contains_key(name), std::cmp::Reverse(free))
         });
         able.truncate(NAMED);
--- a/src/sched/placement.rs
+++ b/src/sched/placement.rs
@@ -2,7 +2,7 @@
 
 use super::lives::Boot;
 use super::pressure::ImageNumber;
-use super::spec::Room;
+use super::spec::Resources;
 use super::spells::Spell;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -37,13 +37,13 @@
     /// Start of the worker that it was given to, by the store.
     pub boot: Boot,
     /// Room that it holds.
-    pub room: Room,
+    pub resources: Resources,
     /// Processor share that it would like beyond what it holds.
     pub soft: u64,
     /// True when it serves users under a latency target.
     pub serving: bool,
     /// True when it takes what others leave.
-    pub filler: bool,
+    pub best_effort: bool,
     /// True when it runs until its job is cancelled.
     pub lasting: bool,
     /// Image that it runs; tasks of one image behave alike.
--- a/src/sched/placing.rs
+++ b/src/sched/placing.rs
@@ -10,7 +10,7 @@
 use super::paces::FULL_PACE;
 use super::placement::{Placement, Stage};
 use super::preempt::Search;
-use super::spec::{Room, StepSpec};
+use super::spec::{Resources, StepSpec};
 use super::worker::Worker;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -34,7 +34,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Demand {
     /// Room that it holds; first, as it tells most demands apart without their names.
-    room: Room,
+    resources: Resources,
     /// Service whose workers may run it.
     service: Name,
     /// Label that its worker must have; empty for none.
@@ -44,7 +44,7 @@
     /// The step, where an advisor tells which workers may run it.
     advised: Option<StepKey>,
     /// True when it takes what others leave.
-    filler: bool,
+    best_effort: bool,
     /// True when its step is placed as a whole.
     gang: bool,
 }
@@ -104,7 +104,7 @@
         }
         let family = demand.family();
         let tried = self.fillers.get(&family).copied().unwrap_or(0);
-        demand.filler && tried >= FILLERS_TRIED
+        demand.best_effort && tried >= FILLERS_TRIED
     }
 
     /// Returns true when a worker may still be isolated; `left` counts for how many.
@@ -114,12 +114,12 @@
 
     /// Takes in that a task found no room.
     fn failed(&mut self, demand: Rc<Demand>) {
-        if demand.filler {
+        if demand.best_effort {
             let family = demand.family();
             *self.fillers.entry(family).or_default() += 1;
         }
         // Where a member of a spread step fits depends on where the others are.
-        if !demand.spread && !demand.filler && !demand.gang {
+        if !demand.spread && !demand.best_effort && !demand.gang {
             self.misfits.insert(demand);
         }
     }
@@ -224,12 +224,12 @@
         let job = &self.jobs[&key.job];
         let step = job.step(key);
         Demand {
-            room: step.reserved(),
+            resources: step.reserved(),
             service: job.row.queue.service.clone(),
             label: step.label.clone(),
             spread: step.spread > 0,
             advised: job.row.queue.advised.then(|| key.of_step()),
-            filler: step.filler,
+            best_effort: step.best_effort,
             gang: step.gang,
         }
     }
@@ -414,15 +414,19 @@
             boot,
             suspect,
             stage,
-            room: step.reserved(),
-            soft: if step.filler { step.room.cpu } else { 0 },
+            resources: step.reserved(),
+            soft: if step.best_effort {
+                step.resources.cpu
+            } else {
+                0
+            },
             serving: step.target > 0,
-            filler: step.filler,
+            best_effort: step.best_effort,
             lasting: step.lasting,
             image: step.image.clone(),
             image_number,
             target: step.target,
-            cpu: step.room.cpu,
+            cpu: step.resources.cpu,
             pace: FULL_PACE,
             // The owner before may have ordered another.
             pace_kept: stage != Stage::Inherited,
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -8,7 +8,7 @@
 use super::job::{StepKey, TaskKey};
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
-use super::spec::Room;
+use super::spec::Resources;
 use super::worker::Worker;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -31,7 +31,7 @@
     /// The task that it is for.
     pub key: TaskKey,
     /// What the task needs.
-    pub room: Room,
+    pub resources: Resources,
 }
 
 /// A run that could give way, and what that costs: lower is better.
@@ -100,11 +100,11 @@
     }
 
     /// Keeps room on a worker for a task.
-    pub(super) fn promise(&mut self, key: TaskKey, room: Room, name: &Name) {
+    pub(super) fn promise(&mut self, key: TaskKey, resources: Resources, name: &Name) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        worker.promise = Some(Promise { key, room });
+        worker.promise = Some(Promise { key, resources });
         self.promises.insert(key, name.clone());
     }
 
@@ -115,7 +115,7 @@
         }
         let step = self.jobs[&key.job].step(key);
         let since = self.ready.get(&key).copied().unwrap_or(self.now.steady);
-        if step.filler || step.gang || self.promises.contains_key(&key) {
+        if step.best_effort || step.gang || self.promises.contains_key(&key) {
             return;
         }
         if !step.lasting {
@@ -134,15 +134,15 @@
             return;
         }
         let step = self.jobs[&key.job].step(key);
-        let room = step.reserved();
+        let resources = step.reserved();
         let spare = self.spare_lasting() || self.away.contains(&key);
         let kind = (key.of_step(), spare);
         if search.kind != Some(kind) {
             search.kind = Some(kind);
-            search.victims = self.victims(key, room, spare);
+            search.victims = self.victims(key, resources, spare);
             self.looked += self.workers.len() as u64;
         }
-        let Some((_, victim, name)) = self.next_victim(search, room) else {
+        let Some((_, victim, name)) = self.next_victim(search, resources) else {
             return;
         };
         let (task, other) = (self.task_name(victim), self.task_name(key));
@@ -150,20 +150,20 @@
         if self.jobs[&victim.job].step(victim).lasting {
             self.away.insert(victim);
         }
-        self.promise(key, room, &name);
+        self.promise(key, resources, &name);
         self.ranking = None;
         self.stop(victim);
     }
 
     /// Returns the run whose end makes room for a task of the searched step at the least
     /// cost. Meanwhile others may have been stopped, and room promised.
-    fn next_victim(&self, search: &mut Search, room: Room) -> Option<Victim> {
+    fn next_victim(&self, search: &mut Search, resources: Resources) -> Option<Victim> {
         let gives = |(_, key, name): &Victim| {
             let Some(worker) = self.workers.get(name) else {
                 return false;
             };
             let run = worker.placements.get(key).filter(|run| run.running());
-            run.is_some_and(|run| worker.fits_without(run, room)) && self.may_move(*key)
+            run.is_some_and(|run| worker.fits_without(run, resources)) && self.may_move(*key)
         };
         while let Some(victim) = search.victims.pop() {
             if gives(&victim) {
@@ -174,11 +174,11 @@
     }
 
     /// Returns the runs any of which could give way to a task, the least cost last.
-    fn victims(&self, key: TaskKey, room: Room, spare: bool) -> Vec<Victim> {
+    fn victims(&self, key: TaskKey, resources: Resources, spare: bool) -> Vec<Victim> {
         let mut victims: Vec<Victim> = self.wished(key, "", |wish| {
             let able = |w: &&Worker| could_run(w, wish, self.now.steady);
             let workers = self.workers.values().filter(able);
-            let victims = workers.flat_map(|w| self.victims_on(w, key, room, spare));
+            let victims = workers.flat_map(|w| self.victims_on(w, key, resources, spare));
             victims.collect()
         });
         victims.sort_unstable_by(|a, b| b.cmp(a));
@@ -187,7 +187,13 @@
 
     /// Returns the runs on a worker any of which could give way to a task; lasting ones
     /// are among them if some can be spared.
-    fn victims_on(&self, worker: &Worker, key: TaskKey, room: Room, spare: bool) -> Vec<Victim> {
+    fn victims_on(
+        &self,
+        worker: &Worker,
+        key: TaskKey,
+        resources: Resources,
+        spare: bool,
+    ) -> Vec<Victim> {
         let now = self.now.steady;
         let name = &worker.listing.id;
         let permits = self.permits.get(&key.of_step());
@@ -197,7 +203,7 @@
         }
         let rested = |run: &Placement| now >= run.since + SPARED && (spare || !run.lasting);
         let runs = worker.placements.iter();
-        let able = runs.filter(|(_, run)| worker.fits_without(run, room) && rested(run));
+        let able = runs.filter(|(_, run)| worker.fits_without(run, resources) && rested(run));
         let costs = able.filter_map(|(victim, run)| {
             let cost = self.cost(key, *victim, run)?;
             Some((cost, *victim, name.clone()))
@@ -210,7 +216,7 @@
         let own = self.jobs.get(&key.job)?.row.queue.priority;
         let job = self.jobs.get(&victim.job).filter(|j| j.open())?;
         let step = job.step(victim);
-        if !run.running() || step.gang || step.filler {
+        if !run.running() || step.gang || step.best_effort {
             return None;
         }
         let other = job.row.queue.priority;
--- a/src/sched/pressure.rs
+++ b/src/sched/pressure.rs
@@ -144,13 +144,13 @@
             let part = |f: &Filling| self.part(victim, f.image, f.cpu, capacity);
             beside.fillers.iter().map(part).sum()
         };
-        if !step.filler {
+        if !step.best_effort {
             return (PEAK + parts(number) - BORNE).max(0.0);
         }
         let over = beside.serving.iter().map(|victim| {
             let own = victim.own_load.unwrap_or(UNMEASURED);
             let peak = (own + RISE).min(PEAK.max(own));
-            let added = self.part(victim.image, number, step.room.cpu, capacity);
+            let added = self.part(victim.image, number, step.resources.cpu, capacity);
             let before = peak + parts(victim.image) - BORNE;
             (before + added).max(0.0) - before.max(0.0)
         });
--- a/src/sched/spec.rs
+++ b/src/sched/spec.rs
@@ -10,7 +10,7 @@
 
 /// Most of any part of a task's room: far beyond every machine, and small enough for sums
 /// and products of it to be exact.
-pub const ROOM_LIMIT: u64 = 1 << 40;
+pub const RESOURCE_LIMIT: u64 = 1 << 40;
 /// Longest time that may be declared, in milliseconds: a century.
 pub const TIME_LIMIT: Millis = 100 * 366 * 24 * 3_600 * 1_000;
 
@@ -39,7 +39,7 @@
 
 /// Room that one task takes on a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of cores.
     pub cpu: u64,
     /// Megabytes of memory.
@@ -49,14 +49,14 @@
     pub gpu: u64,
 }
 
-impl std::fmt::Display for Room {
+impl std::fmt::Display for Resources {
     /// Writes the parts in their order, in one word.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}/{}/{}", self.cpu, self.memory, self.gpu)
     }
 }
 
-impl Room {
+impl Resources {
     /// Returns the largest of its parts.
     fn largest(self) -> u64 {
         self.cpu.max(self.memory).max(self.gpu)
@@ -101,8 +101,9 @@
 pub struct StepSpec {
     /// Number of tasks.
     pub count: u32,
-    /// Declared room of one task.
-    pub room: Room,
+    /// Declared resources of one task.
+    #[serde(rename = "room")]
+    pub resources: Resources,
     /// The caller's rough guess of one task's run time, in milliseconds.
     pub estimate: Millis,
     /// Earlier steps that must be done first.
@@ -142,19 +143,19 @@
     #[serde(skip_serializing_if = "is_false")]
     pub lasting: bool,
     /// Its processor share is not reserved: it gets what others leave.
-    #[serde(skip_serializing_if = "is_false")]
-    pub filler: bool,
+    #[serde(rename = "filler", skip_serializing_if = "is_false")]
+    pub best_effort: bool,
 }
 
 impl StepSpec {
     /// Returns the room that is reserved on a worker for one task.
-    pub fn reserved(&self) -> Room {
-        match self.filler {
-            true => Room {
+    pub fn reserved(&self) -> Resources {
+        match self.best_effort {
+            true => Resources {
                 cpu: 0,
-                ..self.room
+                ..self.resources
             },
-            false => self.room,
+            false => self.resources,
         }
     }
 }
@@ -178,8 +179,8 @@
             if step.after.iter().any(|a| *a >= place) {
                 findings.push(format!("step {place} waits for a step that is not earlier"));
             }
-            if step.room.largest() > ROOM_LIMIT {
-                findings.push(format!("step {place} asks for more than {ROOM_LIMIT}"));
+            if step.resources.largest() > RESOURCE_LIMIT {
+                findings.push(format!("step {place} asks for more than {RESOURCE_LIMIT}"));
             }
             if step.estimate > TIME_LIMIT || step.target > TIME_LIMIT {
                 findings.push(format!("step {place} has a time beyond {TIME_LIMIT} ms"));
--- a/src/sched/spells.rs
+++ b/src/sched/spells.rs
@@ -123,7 +123,7 @@
     /// Returns the fillers of a worker for log lines: task, stage, ordered pace in percent
     /// and its age in milliseconds, processors used by the last report over those wished for.
     fn fillers_text(&self, worker: &Worker) -> String {
-        let fillers = worker.placements.iter().filter(|(_, p)| p.filler);
+        let fillers = worker.placements.iter().filter(|(_, p)| p.best_effort);
         let text = |(key, p): (&TaskKey, &Placement)| {
             let used = p.in_use.map_or("?".into(), |used| used.to_string());
             let age = self.now.steady - p.paced;
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -8,7 +8,7 @@
 use super::owner::Owner;
 use super::placement::Stage;
 use super::silence::Ending;
-use super::spec::Room;
+use super::spec::Resources;
 use super::worker::Worker;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -54,10 +54,10 @@
         }
         // Its room may have shrunk since the task was placed: sent all the same, the start
         // would overcommit a worker that takes whatever it is told.
-        let fits = worker.fits(Room::default());
+        let fits = worker.fits(Resources::default());
         let cordoned = worker.cordoned;
         // Begun at full pace, it would keep a tail up that is over its target already.
-        let presses = current.is_some_and(|s| s.filler) && worker.over_target();
+        let presses = current.is_some_and(|s| s.best_effort) && worker.over_target();
         let lease = match worker.open(now) && fits && !presses && !gives_up {
             true => worker.grant(span, now),
             false => None,
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -65,7 +65,7 @@
             return;
         }
         self.next_swap = now + LOOK;
-        let waits = |key: &&TaskKey| self.jobs[&key.job].step(**key).filler;
+        let waits = |key: &&TaskKey| self.jobs[&key.job].step(**key).best_effort;
         if self.ready.keys().filter(waits).count() < WAITING {
             return;
         }
@@ -151,7 +151,7 @@
         let (Some(x), Some(y)) = (here.placements.get(&a.key), there.placements.get(&b.key)) else {
             return false;
         };
-        let fits = here.fits_without(x, y.room) && there.fits_without(y, x.room);
+        let fits = here.fits_without(x, y.resources) && there.fits_without(y, x.resources);
         fits && self.could_run_on(a.key, there) && self.could_run_on(b.key, here)
     }
 
@@ -160,8 +160,8 @@
         for (one, other) in [(a, b), (b, a)] {
             let task = self.task_name(one.key);
             log::info!(target: "task", "task={task} event=swapped worker={} with={}", one.worker, other.worker);
-            let room = self.jobs[&other.key.job].step(other.key).reserved();
-            self.promise(other.key, room, &one.worker);
+            let resources = self.jobs[&other.key.job].step(other.key).reserved();
+            self.promise(other.key, resources, &one.worker);
             self.away.insert(one.key);
         }
         self.stop(a.key);
--- a/src/sched/tests/cordon.rs
+++ b/src/sched/tests/cordon.rs
@@ -127,7 +127,7 @@
         ..step(6, 1_000)
     };
     let fill = StepSpec {
-        filler: true,
+        best_effort: true,
         ..step(4, 500)
     };
     let from = world.now;
--- a/src/sched/tests/full.rs
+++ b/src/sched/tests/full.rs
@@ -45,9 +45,9 @@
 fn fillers_that_wait_are_one_look_for_each_step() {
     let mut world = full();
     let filler = StepSpec {
-        filler: true,
+        best_effort: true,
         label: "r1".into(),
-        room: crate::sched::spec::Room {
+        resources: crate::sched::spec::Resources {
             cpu: 1_000,
             memory: 9_999,
             gpu: 0,
--- a/src/sched/tests/lives.rs
+++ b/src/sched/tests/lives.rs
@@ -5,7 +5,7 @@
 use super::world::{FakeWorker, GIVEN_UP, World, job, lasting, listing, step};
 use crate::sched::job::Shown;
 use crate::sched::message::{Entry, Event, How, Reply, Report};
-use crate::sched::spec::{Room, StepSpec};
+use crate::sched::spec::{Resources, StepSpec};
 use crate::sched::worker::Listing;
 
 /// Tasks that had ended well ran again, and a task was started once more after all the
@@ -143,7 +143,7 @@
 fn leave_room_elsewhere(world: &mut World) {
     world.add_worker("w1", 7_100);
     world.list();
-    let small = Room {
+    let small = Resources {
         cpu: 100,
         ..world.workers["w0"].listing.capacity
     };
--- a/src/sched/tests/order.rs
+++ b/src/sched/tests/order.rs
@@ -40,7 +40,7 @@
 fn fillers_that_fit_nowhere_keep_no_others_from_starting() {
     let mut world = World::new(2);
     let filler = |label: &str| StepSpec {
-        filler: true,
+        best_effort: true,
         label: label.into(),
         ..step(8, 500)
     };
@@ -162,7 +162,7 @@
     let mut world = World::new(1);
     world.script = |_, _| (60_000, How::Done);
     let filler = StepSpec {
-        filler: true,
+        best_effort: true,
         ..lasting(1, 500)
     };
     world.submit("filler", job(vec![filler]));
--- a/src/sched/tests/overload.rs
+++ b/src/sched/tests/overload.rs
@@ -3,7 +3,7 @@
 use super::world::{World, job, serving, step};
 use crate::sched::job::Shown;
 use crate::sched::message::{Answer, How, Running};
-use crate::sched::spec::{ROOM_LIMIT, Room, StepSpec, TIME_LIMIT};
+use crate::sched::spec::{RESOURCE_LIMIT, Resources, StepSpec, TIME_LIMIT};
 use crate::utils::clock::Millis;
 
 /// Returns the starts of the last second, with so many tasks waiting behind them.
@@ -32,9 +32,9 @@
 fn fillers(count: u32) -> StepSpec {
     StepSpec {
         count,
-        filler: true,
+        best_effort: true,
         image: "filler".into(),
-        room: Room {
+        resources: Resources {
             cpu: 1_000,
             memory: 4_000,
             gpu: 0,
@@ -105,7 +105,7 @@
     world.script = |_, _| (300, How::Done);
     let declared = |cpu: u64, estimate: Millis| {
         let first = StepSpec {
-            filler: true,
+            best_effort: true,
             estimate,
             ..step(2, cpu)
         };
@@ -120,7 +120,7 @@
         let answer = world.answers.get(&ticket);
         assert!(matches!(answer, Some(Answer::Invalid(_))), "{answer:?}");
     }
-    world.submit("huge", declared(ROOM_LIMIT, TIME_LIMIT));
+    world.submit("huge", declared(RESOURCE_LIMIT, TIME_LIMIT));
     world.submit("sound", job(vec![step(4, 500)]));
     world.run(6_000);
     for id in ["huge", "sound"] {
--- a/src/sched/tests/paces.rs
+++ b/src/sched/tests/paces.rs
@@ -56,12 +56,12 @@
 /// Returns fillers, each of which uses a quarter of a worker: four fit there at a time.
 fn fillers(count: u32) -> StepSpec {
     let mut fillers = StepSpec {
-        filler: true,
+        best_effort: true,
         image: "filler".into(),
         label: LABEL.into(),
         ..step(count, 1_000)
     };
-    fillers.room.memory = 2_400;
+    fillers.resources.memory = 2_400;
     fillers
 }
 
--- a/src/sched/tests/pressure.rs
+++ b/src/sched/tests/pressure.rs
@@ -45,7 +45,7 @@
 fn a_filler_does_not_reserve_processors() {
     let mut world = World::new(1);
     let filler = StepSpec {
-        filler: true,
+        best_effort: true,
         ..step(3, 3_000)
     };
     world.submit("j1", job(vec![filler]));
@@ -58,7 +58,7 @@
     let mut world = World::new(1);
     world.script = |_, _| (1_000_000, How::Done);
     let filler = StepSpec {
-        filler: true,
+        best_effort: true,
         image: "filler".into(),
         ..step(1, 1_000)
     };
--- a/src/sched/tests/random.rs
+++ b/src/sched/tests/random.rs
@@ -4,7 +4,7 @@
 use crate::sched::job::Shown;
 use crate::sched::journal::{JOB_TABLE, PAST_TABLE, SPEC_TABLE};
 use crate::sched::message::{Answer, Ask, How};
-use crate::sched::spec::{JobSpec, Room, StepSpec};
+use crate::sched::spec::{JobSpec, Resources, StepSpec};
 use crate::utils::Name;
 use crate::utils::random::Random;
 
@@ -156,7 +156,7 @@
         (1, Some(id)) => {
             let capacity = world.workers[&id].listing.capacity;
             let cpu = [1_000, 2_500, 4_000][random.below(3) as usize];
-            world.resize(&id, Room { cpu, ..capacity });
+            world.resize(&id, Resources { cpu, ..capacity });
         }
         (2, _) => world.suspend(100 + random.below(5_000)),
         _ => {}
@@ -170,7 +170,7 @@
         let capacity = world.workers[&id].listing.capacity;
         world.resize(
             &id,
-            Room {
+            Resources {
                 cpu: 4_000,
                 ..capacity
             },
--- a/src/sched/tests/rooms.rs
+++ b/src/sched/tests/rooms.rs
@@ -3,11 +3,11 @@
 use super::world::{World, job, step};
 use crate::sched::job::Shown;
 use crate::sched::message::{Answer, Ask, How};
-use crate::sched::spec::{Room, StepSpec};
+use crate::sched::spec::{Resources, StepSpec};
 
 /// Returns a room of so many thousandths of cores, with plenty of all else.
-fn room(cpu: u64) -> Room {
-    Room {
+fn resources(cpu: u64) -> Resources {
+    Resources {
         cpu,
         memory: 10_000,
         gpu: 0,
@@ -27,12 +27,12 @@
     world.submit("a", job(vec![step(8, 500)]));
     world.run(500);
     assert_eq!(world.running().len(), 8);
-    world.resize("w0", room(1_000));
+    world.resize("w0", resources(1_000));
     world.submit("b", job(vec![step(4, 500)]));
     world.run(2_000);
     assert_eq!(world.running().len(), 8, "what runs goes on");
     assert_eq!(world.shown("b"), Some(Shown::Queued));
-    world.resize("w0", room(6_000));
+    world.resize("w0", resources(6_000));
     world.run(500);
     assert_eq!(world.running().len(), 12);
     assert!(world.excesses.is_empty(), "{:?}", world.excesses);
@@ -44,7 +44,7 @@
     let mut world = world();
     world.submit("a", job(vec![step(6, 500)]));
     world.run(1);
-    world.resize("w0", room(1_000));
+    world.resize("w0", resources(1_000));
     world.run(2_000);
     assert_eq!(world.running().len(), 2);
     assert!(world.excesses.is_empty(), "{:?}", world.excesses);
@@ -73,12 +73,12 @@
 #[test]
 fn a_job_for_which_there_was_room_is_taken_and_waits() {
     let mut world = world();
-    world.resize("w0", room(1_000));
+    world.resize("w0", resources(1_000));
     let ticket = world.submit("a", job(vec![step(1, 3_000)]));
     world.run(1_000);
     assert_eq!(world.answers.get(&ticket), Some(&Answer::Accepted));
     assert!(world.running().is_empty());
-    world.resize("w0", room(4_000));
+    world.resize("w0", resources(4_000));
     world.run(500);
     assert_eq!(world.running().len(), 1);
 }
@@ -93,10 +93,10 @@
     };
     world.submit("g", job(vec![gang]));
     world.run(1);
-    world.resize("w0", room(1_000));
+    world.resize("w0", resources(1_000));
     world.run(3_000);
     assert!(world.running().is_empty(), "{:?}", world.running());
-    world.resize("w0", room(4_000));
+    world.resize("w0", resources(4_000));
     world.run(3_000);
     assert_eq!(world.running().len(), 6);
     assert!(world.excesses.is_empty(), "{:?}", world.excesses);
--- a/src/sched/tests/swaps.rs
+++ b/src/sched/tests/swaps.rs
@@ -2,7 +2,7 @@
 
 use super::world::{World, job, lasting, step};
 use crate::sched::message::How;
-use crate::sched::spec::{JobSpec, Room, StepSpec};
+use crate::sched::spec::{JobSpec, Resources, StepSpec};
 use crate::sched::worker::Mix;
 
 /// Returns a job of one serving task of an image; two of them fill a worker.
@@ -16,15 +16,15 @@
 
 /// Returns a job of more fillers than there is memory for.
 fn fillers() -> JobSpec {
-    let room = Room {
+    let resources = Resources {
         cpu: 100,
         memory: 4_000,
         gpu: 0,
     };
     job(vec![StepSpec {
-        filler: true,
+        best_effort: true,
         image: "filler".into(),
-        room,
+        resources,
         ..step(40, 100)
     }])
 }
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -19,7 +19,7 @@
 use crate::sched::journal::{JOB_TABLE, Journal, OWNER_KEY, OWNER_TABLE, OwnerRow, SPEC_TABLE};
 use crate::sched::message::{Action, Answer, Ask, Entry, Event, Hold, How, Start};
 use crate::sched::owner::{Bounds, Kept, Now, Owner};
-use crate::sched::spec::{JobSpec, Room, StepSpec};
+use crate::sched::spec::{JobSpec, Resources, StepSpec};
 use crate::sched::switches::Switches;
 use crate::sched::worker::Listing;
 use crate::table::encode;
@@ -112,7 +112,7 @@
 pub fn step(count: u32, cpu: u64) -> StepSpec {
     StepSpec {
         count,
-        room: Room {
+        resources: Resources {
             cpu,
             memory: 100,
             gpu: 0,
@@ -156,7 +156,7 @@
         hall: "h".into(),
         labels: vec!["a".into(), "r1".into()],
         rack: "r1".into(),
-        capacity: Room {
+        capacity: Resources {
             cpu: 4_000,
             memory: 10_000,
             gpu: 0,
--- a/src/sched/tests/world/sharing.rs
+++ b/src/sched/tests/world/sharing.rs
@@ -118,15 +118,15 @@
         let running = &self.running;
         self.shared.retain(|task, _| running.contains_key(task));
         self.shared.values_mut().for_each(|s| s.advance(now));
-        let used = |s: &Shared| s.step.room.cpu as f64 * f64::from(s.pace) / 100.0;
-        let fillers = self.shared.values().filter(|s| s.step.filler);
+        let used = |s: &Shared| s.step.resources.cpu as f64 * f64::from(s.pace) / 100.0;
+        let fillers = self.shared.values().filter(|s| s.step.best_effort);
         let share: f64 = fillers.map(|s| used(s) / capacity).sum();
         let pressed = sharing.factor_at(now) * share;
         let tail = |busy: f64, target: f64| IDLE * target / (1.0 - busy.min(BUSIEST));
         let mut longest = 0;
         for shared in self.shared.values_mut() {
             let target = shared.step.target as f64;
-            let value = match shared.step.filler {
+            let value = match shared.step.best_effort {
                 true => used(shared),
                 false => tail(sharing.own + pressed, target),
             };
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -9,7 +9,7 @@
 use crate::sched::message::{
     Ended, Entry, Event, Hold, How, Refusal, Reply, Report, Running, Start, Stop, Word,
 };
-use crate::sched::spec::{JobSpec, Room};
+use crate::sched::spec::{JobSpec, Resources};
 use crate::sched::worker::Listing;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -287,13 +287,13 @@
     }
 
     /// Gives a worker another room, which its entry tells.
-    pub fn resize(&mut self, id: &str, room: Room) {
+    pub fn resize(&mut self, id: &str, resources: Resources) {
         let told = self.now.max(self.suspended);
         let worker = self.workers.get_mut(id).expect("worker");
-        if !worker.listing.capacity.within(room) {
+        if !worker.listing.capacity.within(resources) {
             worker.shrank = told;
         }
-        worker.listing.capacity = room;
+        worker.listing.capacity = resources;
         let entry = Entry::Listed(worker.listing.clone());
         self.tell(Event::Listed(vec![(id.into(), entry)]));
     }
@@ -301,8 +301,8 @@
     /// Notes when a start brings its worker over its room, though the owner knew of it.
     fn note_excess(&mut self, start: &Start) {
         let worker = &self.workers[&start.life.id];
-        let rooms = worker.tasks().filter_map(|task| self.room_of(task));
-        let used = rooms.fold(Room::default(), Room::plus);
+        let sizes = worker.tasks().filter_map(|task| self.resources_of(task));
+        let used = sizes.fold(Resources::default(), Resources::plus);
         let told = self.now > worker.shrank + ON_ITS_WAY;
         if told && !used.within(worker.listing.capacity) {
             let text = format!("{} on {} at {}", start.task, start.life.id, self.now);
@@ -311,7 +311,7 @@
     }
 
     /// Returns the room that a task takes, by what the store holds of its job.
-    fn room_of(&self, task: &str) -> Option<Room> {
+    fn resources_of(&self, task: &str) -> Option<Resources> {
         let (id, _, step, _) = parse_task(task)?;
         let row = self.rows.get(&(SPEC_TABLE, id.into()))?;
         let spec: JobSpec = serde_json::from_slice(row).expect("spec");
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -10,7 +10,7 @@
 use super::placement::{Gauge, Placement};
 use super::preempt::Promise;
 use super::recent::Recent;
-use super::spec::Room;
+use super::spec::Resources;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -45,7 +45,7 @@
     /// Rack in which it stands; empty when that is not known.
     pub rack: Name,
     /// Its whole room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// True once it has said that it will leave.
     pub leaving: bool,
     /// Least milliseconds that it stays once it leaves, from when it was listed.
@@ -99,7 +99,7 @@
     /// True from news of another life until its next report.
     pub doubted: bool,
     /// The most room that it has had: what has shrunk may grow again.
-    pub most: Room,
+    pub most: Resources,
     /// Whether the directory lists it.
     pub presence: Presence,
     /// When it ends at the earliest, once it is known to leave.
@@ -107,7 +107,7 @@
     /// Tasks placed there.
     pub placements: BTreeMap<TaskKey, Placement>,
     /// Room held by them.
-    pub used: Room,
+    pub used: Resources,
     /// Processor share that fillers there would like.
     pub soft: u64,
     /// Its serving tasks and fillers, as they count for each other.
@@ -161,7 +161,7 @@
             presence: Presence::Listed,
             leaves: None,
             placements: BTreeMap::new(),
-            used: Room::default(),
+            used: Resources::default(),
             soft: 0,
             beside: Beside::default(),
             lasting: 0,
@@ -222,7 +222,7 @@
 
     /// Puts a task there.
     pub fn put(&mut self, key: TaskKey, placement: Placement) {
-        self.used = self.used.plus(placement.room);
+        self.used = self.used.plus(placement.resources);
         self.soft += placement.soft;
         self.lasting += u32::from(placement.lasting);
         self.beside.put(key, &placement);
@@ -239,12 +239,12 @@
         };
         self.beside.take(key, &placement);
         self.settle_isolation();
-        if placement.filler && placement.has_run() {
+        if placement.best_effort && placement.has_run() {
             let share = self.share(&placement);
             self.recent
                 .end(&placement.image, share, placement.since, now);
         }
-        self.used = self.used.minus(placement.room);
+        self.used = self.used.minus(placement.resources);
         self.soft -= placement.soft;
         self.lasting -= u32::from(placement.lasting);
         if placement.serving {
@@ -312,14 +312,14 @@
     }
 
     /// Returns true when a task of this room fits beside what is there.
-    pub fn fits(&self, room: Room) -> bool {
-        self.used.plus(room).within(self.listing.capacity)
+    pub fn fits(&self, resources: Resources) -> bool {
+        self.used.plus(resources).within(self.listing.capacity)
     }
 
     /// Returns true when it fits beside that and what was promised to another.
-    pub fn spares(&self, key: TaskKey, room: Room) -> bool {
+    pub fn spares(&self, key: TaskKey, resources: Resources) -> bool {
         let other = self.promise.as_ref().filter(|p| p.key != key);
-        self.fits(other.map_or(room, |p| room.plus(p.room)))
+        self.fits(other.map_or(resources, |p| resources.plus(p.resources)))
     }
 
     /// Returns how many runs there never give way: fillers, and those that last unless
@@ -340,21 +340,21 @@
 
     /// Returns true when a task of this room would fit without a run that is
     /// there, and nothing is promised to another.
-    pub fn fits_without(&self, run: &Placement, room: Room) -> bool {
-        let whole = self.used.plus(room);
-        self.promise.is_none() && whole.within(self.listing.capacity.plus(run.room))
+    pub fn fits_without(&self, run: &Placement, resources: Resources) -> bool {
+        let whole = self.used.plus(resources);
+        self.promise.is_none() && whole.within(self.listing.capacity.plus(run.resources))
     }
 
     /// Returns how much of a room is free, in thousandths of its scarcest part.
-    pub fn free(&self, room: Room) -> u64 {
+    pub fn free(&self, resources: Resources) -> u64 {
         let all = self.listing.capacity;
         let part = |all: u64, used: u64, wanted: u64| match wanted {
             0 => u64::MAX,
             wanted => all.saturating_sub(used) * 1_000 / wanted,
         };
-        part(all.cpu, self.used.cpu, room.cpu)
-            .min(part(all.memory, self.used.memory, room.memory))
-            .min(part(all.gpu, self.used.gpu, room.gpu))
+        part(all.cpu, self.used.cpu, resources.cpu)
+            .min(part(all.memory, self.used.memory, resources.memory))
+            .min(part(all.gpu, self.used.gpu, resources.gpu))
     }
 
     /// Returns true when new tasks may be sent there.
