--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,22 +1,22 @@
 //! The daemon of an entry box on the platform: sockets and tasks around the
 //! decisions of `sched`.
 
-mod absence;
 mod admin;
 mod commits;
+mod downtime;
+mod feeds;
+mod follower;
 mod frontend;
-mod lead;
-mod member;
+mod history;
 mod message;
-mod others;
-mod past;
+mod owner_row;
+mod owner_task;
+mod peer_addresses;
 mod peers;
 mod pings;
-mod rows;
 mod shared;
 mod takeover;
 mod term;
-mod watch;
 
 #[cfg(test)]
 mod tests;
@@ -66,9 +66,9 @@
     for listener in [Some(admin), metrics].into_iter().flatten() {
         monoio::spawn(admin::serve(listener, shared.clone()));
     }
-    monoio::spawn(watch::config(shared.clone()));
-    monoio::spawn(lead::run(shared.clone(), receiver));
-    monoio::spawn(member::run(shared.clone(), nudged));
+    monoio::spawn(feeds::config(shared.clone()));
+    monoio::spawn(owner_task::run(shared.clone(), receiver));
+    monoio::spawn(follower::run(shared.clone(), nudged));
     let mut suspension = Suspension::begin();
     let mut ready = false;
     while !signals::asked() {
--- a/src/daemon/commits.rs
+++ b/src/daemon/commits.rs
@@ -6,7 +6,7 @@
 use futures::future::{Either, select};
 use monoio::time::sleep;
 
-use super::rows::read_owner;
+use super::owner_row::read_owner;
 use super::shared::{PART, Shared};
 use crate::sched::journal::{OWNER_KEY, OWNER_TABLE};
 use crate::sched::message::{Write, Written};
--- a/src/daemon/watch.rs
+++ b/src/daemon/feeds.rs
@@ -6,7 +6,7 @@
 use monoio::time::sleep;
 
 use super::message::Message;
-use super::rows::READ;
+use super::owner_row::READ;
 use super::shared::Shared;
 use crate::platform::store::{Page, StoreError};
 use crate::platform::{config, directory};
--- a/src/daemon/member.rs
+++ b/src/daemon/follower.rs
@@ -7,8 +7,8 @@
 use futures::channel::mpsc::UnboundedReceiver;
 use monoio::time::{sleep, timeout};
 
+use super::owner_row::{adopt, read_owner, store_failed};
 use super::pings::{self, PING};
-use super::rows::{adopt, read_owner, store_failed};
 use super::shared::{Seen, Shared};
 use super::takeover::acquire;
 use crate::platform::config;
--- a/src/daemon/past.rs
+++ b/src/daemon/history.rs
@@ -6,7 +6,7 @@
 use monoio::time::sleep;
 
 use super::message::Message;
-use super::rows::READ;
+use super::owner_row::READ;
 use super::shared::{PART, Shared};
 use crate::sched::history::{PastPage, PastRow};
 use crate::sched::job::Outcome;
--- a/src/daemon/lead.rs
+++ b/src/daemon/owner_task.rs
@@ -9,11 +9,11 @@
 use monoio::time::timeout;
 
 use super::commits::commit_own;
+use super::feeds;
+use super::history;
 use super::message::Message;
-use super::past;
 use super::shared::{Shared, now};
 use super::term::Term;
-use super::watch;
 use crate::sched::failover;
 use crate::sched::message::{Action, Answer, Event, Ticket, Written};
 use crate::sched::owner::Owner;
@@ -77,8 +77,8 @@
             if let Some(halls) = shared.cordoned() {
                 shared.lead(Message::Event(epoch, Event::Cordoned(halls)));
             }
-            monoio::spawn(watch::directory(shared.clone(), epoch));
-            monoio::spawn(past::read(shared.clone(), epoch));
+            monoio::spawn(feeds::directory(shared.clone(), epoch));
+            monoio::spawn(history::read(shared.clone(), epoch));
             if shared.stopping() {
                 shared.lead(Message::Resign);
             }
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -7,9 +7,9 @@
 
 use futures::channel::mpsc::UnboundedSender;
 
-use super::absence::Absence;
+use super::downtime::Absence;
 use super::message::Message;
-use super::others::Others;
+use super::peer_addresses::Others;
 use crate::cordons::{Change, Cordons, Halls};
 use crate::options::daemon::Settings;
 use crate::platform::advice::Advisor;
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -8,8 +8,8 @@
 
 use super::commits::commit;
 use super::message::Message;
+use super::owner_row::{READ, STORE_PAUSE, adopt, read_owner, store_failed};
 use super::pings::{self, PING};
-use super::rows::{READ, STORE_PAUSE, adopt, read_owner, store_failed};
 use super::shared::{Loading, PART, Seen, Shared, now};
 use crate::harm::Known;
 use crate::platform::store::{PAGE, Page};
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of the daemon's parts that need no sockets.
 
-use super::absence::Absence;
-use super::others::Others;
-use super::past::page;
+use super::downtime::Absence;
+use super::history::page;
+use super::peer_addresses::Others;
 use super::shared::{Seen, Shared};
 use super::takeover::jobs;
 use super::term::Term;
