--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -33,6 +33,6 @@
 fn text(shared: &Shared) -> String {
     let metrics = metrics::get();
     metrics.unserved.set(shared.unserved() as i64);
-    metrics.others.set(shared.others().count() as i64);
+    metrics.others.set(shared.peer_addresses().count() as i64);
     metrics.text()
 }
--- a/src/daemon/downtime.rs
+++ b/src/daemon/downtime.rs
@@ -5,32 +5,32 @@
 use crate::utils::clock::Millis;
 
 /// Whether an owner serves this box, and when one last did.
-pub struct Absence {
-    served: Cell<Millis>,
-    absent: Cell<bool>,
+pub struct Downtime {
+    last_served: Cell<Millis>,
+    ongoing: Cell<bool>,
 }
 
-impl Absence {
+impl Downtime {
     /// Returns that of a box that starts now and knows no owner.
     pub fn new(now: Millis) -> Self {
         Self {
-            served: Cell::new(now),
-            absent: Cell::new(true),
+            last_served: Cell::new(now),
+            ongoing: Cell::new(true),
         }
     }
 
     /// Takes in whether an owner serves now.
-    pub fn note(&self, served: bool, now: Millis) {
+    pub fn record(&self, served: bool, now: Millis) {
         if served {
-            self.served.set(now);
+            self.last_served.set(now);
         }
-        self.absent.set(!served);
+        self.ongoing.set(!served);
     }
 
     /// Returns the milliseconds since an owner last served; 0 while one does.
-    pub fn span(&self, now: Millis) -> Millis {
-        match self.absent.get() {
-            true => now.saturating_sub(self.served.get()),
+    pub fn duration(&self, now: Millis) -> Millis {
+        match self.ongoing.get() {
+            true => now.saturating_sub(self.last_served.get()),
             false => 0,
         }
     }
--- a/src/daemon/peer_addresses.rs
+++ b/src/daemon/peer_addresses.rs
@@ -9,57 +9,57 @@
 use crate::utils::clock::Millis;
 
 /// Addresses that a box keeps: some of them are replaced meanwhile, or out of reach.
-const KEPT: usize = 8;
+const CAPACITY: usize = 8;
 /// Addresses that are told or asked at once.
-const TOLD: usize = 3;
+const BATCH: usize = 3;
 /// Milliseconds after which a box wants to know others anew.
-const FRESH: Millis = 5_000;
+const REFRESH_INTERVAL: Millis = 5_000;
 
 /// The boxes known last, in turn.
 #[derive(Debug, Default)]
-pub struct Others {
-    known: VecDeque<SocketAddr>,
+pub struct PeerAddresses {
+    addresses: VecDeque<SocketAddr>,
     /// When others were told last; none before.
-    told: Option<Millis>,
+    refreshed: Option<Millis>,
 }
 
-impl Others {
+impl PeerAddresses {
     /// Takes in that a box asked from an address.
-    pub fn met(&mut self, address: SocketAddr) {
-        if self.known.contains(&address) {
+    pub fn add(&mut self, address: SocketAddr) {
+        if self.addresses.contains(&address) {
             return;
         }
-        self.known.push_back(address);
-        if self.known.len() > KEPT {
-            self.known.pop_front();
+        self.addresses.push_back(address);
+        if self.addresses.len() > CAPACITY {
+            self.addresses.pop_front();
         }
     }
 
     /// Takes in addresses that another box told.
-    pub fn told(&mut self, addresses: &[SocketAddr], now: Millis) {
+    pub fn add_reply(&mut self, addresses: &[SocketAddr], now: Millis) {
         if addresses.is_empty() {
             return;
         }
-        self.told = Some(now);
-        addresses.iter().for_each(|address| self.met(*address));
+        self.refreshed = Some(now);
+        addresses.iter().for_each(|address| self.add(*address));
     }
 
     /// Returns how many are known.
     pub fn count(&self) -> usize {
-        self.known.len()
+        self.addresses.len()
     }
 
     /// Returns true when this box should ask for the addresses of others.
-    pub fn wants(&self, now: Millis) -> bool {
-        self.told.is_none_or(|at| now >= at + FRESH)
+    pub fn needs_refresh(&self, now: Millis) -> bool {
+        self.refreshed.is_none_or(|at| now >= at + REFRESH_INTERVAL)
     }
 
     /// Returns some of them in turn, but for one.
-    pub fn some(&mut self, but: SocketAddr) -> Vec<SocketAddr> {
-        let chosen = self.known.iter().filter(|a| **a != but).take(TOLD);
-        let chosen: Vec<SocketAddr> = chosen.copied().collect();
-        self.known.retain(|a| !chosen.contains(a));
-        self.known.extend(&chosen);
-        chosen
+    pub fn next_batch(&mut self, except: SocketAddr) -> Vec<SocketAddr> {
+        let batch = self.addresses.iter().filter(|a| **a != except).take(BATCH);
+        let batch: Vec<SocketAddr> = batch.copied().collect();
+        self.addresses.retain(|a| !batch.contains(a));
+        self.addresses.extend(&batch);
+        batch
     }
 }
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -89,12 +89,12 @@
     let Ok(address) = ping.address.parse() else {
         return Vec::new();
     };
-    let mut others = shared.others();
-    others.met(address);
+    let mut addresses = shared.peer_addresses();
+    addresses.add(address);
     if !ping.others {
         return Vec::new();
     }
-    let told = others.some(address);
+    let told = addresses.next_batch(address);
     told.iter().map(|a| a.to_string()).collect()
 }
 
--- a/src/daemon/pings.rs
+++ b/src/daemon/pings.rs
@@ -38,12 +38,12 @@
 fn learn(shared: &Shared, reply: &PingReply) {
     let addresses = reply.others.iter().filter_map(|a| a.parse().ok());
     let addresses: Vec<SocketAddr> = addresses.collect();
-    shared.others().told(&addresses, clock::now());
+    shared.peer_addresses().add_reply(&addresses, clock::now());
 }
 
 /// Asks some other boxes who the owner is; true when one knows a later than `epoch`.
 pub async fn ask_others(shared: &Shared, epoch: u64) -> bool {
-    let asked = shared.others().some(shared.settings.rpc);
+    let asked = shared.peer_addresses().next_batch(shared.settings.rpc);
     if asked.is_empty() {
         return false;
     }
@@ -67,7 +67,7 @@
         epoch,
         config: shared.queues().version(),
         address: shared.settings.rpc.to_string(),
-        others: shared.others().wants(clock::now()),
+        others: shared.peer_addresses().needs_refresh(clock::now()),
         cores: failover::offered(
             shared.settings.cores,
             shared.store_serves(),
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -7,9 +7,9 @@
 
 use futures::channel::mpsc::UnboundedSender;
 
-use super::downtime::Absence;
+use super::downtime::Downtime;
 use super::message::Message;
-use super::peer_addresses::Others;
+use super::peer_addresses::PeerAddresses;
 use crate::cordons::{Change, Cordons, Halls};
 use crate::options::daemon::Settings;
 use crate::platform::advice::Advisor;
@@ -80,13 +80,13 @@
     followed: RefCell<Option<OwnerRow>>,
     leading: Cell<Option<u64>>,
     loading: Cell<Option<Loading>>,
-    absence: Absence,
+    downtime: Downtime,
     confirmed: Cell<u64>,
     served: Cell<Millis>,
     bounds: Cell<Bounds>,
     stopping: Cell<bool>,
     channels: RefCell<HashMap<SocketAddr, Channel>>,
-    others: RefCell<Others>,
+    peer_addresses: RefCell<PeerAddresses>,
 }
 
 impl Shared {
@@ -113,12 +113,12 @@
             followed: RefCell::default(),
             leading: Cell::new(None),
             loading: Cell::new(None),
-            absence: Absence::new(clock::now()),
+            downtime: Downtime::new(clock::now()),
             confirmed: Cell::new(0),
             served: Cell::new(0),
             stopping: Cell::new(false),
             channels: RefCell::default(),
-            others: RefCell::default(),
+            peer_addresses: RefCell::default(),
         }
     }
 
@@ -265,12 +265,12 @@
 
     /// Takes in whether an owner serves this box now.
     pub fn set_owned(&self, served: bool) {
-        self.absence.note(served, clock::now());
+        self.downtime.record(served, clock::now());
     }
 
     /// Returns the milliseconds since an owner last served this box; 0 while one does.
     pub fn unserved(&self) -> Millis {
-        self.absence.span(clock::now())
+        self.downtime.duration(clock::now())
     }
 
     /// Returns when the store confirmed the owner in this process.
@@ -323,8 +323,8 @@
     }
 
     /// Returns the other boxes that are known; not to be held over a wait.
-    pub fn others(&self) -> RefMut<'_, Others> {
-        self.others.borrow_mut()
+    pub fn peer_addresses(&self) -> RefMut<'_, PeerAddresses> {
+        self.peer_addresses.borrow_mut()
     }
 
     /// Returns the channel to another box.
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of the daemon's parts that need no sockets.
 
-use super::downtime::Absence;
+use super::downtime::Downtime;
 use super::history::page;
-use super::peer_addresses::Others;
+use super::peer_addresses::PeerAddresses;
 use super::shared::{Seen, Shared};
 use super::takeover::jobs;
 use super::term::Term;
@@ -136,15 +136,15 @@
 
 #[test]
 fn the_time_without_an_owner_counts_from_the_last_answer_of_one() {
-    let absence = Absence::new(1_000);
-    assert_eq!(absence.span(1_400), 400, "none is known at the start");
-    absence.note(true, 1_500);
-    assert_eq!(absence.span(1_700), 0);
-    absence.note(false, 1_750);
-    absence.note(false, 2_000);
-    assert_eq!(absence.span(2_100), 600);
-    absence.note(true, 2_200);
-    assert_eq!(absence.span(2_300), 0);
+    let downtime = Downtime::new(1_000);
+    assert_eq!(downtime.duration(1_400), 400, "none is known at the start");
+    downtime.record(true, 1_500);
+    assert_eq!(downtime.duration(1_700), 0);
+    downtime.record(false, 1_750);
+    downtime.record(false, 2_000);
+    assert_eq!(downtime.duration(2_100), 600);
+    downtime.record(true, 2_200);
+    assert_eq!(downtime.duration(2_300), 0);
 }
 
 #[test]
@@ -197,19 +197,24 @@
 #[test]
 fn other_boxes_are_told_in_turn_and_the_latest_are_kept() {
     let address = |port: u16| ([127, 0, 0, 1], port).into();
-    let mut others = Others::default();
-    assert!(others.wants(0), "none is known");
-    assert!(others.some(address(1)).is_empty());
-    (1..=10).for_each(|port| others.met(address(port)));
-    others.met(address(10));
-    let mut told: Vec<_> = (0..3).flat_map(|_| others.some(address(5))).collect();
+    let mut addresses = PeerAddresses::default();
+    assert!(addresses.needs_refresh(0), "none is known");
+    assert!(addresses.next_batch(address(1)).is_empty());
+    (1..=10).for_each(|port| addresses.add(address(port)));
+    addresses.add(address(10));
+    let mut told: Vec<_> = (0..3)
+        .flat_map(|_| addresses.next_batch(address(5)))
+        .collect();
     told.sort();
     told.dedup();
     let expected: Vec<_> = [3, 4, 6, 7, 8, 9, 10].map(address).into();
     assert_eq!(told, expected, "but for the one that asks");
-    others.told(&[], 1_000);
-    assert!(others.wants(1_000), "an empty answer tells nothing");
-    others.told(&[address(1)], 1_000);
-    assert!(!others.wants(5_999));
-    assert!(others.wants(6_000));
+    addresses.add_reply(&[], 1_000);
+    assert!(
+        addresses.needs_refresh(1_000),
+        "an empty answer tells nothing"
+    );
+    addresses.add_reply(&[address(1)], 1_000);
+    assert!(!addresses.needs_refresh(5_999));
+    assert!(addresses.needs_refresh(6_000));
 }
