--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -12,7 +12,8 @@
 use willowpoint::sched::journal::{Journal, OwnerRow};
 use willowpoint::sched::lives::Life;
 use willowpoint::sched::message::{
-    Action, Ask, Ended, Entry, Event, Hold, How, Reply, Report, Running, Start, Word, Written,
+    Action, Ended, Entry, Event, Hold, How, JobRequest, Reply, Report, Running, Start, Word,
+    Written,
 };
 use willowpoint::sched::owner::{Bounds, Now, Owner};
 use willowpoint::sched::spec::{JobSpec, Resources, StepSpec};
@@ -210,12 +211,12 @@
             slack: 1_000,
             advised: false,
         };
-        let ask = Ask::Submit {
+        let ask = JobRequest::Submit {
             id: format!("{:016x}", self.ticket).into(),
             spec: spec.into(),
             queue,
         };
-        self.at(time, Due::Tell(Event::Ask(self.ticket, ask)));
+        self.at(time, Due::Tell(Event::Request(self.ticket, ask)));
     }
 
     fn run(&mut self) {
--- a/src/daemon/frontend.rs
+++ b/src/daemon/frontend.rs
@@ -14,7 +14,7 @@
 use crate::proto::{AskReply, AskRequest};
 use crate::rpc::client::CallError;
 use crate::sched::COME_BACK;
-use crate::sched::message::{Answer, Ask};
+use crate::sched::message::{Answer, JobRequest};
 use crate::utils::clock::{self, Millis};
 use crate::web::{Reply, Request};
 
@@ -57,7 +57,7 @@
     let answer = ask_owner(&shared, &ask, patience).await;
     let took = clock::micros() - start;
     crate::metrics::get().seconds.observe(took as f64 / 1e6);
-    if !matches!(ask, Ask::Show(_) | Ask::Count(_)) {
+    if !matches!(ask, JobRequest::Show(_) | JobRequest::Count(_)) {
         let (what, id) = name(&ask);
         let version = queues.version();
         log::info!(target: "desk", "job={id} event={what} answer={answer:?} us={took} config={version}");
@@ -65,18 +65,18 @@
     ingress::reply(&answer)
 }
 
-fn name(ask: &Ask) -> (&'static str, &str) {
+fn name(ask: &JobRequest) -> (&'static str, &str) {
     let what = match ask {
-        Ask::Submit { .. } => "submit",
-        Ask::Cancel(_) => "cancel",
-        Ask::Show(_) => "show",
-        Ask::Count(_) => "count",
+        JobRequest::Submit { .. } => "submit",
+        JobRequest::Cancel(_) => "cancel",
+        JobRequest::Show(_) => "show",
+        JobRequest::Count(_) => "count",
     };
     (what, ask.subject())
 }
 
 /// Asks the owner, and its successor when it is replaced meanwhile.
-async fn ask_owner(shared: &Rc<Shared>, ask: &Ask, patience: Millis) -> Answer {
+async fn ask_owner(shared: &Rc<Shared>, ask: &JobRequest, patience: Millis) -> Answer {
     let start = clock::now();
     // Once a try may have reached an owner, the request may have been done.
     let mut doubt = false;
@@ -109,11 +109,11 @@
     shared.unserved() > CUT_OFF && !shared.store_serves()
 }
 
-fn changes(ask: &Ask) -> bool {
-    matches!(ask, Ask::Submit { .. } | Ask::Cancel(_))
+fn changes(ask: &JobRequest) -> bool {
+    matches!(ask, JobRequest::Submit { .. } | JobRequest::Cancel(_))
 }
 
-fn given_up(ask: &Ask, doubt: bool, reason: &str, spent: Millis) -> Answer {
+fn given_up(ask: &JobRequest, doubt: bool, reason: &str, spent: Millis) -> Answer {
     let (what, id) = name(ask);
     log::info!(target: "desk", "job={id} event=given-up ask={what} reason={reason} doubt={doubt} spent_ms={spent}");
     match doubt && changes(ask) {
@@ -130,7 +130,7 @@
     Lost,
 }
 
-async fn one_try(shared: &Rc<Shared>, ask: &Ask, left: Millis) -> Result<Answer, Failure> {
+async fn one_try(shared: &Rc<Shared>, ask: &JobRequest, left: Millis) -> Result<Answer, Failure> {
     if shared.leading().is_some() {
         return match ask_here(shared, ask.clone(), left).await {
             Some(answer) => Ok(answer),
@@ -161,7 +161,7 @@
 }
 
 /// Asks the owner in this process; none when it does not answer in time.
-pub async fn ask_here(shared: &Shared, ask: Ask, left: Millis) -> Option<Answer> {
+pub async fn ask_here(shared: &Shared, ask: JobRequest, left: Millis) -> Option<Answer> {
     let (reply, answer) = oneshot::channel();
     shared.lead(Message::Ask(ask, reply));
     timeout(Duration::from_millis(left), answer)
--- a/src/daemon/message.rs
+++ b/src/daemon/message.rs
@@ -2,14 +2,14 @@
 
 use futures::channel::oneshot;
 
-use crate::sched::message::{Answer, Ask, Event};
+use crate::sched::message::{Answer, Event, JobRequest};
 use crate::sched::owner::{Bounds, Owner};
 use crate::utils::clock::Millis;
 
 /// What the task is told.
 pub enum Message {
     /// A caller asks.
-    Ask(Ask, oneshot::Sender<Answer>),
+    Ask(JobRequest, oneshot::Sender<Answer>),
     /// This box has become the owner of an epoch, in so many milliseconds.
     Begin(Box<Owner>, u64, Millis),
     /// Something happened to the owner of an epoch.
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -87,7 +87,7 @@
             let ticket = lead.next_ticket;
             lead.next_ticket += 1;
             lead.tickets.insert(ticket, reply);
-            lead.step(shared, Event::Ask(ticket, ask));
+            lead.step(shared, Event::Request(ticket, ask));
         }
         (Message::Event(epoch, event), Some(lead)) if epoch == lead.term.epoch => {
             lead.step(shared, event);
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -7,7 +7,7 @@
 use super::wire::{self, Job, Step};
 use crate::queues::Queues;
 use crate::sched::job::Shown;
-use crate::sched::message::{Answer, Ask};
+use crate::sched::message::{Answer, JobRequest};
 use crate::sched::spec::{JobSpec, Resources, Schedule, StepSpec};
 use crate::utils::clock::Millis;
 use crate::web::{Reply, Request};
@@ -33,7 +33,7 @@
 }
 
 /// Returns what a request asks for, or the answer to one that asks for nothing known.
-pub fn ask(request: &Request, queues: &Queues) -> Result<Ask, Box<Reply>> {
+pub fn ask(request: &Request, queues: &Queues) -> Result<JobRequest, Box<Reply>> {
     let host = request.headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = host.unwrap_or("").split(':').next().unwrap_or("");
     let Some((route, rest)) = queues.find(host, request.uri.path()) else {
@@ -42,7 +42,7 @@
     };
     let queue = route.queue.clone();
     if rest.is_empty() && request.method == Method::GET {
-        return Ok(Ask::Count(queue.name));
+        return Ok(JobRequest::Count(queue.name));
     }
     if rest.len() != ID_LENGTH || !rest.bytes().all(|b| b.is_ascii_hexdigit()) {
         let text = format!("a job's id has {ID_LENGTH} hex digits\n");
@@ -50,9 +50,9 @@
     }
     let id = rest.into();
     match request.method {
-        Method::GET => Ok(Ask::Show(id)),
-        Method::DELETE => Ok(Ask::Cancel(id)),
-        Method::POST => Ok(Ask::Submit {
+        Method::GET => Ok(JobRequest::Show(id)),
+        Method::DELETE => Ok(JobRequest::Cancel(id)),
+        Method::POST => Ok(JobRequest::Submit {
             id,
             spec: Box::new(job(&request.body)?),
             queue,
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -5,7 +5,7 @@
 use super::store::{Dropped, Page};
 use super::{config, directory, ingress};
 use crate::queues::Queues;
-use crate::sched::message::{Answer, Ask, Entry};
+use crate::sched::message::{Answer, Entry, JobRequest};
 use crate::table::Row;
 use crate::utils::Name;
 use crate::web::{Reply, Request};
@@ -80,7 +80,7 @@
         {"count":2,"cpu":100,"memMb":10,"gpu":1,"after":[0],"savesProgress":true,"gang":true,"sameRack":true,"persistent":true,"image":"i","target_ms":50,"fills":true,"may_miss":0,"speculative":true}],
         "maxRuns":3,"initialDelayMs":1000,"intervalMs":500}"#;
     let request = request(Method::POST, "/q/x/5c0e7a21d94b36f8", body);
-    let Ok(Ask::Submit { id, spec, queue }) = ingress::ask(&request, &queues()) else {
+    let Ok(JobRequest::Submit { id, spec, queue }) = ingress::ask(&request, &queues()) else {
         panic!("a submission");
     };
     assert_eq!((&*id, &*queue.name), ("5c0e7a21d94b36f8", "r-long"));
--- a/src/sched/asks.rs
+++ b/src/sched/asks.rs
@@ -3,24 +3,24 @@
 use super::failover;
 use super::job::{Job, Outcome, Queue};
 use super::journal::After;
-use super::message::{Answer, Ask, Ticket};
+use super::message::{Answer, JobRequest, Ticket};
 use super::owner::Owner;
 use super::spec::JobSpec;
 use crate::utils::Name;
 
 impl Owner {
-    pub(super) fn ask(&mut self, ticket: Ticket, ask: Ask) {
-        if let Ask::Submit { id, .. } | Ask::Cancel(id) | Ask::Show(id) = &ask
+    pub(super) fn ask(&mut self, ticket: Ticket, ask: JobRequest) {
+        if let JobRequest::Submit { id, .. } | JobRequest::Cancel(id) | JobRequest::Show(id) = &ask
             && self.unreadable.contains(id)
         {
             log::warn!(target: "job", "job={id} event=in-doubt reason=unreadable-row");
             return self.reply(ticket, Answer::InDoubt);
         }
         match ask {
-            Ask::Submit { id, spec, queue } => self.submit(ticket, id, spec, queue),
-            Ask::Cancel(id) => self.cancel(ticket, &id),
-            Ask::Show(id) => self.show(ticket, &id),
-            Ask::Count(queue) => self.count(ticket, &queue),
+            JobRequest::Submit { id, spec, queue } => self.submit(ticket, id, spec, queue),
+            JobRequest::Cancel(id) => self.cancel(ticket, &id),
+            JobRequest::Show(id) => self.show(ticket, &id),
+            JobRequest::Count(queue) => self.count(ticket, &queue),
         }
     }
 
@@ -43,7 +43,7 @@
             return self.reply(ticket, Answer::Refused(obstacle.come_back()));
         }
         if !self.past.whole() {
-            return self.park(ticket, Ask::Submit { id, spec, queue });
+            return self.park(ticket, JobRequest::Submit { id, spec, queue });
         }
         let steps = spec.steps.len();
         log::info!(target: "job", "job={id} event=accept queue={} steps={steps}", queue.name);
@@ -67,7 +67,7 @@
         let Some(number) = self.ids.get(id).copied() else {
             return match self.past.get(id) {
                 Some(_) => self.reply(ticket, Answer::Cancelled),
-                None => self.not_found(ticket, Ask::Cancel(id.clone())),
+                None => self.not_found(ticket, JobRequest::Cancel(id.clone())),
             };
         };
         if self.jobs[&number].open() {
@@ -84,7 +84,7 @@
             Some(_) => Answer::InDoubt,
             None => match self.past.get(id) {
                 Some(past) => Answer::State(past.outcome.shown(true)),
-                None => return self.not_found(ticket, Ask::Show(id.clone())),
+                None => return self.not_found(ticket, JobRequest::Show(id.clone())),
             },
         };
         self.reply(ticket, answer);
@@ -92,7 +92,7 @@
 
     /// Answers about a job that is not known, once all that are over were read: it may be
     /// one of them. A later owner may hold it as well, so that there must be none.
-    fn not_found(&mut self, ticket: Ticket, ask: Ask) {
+    fn not_found(&mut self, ticket: Ticket, ask: JobRequest) {
         match self.past.whole() && self.alone() {
             true => self.reply(ticket, Answer::Unknown),
             false => self.park(ticket, ask),
--- a/src/sched/history.rs
+++ b/src/sched/history.rs
@@ -9,7 +9,7 @@
 
 use super::admission::COME_BACK;
 use super::job::{Outcome, TaskKey, parse_task};
-use super::message::{Answer, Ask, Ticket};
+use super::message::{Answer, JobRequest, Ticket};
 use super::owner::Owner;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -61,7 +61,7 @@
     /// True once all rows were read.
     whole: bool,
     /// Requests until then about jobs that may be over already.
-    parked: Vec<(Ticket, Ask)>,
+    parked: Vec<(Ticket, JobRequest)>,
 }
 
 impl Past {
@@ -109,7 +109,7 @@
     }
 
     /// Takes in that there are no more rows; returns the requests that waited for that.
-    fn complete(&mut self) -> Vec<(Ticket, Ask)> {
+    fn complete(&mut self) -> Vec<(Ticket, JobRequest)> {
         self.whole = true;
         self.removed = HashSet::new();
         self.take_parked()
@@ -121,7 +121,7 @@
     }
 
     /// Returns the requests that wait, which wait no more.
-    pub fn take_parked(&mut self) -> Vec<(Ticket, Ask)> {
+    pub fn take_parked(&mut self) -> Vec<(Ticket, JobRequest)> {
         std::mem::take(&mut self.parked)
     }
 }
@@ -147,7 +147,7 @@
     }
 
     /// Has a request wait until it is known whether its job is over, or held by a later owner.
-    pub(super) fn park(&mut self, ticket: Ticket, ask: Ask) {
+    pub(super) fn park(&mut self, ticket: Ticket, ask: JobRequest) {
         if self.past.parked.len() >= PARKED {
             log::info!(target: "job", "job={} event=refused reason=too-many-parked", ask.subject());
             return self.reply(ticket, Answer::Refused(COME_BACK));
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -19,7 +19,7 @@
 
 /// A caller's request about jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum JobRequest {
     /// Accept and keep a job.
     Submit {
         /// Id chosen by the caller.
@@ -37,7 +37,7 @@
     Count(Name),
 }
 
-impl Ask {
+impl JobRequest {
     /// Returns the id of the job or the name of the queue that is asked about.
     pub fn subject(&self) -> &Name {
         match self {
@@ -243,7 +243,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A caller asks.
-    Ask(Ticket, Ask),
+    Request(Ticket, JobRequest),
     /// The whole directory was read.
     Directory(Vec<(Name, Entry)>),
     /// Entries of the directory changed.
@@ -272,7 +272,7 @@
     /// Returns the name of its kind.
     pub fn kind(&self) -> &'static str {
         match self {
-            Self::Ask(..) => "ask",
+            Self::Request(..) => "ask",
             Self::Directory(_) | Self::Listed(_) => "directory",
             Self::Cordoned(_) => "cordoned",
             Self::Held(..) => "held",
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -312,7 +312,7 @@
     pub fn step(&mut self, event: Event, now: Now) -> Vec<Action> {
         self.now = now;
         match event {
-            Event::Ask(ticket, ask) => self.ask(ticket, ask),
+            Event::Request(ticket, ask) => self.ask(ticket, ask),
             Event::Directory(listings) => self.directory(listings),
             Event::Listed(changes) => self.listed(changes),
             Event::Cordoned(halls) => self.cordon(halls),
--- a/src/sched/tests/cordon.rs
+++ b/src/sched/tests/cordon.rs
@@ -4,7 +4,7 @@
 
 use super::world::{World, job, lasting, queue, step};
 use crate::sched::job::Shown;
-use crate::sched::message::{Answer, Ask, How};
+use crate::sched::message::{Answer, How, JobRequest};
 use crate::sched::spec::StepSpec;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -254,7 +254,7 @@
     world.submit_to(queue(), "l", job(vec![lasting(4, 1_000)]));
     world.run(500);
     world.cordon(&["h", "h2"]);
-    world.ask(Ask::Cancel("l".into()));
+    world.ask(JobRequest::Cancel("l".into()));
     world.run(1_500);
     assert!(world.running().is_empty(), "{:?}", world.running());
 }
--- a/src/sched/tests/history.rs
+++ b/src/sched/tests/history.rs
@@ -4,7 +4,7 @@
 use crate::sched::history::{PastPage, PastRow};
 use crate::sched::job::{Job, Outcome, Shown};
 use crate::sched::journal::{JOB_TABLE, PAST_TABLE, SPEC_TABLE};
-use crate::sched::message::{Answer, Ask, Event, How};
+use crate::sched::message::{Answer, Event, How, JobRequest};
 use crate::table::encode;
 
 /// Milliseconds within which the owner before has certainly ended.
@@ -35,7 +35,7 @@
     world.run(500);
     assert_eq!(world.shown("over-007"), Some(Shown::Completed));
     let again = world.submit("over-007", job(vec![step(1, 1_000)]));
-    let cancel = world.ask(Ask::Cancel("over-008".into()));
+    let cancel = world.ask(JobRequest::Cancel("over-008".into()));
     world.run(500);
     assert_eq!(world.answers[&again], Answer::Accepted);
     assert_eq!(world.answers[&cancel], Answer::Cancelled);
@@ -51,10 +51,10 @@
     world.past_held = true;
     world.take_over(INHERITED);
     world.run(100);
-    let over = world.ask(Ask::Show("over-001".into()));
-    let nobody = world.ask(Ask::Show("nobody".into()));
-    let cancel = world.ask(Ask::Cancel("nobody".into()));
-    let count = world.ask(Ask::Count("q".into()));
+    let over = world.ask(JobRequest::Show("over-001".into()));
+    let nobody = world.ask(JobRequest::Show("nobody".into()));
+    let cancel = world.ask(JobRequest::Cancel("nobody".into()));
+    let count = world.ask(JobRequest::Count("q".into()));
     let again = world.submit("over-001", job(vec![step(1, 1_000)]));
     let new = world.submit("new", job(vec![step(1, 1_000)]));
     let twice = world.submit("new", job(vec![step(1, 1_000)]));
@@ -75,7 +75,7 @@
     }
     assert_eq!(world.shown("new"), Some(Shown::Completed));
     assert_eq!(world.starts.len(), started + 1, "only the new one runs");
-    let nobody = world.ask(Ask::Show("nobody".into()));
+    let nobody = world.ask(JobRequest::Show("nobody".into()));
     assert_eq!(world.answers[&nobody], Answer::Unknown);
 }
 
@@ -103,13 +103,13 @@
 fn an_owner_that_may_have_been_replaced_calls_no_job_unknown() {
     let mut world = World::new(2);
     world.run(1_000);
-    let at_once = world.ask(Ask::Show("nobody".into()));
+    let at_once = world.ask(JobRequest::Show("nobody".into()));
     assert_eq!(world.answers[&at_once], Answer::Unknown);
     world.store_down = true;
     world.run(600);
     let asks = [
-        world.ask(Ask::Show("taken-elsewhere".into())),
-        world.ask(Ask::Cancel("taken-elsewhere".into())),
+        world.ask(JobRequest::Show("taken-elsewhere".into())),
+        world.ask(JobRequest::Cancel("taken-elsewhere".into())),
     ];
     let told = |world: &World| asks.map(|ticket| world.answers.get(&ticket).cloned());
     assert_eq!(told(&world), [None, None]);
@@ -119,7 +119,7 @@
     }
     world.store_down = false;
     world.run(3_000);
-    let again = world.ask(Ask::Show("nobody".into()));
+    let again = world.ask(JobRequest::Show("nobody".into()));
     assert_eq!(world.answers[&again], Answer::Unknown, "confirmed again");
 }
 
@@ -131,7 +131,7 @@
     for span in (0..400).step_by(10) {
         world.store_down = true;
         world.run(span);
-        let ticket = world.ask(Ask::Show("nobody".into()));
+        let ticket = world.ask(JobRequest::Show("nobody".into()));
         let at_once = world.answers.contains_key(&ticket);
         world.store_down = false;
         world.run(1_500);
@@ -148,7 +148,7 @@
     world.store_down = true;
     let now = world.clock();
     world.owner.resign(now);
-    let ticket = world.ask(Ask::Show("taken-elsewhere".into()));
+    let ticket = world.ask(JobRequest::Show("taken-elsewhere".into()));
     world.run(300);
     assert_eq!(
         world.answers.get(&ticket),
@@ -180,7 +180,7 @@
     assert_eq!(world.running().len(), 4);
     world.workers.get_mut("w0").expect("worker").cut = true;
     world.workers.get_mut("w1").expect("worker").cut = true;
-    let ticket = world.ask(Ask::Cancel("j1".into()));
+    let ticket = world.ask(JobRequest::Cancel("j1".into()));
     world.run(300);
     assert_eq!(world.answers[&ticket], Answer::Cancelled);
     assert_eq!(world.ids(JOB_TABLE), ["j1".into()]);
@@ -206,7 +206,7 @@
     world.owner.rebound(world.bounds);
     world.run(3_000);
     assert!(world.ids(PAST_TABLE).is_empty(), "{}", world.rows.len());
-    let shown = world.ask(Ask::Show("over-001".into()));
+    let shown = world.ask(JobRequest::Show("over-001".into()));
     assert_eq!(world.answers[&shown], Answer::Unknown);
 }
 
@@ -231,7 +231,7 @@
     assert_eq!(world.shown("old"), Some(Shown::Completed));
     world.run(BOUNDS.remember + 2_000);
     world.step(page(true));
-    let shown = world.ask(Ask::Show("old".into()));
+    let shown = world.ask(JobRequest::Show("old".into()));
     assert_eq!(world.answers[&shown], Answer::Unknown);
 }
 
--- a/src/sched/tests/jobs.rs
+++ b/src/sched/tests/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::world::{Faults, World, job, step};
 use crate::sched::job::Shown;
-use crate::sched::message::{Answer, Ask, How};
+use crate::sched::message::{Answer, How, JobRequest};
 
 #[test]
 fn steps_run_in_their_order_and_the_end_is_shown_once_kept() {
@@ -84,7 +84,7 @@
     world.submit("j1", job(vec![step(4, 1_000)]));
     world.run(200);
     assert_eq!(world.running().len(), 4);
-    let ticket = world.ask(Ask::Cancel("j1".into()));
+    let ticket = world.ask(JobRequest::Cancel("j1".into()));
     world.run(300);
     assert_eq!(world.answers[&ticket], Answer::Cancelled);
     assert!(world.running().is_empty());
@@ -163,11 +163,11 @@
     // Its place was recorded, and its owner ends before the start.
     world.take_over(0);
     world.run(300);
-    let count = world.ask(Ask::Count("q".into()));
+    let count = world.ask(JobRequest::Count("q".into()));
     assert_eq!(world.answers[&count], Answer::Waiting(1));
     assert_eq!(world.shown("j1"), Some(Shown::Queued));
     world.workers.get_mut("w0").expect("worker").full = false;
     world.run(1_200);
-    let count = world.ask(Ask::Count("q".into()));
+    let count = world.ask(JobRequest::Count("q".into()));
     assert_eq!(world.answers[&count], Answer::Waiting(0));
 }
--- a/src/sched/tests/random.rs
+++ b/src/sched/tests/random.rs
@@ -3,7 +3,7 @@
 use super::world::{Faults, World, job, step};
 use crate::sched::job::Shown;
 use crate::sched::journal::{JOB_TABLE, PAST_TABLE, SPEC_TABLE};
-use crate::sched::message::{Answer, Ask, How};
+use crate::sched::message::{Answer, How, JobRequest};
 use crate::sched::spec::{JobSpec, Resources, StepSpec};
 use crate::utils::Name;
 use crate::utils::random::Random;
@@ -80,13 +80,13 @@
         return None;
     }
     match random.below(6) {
-        0 => drop(world.ask(Ask::Cancel(job.id.as_str().into()))),
+        0 => drop(world.ask(JobRequest::Cancel(job.id.as_str().into()))),
         1 | 2 => drop(world.submit(&job.id, job.spec.clone())),
         _ => {}
     }
     let look = Look {
         accepted: world.answers.get(&job.ticket) == Some(&Answer::Accepted),
-        ticket: world.ask(Ask::Show(job.id.as_str().into())),
+        ticket: world.ask(JobRequest::Show(job.id.as_str().into())),
         id: job.id.clone(),
         at: world.now,
         over: job.over,
--- a/src/sched/tests/rooms.rs
+++ b/src/sched/tests/rooms.rs
@@ -2,7 +2,7 @@
 
 use super::world::{World, job, step};
 use crate::sched::job::Shown;
-use crate::sched::message::{Answer, Ask, How};
+use crate::sched::message::{Answer, How, JobRequest};
 use crate::sched::spec::{Resources, StepSpec};
 
 /// Returns a room of so many thousandths of cores, with plenty of all else.
@@ -56,7 +56,7 @@
     world.submit("a", job(vec![step(4, 1_000)]));
     world.run(500);
     // Stops are answered, and no report comes: the runs may still be there.
-    world.ask(Ask::Cancel("a".into()));
+    world.ask(JobRequest::Cancel("a".into()));
     world.run(5);
     world.workers.get_mut("w0").expect("worker").cut = true;
     world.submit("b", job(vec![step(4, 1_000)]));
--- a/src/sched/tests/takeover.rs
+++ b/src/sched/tests/takeover.rs
@@ -2,7 +2,7 @@
 
 use super::world::{World, job, step};
 use crate::sched::job::Shown;
-use crate::sched::message::{Answer, Ask, How};
+use crate::sched::message::{Answer, How, JobRequest};
 use crate::sched::spec::StepSpec;
 
 /// Milliseconds within which the owner before has certainly ended.
@@ -107,9 +107,9 @@
 fn a_job_whose_rows_cannot_be_read_is_in_doubt_and_never_taken_anew() {
     let mut world = World::new(1);
     world.owner.distrust(vec!["torn".into()]);
-    let shown = world.ask(Ask::Show("torn".into()));
+    let shown = world.ask(JobRequest::Show("torn".into()));
     let again = world.submit("torn", job(vec![step(1, 1_000)]));
-    let cancel = world.ask(Ask::Cancel("torn".into()));
+    let cancel = world.ask(JobRequest::Cancel("torn".into()));
     world.run(500);
     for ticket in [shown, again, cancel] {
         assert_eq!(world.answers[&ticket], Answer::InDoubt);
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -17,7 +17,7 @@
 use crate::cordons::Halls;
 use crate::sched::job::{JobRow, Queue, Shown};
 use crate::sched::journal::{JOB_TABLE, Journal, OWNER_KEY, OWNER_TABLE, OwnerRow, SPEC_TABLE};
-use crate::sched::message::{Action, Answer, Ask, Entry, Event, Hold, How, Start};
+use crate::sched::message::{Action, Answer, Entry, Event, Hold, How, JobRequest, Start};
 use crate::sched::owner::{Bounds, Kept, Now, Owner};
 use crate::sched::spec::{JobSpec, Resources, StepSpec};
 use crate::sched::switches::Switches;
@@ -266,9 +266,9 @@
         }
     }
 
-    pub fn ask(&mut self, ask: Ask) -> u64 {
+    pub fn ask(&mut self, ask: JobRequest) -> u64 {
         self.ticket += 1;
-        self.step(Event::Ask(self.ticket, ask));
+        self.step(Event::Request(self.ticket, ask));
         self.ticket
     }
 
@@ -285,7 +285,7 @@
     }
 
     pub fn submit_to(&mut self, queue: Queue, id: &str, spec: JobSpec) -> u64 {
-        self.ask(Ask::Submit {
+        self.ask(JobRequest::Submit {
             id: id.into(),
             spec: Box::new(spec),
             queue,
@@ -293,7 +293,7 @@
     }
 
     pub fn shown(&mut self, id: &str) -> Option<Shown> {
-        let ticket = self.ask(Ask::Show(id.into()));
+        let ticket = self.ask(JobRequest::Show(id.into()));
         match self.answers.get(&ticket) {
             Some(Answer::State(shown)) => Some(*shown),
             _ => None,
