--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -305,12 +305,12 @@
                 let event = Event::Stopped(stop.key, stop.run, stop.life, Reply::Ok(self.word()));
                 self.at(self.now + CALL, Due::Tell(event));
             }
-            Action::Pace(pace) => {
-                let event = Event::Paced(
-                    pace.key,
-                    pace.run,
-                    pace.percent,
-                    pace.life,
+            Action::Throttle(throttle) => {
+                let event = Event::Throttled(
+                    throttle.key,
+                    throttle.run,
+                    throttle.percent,
+                    throttle.life,
                     Reply::Ok(self.word()),
                 );
                 self.at(self.now + CALL, Due::Tell(event));
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -206,10 +206,16 @@
                     Event::Stopped(stop.key, stop.run, stop.life, reply)
                 });
             }
-            Action::Pace(pace) => {
+            Action::Throttle(throttle) => {
                 tell(shared, epoch, async move |shared| {
-                    let reply = shared.workers.pace(&pace).await;
-                    Event::Paced(pace.key, pace.run, pace.percent, pace.life, reply)
+                    let reply = shared.workers.throttle(&throttle).await;
+                    Event::Throttled(
+                        throttle.key,
+                        throttle.run,
+                        throttle.percent,
+                        throttle.life,
+                        reply,
+                    )
                 });
             }
             Action::Advise(question) => {
--- a/src/options/daemon.rs
+++ b/src/options/daemon.rs
@@ -97,7 +97,7 @@
     Switches {
         preempt: reader.flag("mechanisms.preempt", true),
         rest: reader.flag("mechanisms.rest", true),
-        pace: reader.flag("mechanisms.pace", true),
+        throttle: reader.flag("mechanisms.pace", true),
         pressure: reader.flag("mechanisms.pressure", true),
         swap: reader.flag("mechanisms.swap", true),
         recall: reader.flag("mechanisms.recall", true),
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -84,9 +84,9 @@
     pub fence: u64,
 }
 
-/// A change of the pace of a run.
+/// A change of the speed of a run.
 #[derive(Serialize)]
-pub struct Pace<'a> {
+pub struct Throttle<'a> {
     pub task: &'a str,
     pub run: u32,
     pub percent: u32,
@@ -119,7 +119,7 @@
     /// When the worker started, in milliseconds since the Unix epoch.
     pub born: Option<Millis>,
     pub reason: Name,
-    /// Task, run, checkpoint, percent of work done (not of pace), and processor
+    /// Task, run, checkpoint, percent of work done (not of speed), and processor
     /// share in use or tail latency of a serving task.
     pub running: Vec<(Name, u32, Name, u32, f64)>,
     /// Number of the end, task, run, how it ended, checkpoint.
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -7,7 +7,7 @@
 
 use super::wire::{self, OrderReply, RunStart, RunStop};
 use crate::sched::message::{
-    Ended, Hold, How, Pace, Refusal, Reply, Report, Running, Start, Stop, Word,
+    Ended, Hold, How, Refusal, Reply, Report, Running, Start, Stop, Throttle, Word,
 };
 use crate::table::encode;
 use crate::utils::clock::Millis;
@@ -61,15 +61,15 @@
         reply.await.map(word)
     }
 
-    /// Changes the pace of a run; the answer holds the worker's clock and start.
-    pub async fn pace(&self, pace: &Pace) -> Reply<Word> {
-        let body = encode(&wire::Pace {
-            task: &pace.task,
-            run: pace.run,
-            percent: pace.percent,
-            fence: pace.epoch,
+    /// Changes the speed of a run; the answer holds the worker's clock and start.
+    pub async fn throttle(&self, throttle: &Throttle) -> Reply<Word> {
+        let body = encode(&wire::Throttle {
+            task: &throttle.task,
+            run: throttle.run,
+            percent: throttle.percent,
+            fence: throttle.epoch,
         });
-        let reply = self.order(pace.address, "/pace", body, &pace.life.id, 0);
+        let reply = self.order(throttle.address, "/pace", body, &throttle.life.id, 0);
         reply.await.map(word)
     }
 
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -47,8 +47,8 @@
                 continue;
             };
             if placement.use_processors(run.gauge, self.now.steady) {
-                let (pace, cpu) = (placement.pace, placement.cpu);
-                log::info!(target: "task", "task={} run={} event=pace-not-kept worker={name} percent={pace} in_use={} cpu={cpu}", run.task, run.run, run.gauge);
+                let (percent, cpu) = (placement.speed, placement.cpu);
+                log::info!(target: "task", "task={} run={} event=pace-not-kept worker={name} percent={percent} in_use={} cpu={cpu}", run.task, run.run, run.gauge);
             }
             let share = run.gauge as f64 / capacity;
             *mix.entry(placement.image.clone()).or_insert(0.0) += share;
--- a/src/sched/lives.rs
+++ b/src/sched/lives.rs
@@ -17,7 +17,7 @@
 use super::job::TaskKey;
 use super::message::Report;
 use super::owner::Owner;
-use super::paces::FULL_PACE;
+use super::paces::FULL_SPEED;
 use super::placement::{Placement, Stage};
 use super::silence::Ending;
 use super::worker::{Worker, lease_span};
@@ -98,7 +98,7 @@
 }
 
 /// Returns a run as it stands on a later life: which of the two has answered a stop or a
-/// change of pace is not known.
+/// change of speed is not known.
 fn carry(run: Placement, fate: Fate) -> Placement {
     let stage = match run.stage {
         Stage::Starting | Stage::Running(_) | Stage::Inherited if fate == Fate::Kept => run.stage,
@@ -106,9 +106,9 @@
     };
     Placement {
         stage,
-        pace: FULL_PACE,
-        pace_kept: false,
-        pacing: false,
+        speed: FULL_SPEED,
+        speed_confirmed: false,
+        throttle_pending: false,
         ..run
     }
 }
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -77,7 +77,7 @@
     pub run: u32,
     /// Last checkpoint; empty for none.
     pub saved: Name,
-    /// Percent of its work that is done; of a lasting task, its pace once it is at work.
+    /// Percent of its work that is done; of a lasting task, its speed once it is at work.
     pub progress: u32,
     /// Processor share in use, or the latency tail in milliseconds of a
     /// serving task, over the last half second.
@@ -256,8 +256,8 @@
     Started(TaskKey, u32, Life, Reply<Word>),
     /// A stop ended.
     Stopped(TaskKey, u32, Life, Reply<Word>),
-    /// A change of pace ended.
-    Paced(TaskKey, u32, u32, Life, Reply<Word>),
+    /// A change of speed ended.
+    Throttled(TaskKey, u32, u32, Life, Reply<Word>),
     /// A question about these workers to the advisor ended.
     Advised(StepKey, Vec<Name>, Reply<Advice>),
     /// A commit ended.
@@ -278,7 +278,7 @@
             Self::Held(..) => "held",
             Self::Started(..) => "started",
             Self::Stopped(..) => "stopped",
-            Self::Paced(..) => "paced",
+            Self::Throttled(..) => "paced",
             Self::Advised(..) => "advised",
             Self::Written(..) => "written",
             Self::Past(_) => "past",
@@ -348,9 +348,9 @@
     pub epoch: u64,
 }
 
-/// A change of the pace of a run.
+/// A change of the speed of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct Throttle {
     /// The task.
     pub key: TaskKey,
     /// Number of the run.
@@ -363,7 +363,7 @@
     pub task: String,
     /// Epoch of the owner.
     pub epoch: u64,
-    /// Share of its full pace at which it may work, in percent.
+    /// Share of its full speed at which it may work, in percent.
     pub percent: u32,
 }
 
@@ -378,8 +378,8 @@
     Start(Start),
     /// Stop a run.
     Stop(Stop),
-    /// Change the pace of a run.
-    Pace(Pace),
+    /// Change the speed of a run.
+    Throttle(Throttle),
     /// Ask the advisor.
     Advise(Advise),
     /// Write rows, on the condition that the owner's row has this version.
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -319,8 +319,8 @@
             Event::Held(hold, reply) => self.held(&hold, reply),
             Event::Started(key, run, life, reply) => self.started(key, run, &life, reply),
             Event::Stopped(key, run, life, reply) => self.stopped(key, run, &life, reply),
-            Event::Paced(key, run, percent, life, reply) => {
-                self.paced(key, run, percent, &life, reply);
+            Event::Throttled(key, run, percent, life, reply) => {
+                self.throttled(key, run, percent, &life, reply);
             }
             Event::Advised(step, asked, reply) => self.advice(step, asked, reply),
             Event::Written(number, written) => {
--- a/src/sched/paces.rs
+++ b/src/sched/paces.rs
@@ -6,7 +6,7 @@
 
 use super::job::TaskKey;
 use super::lives::Life;
-use super::message::{Action, Pace, Reply, Word};
+use super::message::{Action, Reply, Throttle, Word};
 use super::owner::Owner;
 use super::placement::Placement;
 use super::pressure::{ImageNumber, Pressure};
@@ -17,7 +17,7 @@
 use crate::utils::clock::Millis;
 
 /// Pace of a run that is not slowed, in percent.
-pub const FULL_PACE: u32 = 100;
+pub const FULL_SPEED: u32 = 100;
 
 /// Busy share to which fillers are slowed: just under the target, so that tails do not
 /// settle on it.
@@ -46,25 +46,25 @@
     /// Share of the worker's processors at full pace.
     share: f64,
     /// Present pace, as a fraction.
-    pace: f64,
+    speed: f64,
     /// Pace it should have, as a fraction.
-    wished: f64,
+    wanted: f64,
 }
 
 /// Lowers the wished paces until a victim of this own load would be at its
 /// goal, those that press most first.
 fn limit(pressure: &Pressure, fillers: &mut [Filler], victim: ImageNumber, own: f64, goal: f64) {
     let part = |f: &Filler| pressure.factor(victim, f.image) * f.share;
-    let wished: f64 = fillers.iter().map(|f| part(f) * f.wished).sum();
-    let mut excess = own + wished - goal;
+    let wanted: f64 = fillers.iter().map(|f| part(f) * f.wanted).sum();
+    let mut excess = own + wanted - goal;
     let mut order: Vec<(f64, &mut Filler)> = fillers.iter_mut().map(|f| (part(f), f)).collect();
     order.sort_by(|a, b| b.0.total_cmp(&a.0));
     for (part, filler) in order {
         if excess <= 0.0 || part < SLIGHT {
             return;
         }
-        let cut = (excess / part).min(filler.wished);
-        filler.wished -= cut;
+        let cut = (excess / part).min(filler.wanted);
+        filler.wanted -= cut;
         excess -= cut * part;
     }
 }
@@ -79,21 +79,21 @@
             key: *key,
             image: placement.image_number,
             share: placement.cpu as f64 / capacity,
-            pace: f64::from(placement.pace) / f64::from(FULL_PACE),
-            wished: 1.0,
+            speed: f64::from(placement.speed) / f64::from(FULL_SPEED),
+            wanted: 1.0,
         })
         .collect()
 }
 
 /// Returns true when a run reports a use of processors that its pace does not allow, or uses
 /// hardly any at a pace that would.
-fn strays(placement: &Placement, in_use: u64, now: Millis) -> bool {
-    let settled = placement.running() && now >= placement.paced + SETTLED;
-    let allowed = placement.cpu * u64::from(placement.pace) / u64::from(FULL_PACE);
+fn deviates(placement: &Placement, in_use: u64, now: Millis) -> bool {
+    let settled = placement.running() && now >= placement.throttled_at + SETTLED;
+    let allowed = placement.cpu * u64::from(placement.speed) / u64::from(FULL_SPEED);
     let slack = allowed / SLACK_PART + placement.cpu / STILL_PART;
     let more = in_use > allowed + slack;
     let stands = allowed > placement.cpu / 2 && in_use == 0;
-    settled && !placement.pacing && (more || stands)
+    settled && !placement.throttle_pending && (more || stands)
 }
 
 impl Placement {
@@ -101,9 +101,9 @@
     /// for the first time that it does not keep its pace, as after an order that came late.
     pub(super) fn use_processors(&mut self, in_use: u64, now: Millis) -> bool {
         self.in_use = Some(in_use);
-        let strays = strays(self, in_use, now);
-        let news = strays && self.pace_kept;
-        self.pace_kept &= !strays;
+        let deviates = deviates(self, in_use, now);
+        let news = deviates && self.speed_confirmed;
+        self.speed_confirmed &= !deviates;
         news
     }
 }
@@ -127,23 +127,23 @@
             let Some((victim, gauge)) = self.gauge(name, run, &mix) else {
                 continue;
             };
-            let part = |f: &Filler| self.pressure.factor(victim, f.image) * f.share * f.pace;
+            let part = |f: &Filler| self.pressure.factor(victim, f.image) * f.share * f.speed;
             let expected = gauge.own_load + fillers.iter().map(part).sum::<f64>();
             high |= gauge.busy.max(expected) > HIGH + stretch;
             if gauge
                 .spell
                 .is_some_and(|spell| spell.shown && spell.length(now) >= halt)
             {
-                fillers.iter_mut().for_each(|f| f.wished = 0.0);
+                fillers.iter_mut().for_each(|f| f.wanted = 0.0);
                 high = true;
             }
-            if !self.bounds.switches.pace {
+            if !self.bounds.switches.throttle {
                 continue;
             }
             let goal = GOAL + stretch;
             limit(&self.pressure, &mut fillers, victim, gauge.own_load, goal);
         }
-        self.order_paces(name, &fillers, high);
+        self.order_speeds(name, &fillers, high);
     }
 
     /// Halts a filler beside a task over its target without waiting for the next report.
@@ -153,15 +153,15 @@
         };
         let mut begun = fillers(worker);
         begun.retain(|f| f.key == key);
-        begun.iter_mut().for_each(|f| f.wished = 0.0);
-        self.order_paces(name, &begun, true);
+        begun.iter_mut().for_each(|f| f.wanted = 0.0);
+        self.order_speeds(name, &begun, true);
     }
 
     /// Orders the paces that fillers of a worker should have.
-    fn order_paces(&mut self, name: &Name, fillers: &[Filler], high: bool) {
+    fn order_speeds(&mut self, name: &Name, fillers: &[Filler], high: bool) {
         let epoch = self.journal.epoch();
         for filler in fillers {
-            let wished = (filler.wished * f64::from(FULL_PACE)) as u32 / STEP * STEP;
+            let wanted = (filler.wanted * f64::from(FULL_SPEED)) as u32 / STEP * STEP;
             let Some(worker) = self.workers.get_mut(name) else {
                 return;
             };
@@ -170,34 +170,34 @@
                 continue;
             };
             // A pace is lowered only while a tail is high.
-            let changes = wished > placement.pace
-                || (high && wished < placement.pace)
-                || !placement.pace_kept;
+            let changes = wanted > placement.speed
+                || (high && wanted < placement.speed)
+                || !placement.speed_confirmed;
             let Some(job) = self
                 .jobs
                 .get(&filler.key.job)
-                .filter(|_| changes && !placement.pacing)
+                .filter(|_| changes && !placement.throttle_pending)
             else {
                 continue;
             };
-            placement.pacing = true;
-            placement.paced = self.now.steady;
-            log::debug!(target: "task", "task={} run={} event=pace percent={wished}", job.task_name(filler.key), placement.run);
+            placement.throttle_pending = true;
+            placement.throttled_at = self.now.steady;
+            log::debug!(target: "task", "task={} run={} event=pace percent={wanted}", job.task_name(filler.key), placement.run);
             metrics::get().paces.inc();
-            self.actions.push(Action::Pace(Pace {
+            self.actions.push(Action::Throttle(Throttle {
                 key: filler.key,
                 run: placement.run,
                 life,
                 address,
                 task: job.task_name(filler.key),
                 epoch,
-                percent: wished,
+                percent: wanted,
             }));
         }
     }
 
     /// Takes in how a change of pace went.
-    pub(super) fn paced(
+    pub(super) fn throttled(
         &mut self,
         key: TaskKey,
         run: u32,
@@ -210,18 +210,18 @@
         let Some(placement) = self.run_mut(name, key, run) else {
             return;
         };
-        placement.pacing = false;
+        placement.throttle_pending = false;
         if !answers {
             return;
         }
         match reply {
             Reply::Ok(_) => {
-                placement.pace = percent;
-                placement.pace_kept = true;
+                placement.speed = percent;
+                placement.speed_confirmed = true;
             }
             reply => {
                 // It may be carried out, now or seconds later.
-                placement.pace_kept = false;
+                placement.speed_confirmed = false;
                 metrics::get().paces_missed.inc();
                 log::info!(target: "task", "task={} run={run} event=pace-missed percent={percent} worker={name} reply={reply:?}", self.task_name(key));
                 // The next report asks for it again; a halt does not wait for that.
--- a/src/sched/placement.rs
+++ b/src/sched/placement.rs
@@ -52,17 +52,16 @@
     pub image_number: ImageNumber,
     /// Latency that a serving task must stay under, in milliseconds.
     pub target: Millis,
-    /// Processor share at full pace.
+    /// Processor share at full speed.
     pub cpu: u64,
-    /// Pace last ordered, in percent.
-    pub pace: u32,
-    /// True while the run is believed to keep that pace: no order is without an answer, and
-    /// no report shows another.
-    pub pace_kept: bool,
-    /// When that was ordered; when it was placed if it never was.
-    pub paced: Millis,
-    /// True while a change of the pace has no answer.
-    pub pacing: bool,
+    /// Speed last ordered, in percent.
+    pub speed: u32,
+    /// True while every order on the speed was answered and no report contradicts the speed.
+    pub speed_confirmed: bool,
+    /// When a speed was last ordered; when the run was placed if none was.
+    pub throttled_at: Millis,
+    /// True while a change of the speed has no answer.
+    pub throttle_pending: bool,
     /// When it was placed.
     pub since: Millis,
     /// When its worker first told that it runs.
--- a/src/sched/placing.rs
+++ b/src/sched/placing.rs
@@ -7,7 +7,7 @@
 use super::job::{Phase, StepKey, TaskKey};
 use super::journal::After;
 use super::owner::Owner;
-use super::paces::FULL_PACE;
+use super::paces::FULL_SPEED;
 use super::placement::{Placement, Stage};
 use super::preempt::Search;
 use super::spec::{Resources, StepSpec};
@@ -427,11 +427,11 @@
             image_number,
             target: step.target,
             cpu: step.resources.cpu,
-            pace: FULL_PACE,
+            speed: FULL_SPEED,
             // The owner before may have ordered another.
-            pace_kept: stage != Stage::Inherited,
-            paced: self.now.steady,
-            pacing: false,
+            speed_confirmed: stage != Stage::Inherited,
+            throttled_at: self.now.steady,
+            throttle_pending: false,
             at_work: false,
             gauge: None,
             in_use: None,
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -7,7 +7,7 @@
 use super::lives::{Standing, standing};
 use super::message::{Action, Hold, Refusal, Reply, Report, Running};
 use super::owner::Owner;
-use super::paces::FULL_PACE;
+use super::paces::FULL_SPEED;
 use super::placement::{Placement, Stage};
 use super::silence::Ending;
 use super::worker::Contact;
@@ -254,7 +254,7 @@
         };
         let inherited = placement.stage == Stage::Inherited;
         placement.confirm(now);
-        placement.at_work = run.progress == FULL_PACE;
+        placement.at_work = run.progress == FULL_SPEED;
         self.begun(key);
         let Some(job) = self.jobs.get(&key.job) else {
             return true;
--- a/src/sched/spells.rs
+++ b/src/sched/spells.rs
@@ -126,8 +126,8 @@
         let fillers = worker.placements.iter().filter(|(_, p)| p.best_effort);
         let text = |(key, p): (&TaskKey, &Placement)| {
             let used = p.in_use.map_or("?".into(), |used| used.to_string());
-            let age = self.now.steady - p.paced;
-            let pending = match (p.pacing, p.pace_kept) {
+            let age = self.now.steady - p.throttled_at;
+            let pending = match (p.throttle_pending, p.speed_confirmed) {
                 (true, _) => "+",
                 (false, true) => "",
                 (false, false) => "?",
@@ -136,7 +136,7 @@
                 "{}:{}:{}{pending}@{age}:{used}/{}",
                 self.task_name(*key),
                 p.stage.word(),
-                p.pace,
+                p.speed,
                 p.cpu
             )
         };
--- a/src/sched/switches.rs
+++ b/src/sched/switches.rs
@@ -8,7 +8,7 @@
     /// Workers rest after several failed runs, and count as worse before.
     pub rest: bool,
     /// Fillers are slowed before serving tasks pass their targets.
-    pub pace: bool,
+    pub throttle: bool,
     /// Fillers and serving tasks are placed by learned pressure.
     pub pressure: bool,
     /// Serving tasks swap places while fillers wait.
@@ -22,7 +22,7 @@
     pub const ON: Self = Self {
         preempt: true,
         rest: true,
-        pace: true,
+        throttle: true,
         pressure: true,
         swap: true,
         recall: true,
--- a/src/sched/tests/overload.rs
+++ b/src/sched/tests/overload.rs
@@ -68,13 +68,13 @@
         progress: 100,
         gauge: tail,
     };
-    world.paces.clear();
+    world.ordered_speeds.clear();
     for _ in 0..8 {
         let run = world.owner.listed_run(&run);
         world.owner.relieve(&"w0".into(), &[run]);
         world.run(200);
     }
-    world.paces.iter().copied().min().unwrap_or(100)
+    world.ordered_speeds.iter().copied().min().unwrap_or(100)
 }
 
 #[test]
--- a/src/sched/tests/paces.rs
+++ b/src/sched/tests/paces.rs
@@ -99,7 +99,7 @@
                 swing,
                 ..PRESSING
             });
-            world.faults.paces_lost = lost;
+            world.faults.throttles_lost = lost;
             world.script = |_, _| (1_000_000, How::Done);
             run_beside_stream(&mut world);
             let over = world.longest_over;
@@ -145,17 +145,17 @@
     let mut world = shared_world(PRESSING);
     world.script = |_, _| (1_000_000, How::Done);
     // The first orders are carried out seconds later, after those that followed them.
-    world.faults.paces_late = (8, 5_000);
+    world.faults.throttles_late = (8, 5_000);
     world.submit("serving", job(vec![serving(2)]));
     world.run(3_000);
     world.submit("stream", job(vec![fillers(4)]));
     world.run(4_000);
     world.sharing.own = 0.2;
     world.run(8_000);
-    let paces = world.paces_of("stream");
-    assert_eq!(paces, [100; 4], "nothing keeps them from full pace");
+    let speeds = world.speeds_of("stream");
+    assert_eq!(speeds, [100; 4], "nothing keeps them from full speed");
     world.sharing.own = 0.78;
-    world.faults.paces_late = (4, 3_000);
+    world.faults.throttles_late = (4, 3_000);
     world.run(25_000);
     assert!(world.longest_over < LONGEST, "{} ms", world.longest_over);
 }
@@ -169,7 +169,7 @@
     world.submit("stream", job(vec![fillers(4)]));
     world.sharing.own = 0.79;
     world.run(6_000);
-    assert!(world.paces_of("stream").contains(&0));
+    assert!(world.speeds_of("stream").contains(&0));
     // The tails fall while nobody hears of it.
     let cut = |world: &mut World, cut| {
         world.workers.get_mut("w0").expect("worker").cut = cut;
@@ -180,7 +180,7 @@
     cut(&mut world, false);
     world.take_over(14_500);
     world.run(6_000);
-    assert_eq!(world.paces_of("stream"), [100; 4]);
+    assert_eq!(world.speeds_of("stream"), [100; 4]);
 }
 
 /// Has a serving task report these tails, one each 300 ms; its target is 100 ms.
@@ -209,7 +209,7 @@
     world.submit("filler", job(vec![fillers(1)]));
     world.run(2_500);
     world.workers.get_mut("w0").expect("worker").cut = true;
-    world.paces.clear();
+    world.ordered_speeds.clear();
     world
 }
 
@@ -244,7 +244,7 @@
         workers: 200 + random.below(800),
     });
     world.seed(seed);
-    world.faults.paces_lost = random.below(9) as u32;
+    world.faults.throttles_lost = random.below(9) as u32;
     if random.chance(0.5) {
         world.script = |_, _| (1_000_000, How::Done);
     }
--- a/src/sched/tests/pressure.rs
+++ b/src/sched/tests/pressure.rs
@@ -79,5 +79,9 @@
         world.owner.relieve(&name, &[run]);
         world.run(400);
     }
-    assert!(world.paces.contains(&0), "{:?}", world.paces);
+    assert!(
+        world.ordered_speeds.contains(&0),
+        "{:?}",
+        world.ordered_speeds
+    );
 }
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -71,8 +71,8 @@
     pub excesses: Vec<String>,
     /// Starts that were turned away as unfit.
     pub unfit_starts: u32,
-    /// Paces that were ordered, in percent.
-    pub paces: Vec<u32>,
+    /// Speeds that were ordered, in percent.
+    pub ordered_speeds: Vec<u32>,
     /// How tasks press on each other.
     pub sharing: Sharing,
     /// The longest that a serving task was over its target by what fills beside it.
@@ -208,7 +208,7 @@
             doubles: Vec::new(),
             excesses: Vec::new(),
             unfit_starts: 0,
-            paces: Vec::new(),
+            ordered_speeds: Vec::new(),
             sharing: Sharing::default(),
             longest_over: 0,
             noted: BTreeSet::new(),
@@ -413,9 +413,9 @@
                     self.answer_advice(question);
                     continue;
                 }
-                Action::Pace(pace) => {
-                    self.paces.push(pace.percent);
-                    Call::Pace(pace)
+                Action::Throttle(throttle) => {
+                    self.ordered_speeds.push(throttle.percent);
+                    Call::Throttle(throttle)
                 }
                 Action::Commit {
                     number,
--- a/src/sched/tests/world/calls.rs
+++ b/src/sched/tests/world/calls.rs
@@ -7,7 +7,7 @@
 use crate::sched::history::PastPage;
 use crate::sched::journal::{OWNER_KEY, OWNER_TABLE, PAST_TABLE};
 use crate::sched::message::{
-    Advice, Advise, Event, Hold, Pace, Refusal, Reply, Start, Stop, Write, Written,
+    Advice, Advise, Event, Hold, Refusal, Reply, Start, Stop, Throttle, Write, Written,
 };
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -38,10 +38,10 @@
     pub late: f64,
     /// A commit is done and its answer is lost.
     pub commit: f64,
-    /// So many of the next changes of pace are lost.
-    pub paces_lost: u32,
+    /// So many of the next changes of speed are lost.
+    pub throttles_lost: u32,
     /// So many of those after them are carried out this much later, without an answer.
-    pub paces_late: (u32, Millis),
+    pub throttles_late: (u32, Millis),
 }
 
 /// A call on its way.
@@ -49,7 +49,7 @@
     Hold(Hold),
     Start(Start),
     Stop(Stop),
-    Pace(Pace),
+    Throttle(Throttle),
     Commit(u64, u64, Vec<Write>),
 }
 
@@ -67,16 +67,16 @@
 
 impl World {
     pub(super) fn send(&mut self, call: Call) {
-        if matches!(call, Call::Pace(_)) && self.faults.paces_lost > 0 {
-            self.faults.paces_lost -= 1;
+        if matches!(call, Call::Throttle(_)) && self.faults.throttles_lost > 0 {
+            self.faults.throttles_lost -= 1;
             let event = unanswered(&call);
             return self.later(GIVEN_UP, Due::Event(self.epoch, event));
         }
-        if matches!(call, Call::Pace(_)) && self.faults.paces_late.0 > 0 {
-            self.faults.paces_late.0 -= 1;
+        if matches!(call, Call::Throttle(_)) && self.faults.throttles_late.0 > 0 {
+            self.faults.throttles_late.0 -= 1;
             let event = unanswered(&call);
             let life = self.life_of(&call);
-            self.later(self.faults.paces_late.1, Due::Kept(call, life));
+            self.later(self.faults.throttles_late.1, Due::Kept(call, life));
             return self.later(GIVEN_UP, Due::Event(self.epoch, event));
         }
         let order = !matches!(call, Call::Commit(..));
@@ -104,7 +104,7 @@
             Call::Hold(hold) => &hold.life.id,
             Call::Start(start) => &start.life.id,
             Call::Stop(stop) => &stop.life.id,
-            Call::Pace(pace) => &pace.life.id,
+            Call::Throttle(throttle) => &throttle.life.id,
             Call::Commit(..) => return None,
         };
         self.workers.get(id).map(|w| w.started)
@@ -144,9 +144,11 @@
                 let reply = self.reach(&start.life.id, start.address, |world| world.start(&start));
                 Event::Started(start.key, start.run, start.life, reply)
             }
-            Call::Pace(pace) => {
-                let reply = self.reach(&pace.life.id, pace.address, |world| world.pace(&pace));
-                Self::paced(pace, reply)
+            Call::Throttle(throttle) => {
+                let reply = self.reach(&throttle.life.id, throttle.address, |world| {
+                    world.throttle(&throttle)
+                });
+                Self::throttled(throttle, reply)
             }
             Call::Stop(stop) => {
                 let reply = self.reach(&stop.life.id, stop.address, |world| world.stop(&stop));
@@ -281,7 +283,7 @@
         Event::Held(_, Reply::Lost)
             | Event::Started(_, _, _, Reply::Lost)
             | Event::Stopped(_, _, _, Reply::Lost)
-            | Event::Paced(_, _, _, _, Reply::Lost)
+            | Event::Throttled(_, _, _, _, Reply::Lost)
             | Event::Written(_, Written::Unknown)
     )
 }
@@ -291,7 +293,7 @@
         Call::Hold(hold) => Event::Held(hold.clone(), Reply::Lost),
         Call::Start(s) => Event::Started(s.key, s.run, s.life.clone(), Reply::Lost),
         Call::Stop(s) => Event::Stopped(s.key, s.run, s.life.clone(), Reply::Lost),
-        Call::Pace(pace) => World::paced(pace.clone(), Reply::Lost),
+        Call::Throttle(throttle) => World::throttled(throttle.clone(), Reply::Lost),
         Call::Commit(number, _, _) => Event::Written(*number, Written::Unknown),
     }
 }
--- a/src/sched/tests/world/sharing.rs
+++ b/src/sched/tests/world/sharing.rs
@@ -1,18 +1,18 @@
 //! How tasks on one fake worker share it: fillers raise the tails of serving tasks, change
-//! their pace some time after an order, and are measured over half a second.
+//! their speed some time after an order, and are measured over half a second.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{FakeWorker, World};
 use crate::sched::job::parse_task;
 use crate::sched::journal::SPEC_TABLE;
-use crate::sched::message::{Event, Pace, Refusal, Reply, Word};
+use crate::sched::message::{Event, Refusal, Reply, Throttle, Word};
 use crate::sched::spec::{JobSpec, StepSpec};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds from an order until the pace changes.
-const PACE_LAG: Millis = 100;
+/// Milliseconds from an order until the speed changes.
+const THROTTLE_LAG: Millis = 100;
 /// Milliseconds over which gauges are measured.
 const SPAN: Millis = 500;
 /// Milliseconds between two measurements.
@@ -63,9 +63,9 @@
 #[derive(Clone, Debug)]
 pub struct Shared {
     step: StepSpec,
-    /// Pace in percent.
-    pub pace: u32,
-    /// Changes of the pace to come.
+    /// Speed in percent.
+    pub speed: u32,
+    /// Changes of the speed to come.
     changes: VecDeque<(Millis, u32)>,
     /// Measurements of the last half second: tail, or processors in use.
     measured: VecDeque<(Millis, f64)>,
@@ -77,7 +77,7 @@
     fn new(step: StepSpec) -> Self {
         Self {
             step,
-            pace: 100,
+            speed: 100,
             changes: VecDeque::new(),
             measured: VecDeque::new(),
             over: None,
@@ -85,8 +85,8 @@
     }
 
     fn advance(&mut self, now: Millis) {
-        while let Some((_, pace)) = self.changes.pop_front_if(|(at, _)| *at <= now) {
-            self.pace = pace;
+        while let Some((_, speed)) = self.changes.pop_front_if(|(at, _)| *at <= now) {
+            self.speed = speed;
         }
         while self.measured.front().is_some_and(|(at, _)| at + SPAN < now) {
             self.measured.pop_front();
@@ -118,7 +118,7 @@
         let running = &self.running;
         self.shared.retain(|task, _| running.contains_key(task));
         self.shared.values_mut().for_each(|s| s.advance(now));
-        let used = |s: &Shared| s.step.resources.cpu as f64 * f64::from(s.pace) / 100.0;
+        let used = |s: &Shared| s.step.resources.cpu as f64 * f64::from(s.speed) / 100.0;
         let fillers = self.shared.values().filter(|s| s.step.best_effort);
         let share: f64 = fillers.map(|s| used(s) / capacity).sum();
         let pressed = sharing.factor_at(now) * share;
@@ -153,11 +153,11 @@
         }
     }
 
-    /// Returns the paces at which tasks of a job run.
-    pub fn paces_of(&self, id: &str) -> Vec<u32> {
+    /// Returns the speeds at which tasks of a job run.
+    pub fn speeds_of(&self, id: &str) -> Vec<u32> {
         let all = self.workers.values().flat_map(|w| &w.shared);
         let own = all.filter(|(task, _)| task.starts_with(id));
-        own.map(|(_, shared)| shared.pace).collect()
+        own.map(|(_, shared)| shared.speed).collect()
     }
 
     fn step_of(&self, task: &str) -> Option<StepSpec> {
@@ -179,28 +179,36 @@
         }
     }
 
-    /// A change of pace reaches its worker.
-    pub(super) fn pace(&mut self, pace: &Pace) -> Reply<Word> {
+    /// A change of speed reaches its worker.
+    pub(super) fn throttle(&mut self, throttle: &Throttle) -> Reply<Word> {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&pace.life.id) else {
+        let Some(worker) = self.workers.get_mut(&throttle.life.id) else {
             return Reply::Lost;
         };
-        if pace.epoch < worker.epoch {
+        if throttle.epoch < worker.epoch {
             return Reply::Refused(Refusal::Fenced);
         }
-        worker.epoch = pace.epoch;
+        worker.epoch = throttle.epoch;
         let word = worker.word(now);
-        let run = worker.running.get(&pace.task).map(|r| r.run);
-        let shared = worker.shared.get_mut(&pace.task);
-        let Some(shared) = shared.filter(|_| run == Some(pace.run)) else {
+        let run = worker.running.get(&throttle.task).map(|r| r.run);
+        let shared = worker.shared.get_mut(&throttle.task);
+        let Some(shared) = shared.filter(|_| run == Some(throttle.run)) else {
             return Reply::Ok(word);
         };
-        shared.changes.push_back((now + PACE_LAG, pace.percent));
+        shared
+            .changes
+            .push_back((now + THROTTLE_LAG, throttle.percent));
         Reply::Ok(word)
     }
 
-    /// Returns what the owner is told of a change of pace.
-    pub(super) fn paced(pace: Pace, reply: Reply<Word>) -> Event {
-        Event::Paced(pace.key, pace.run, pace.percent, pace.life, reply)
+    /// Returns what the owner is told of a change of speed.
+    pub(super) fn throttled(throttle: Throttle, reply: Reply<Word>) -> Event {
+        Event::Throttled(
+            throttle.key,
+            throttle.run,
+            throttle.percent,
+            throttle.life,
+            reply,
+        )
     }
 }
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -6,7 +6,7 @@
 use super::beside::Beside;
 use super::job::TaskKey;
 use super::lives::{Boot, Life};
-use super::paces::FULL_PACE;
+use super::paces::FULL_SPEED;
 use super::placement::{Gauge, Placement};
 use super::preempt::Promise;
 use super::recent::Recent;
@@ -285,8 +285,8 @@
 
     /// Returns the share of the worker's processors that a run there uses.
     pub fn share(&self, run: &Placement) -> f64 {
-        let paced = || run.cpu * u64::from(run.pace) / u64::from(FULL_PACE);
-        run.in_use.unwrap_or_else(paced) as f64 / self.listing.capacity.cpu.max(1) as f64
+        let allowed = || run.cpu * u64::from(run.speed) / u64::from(FULL_SPEED);
+        run.in_use.unwrap_or_else(allowed) as f64 / self.listing.capacity.cpu.max(1) as f64
     }
 
     /// Takes in how busy a serving task was.
