--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-use willowpoint::sched::history::PastPage;
+use willowpoint::sched::history::HistoryPage;
 use willowpoint::sched::job::{Queue, TaskKey};
 use willowpoint::sched::journal::{Journal, OwnerRow};
 use willowpoint::sched::lives::Life;
@@ -180,11 +180,11 @@
         let entries = listings.into_iter();
         let entries = entries.map(|l| (l.id.clone(), Entry::Listed(l)));
         world.at(1, Due::Tell(Event::Directory(entries.collect())));
-        let past = PastPage {
+        let page = HistoryPage {
             last: true,
-            ..PastPage::default()
+            ..HistoryPage::default()
         };
-        world.at(1, Due::Tell(Event::Past(past)));
+        world.at(1, Due::Tell(Event::History(page)));
         world.at(1, Due::Tell(Event::Cordoned(Default::default())));
         for place in 0..load.lasting {
             let spec = lasting(place, load.width);
--- a/src/daemon/history.rs
+++ b/src/daemon/history.rs
@@ -8,9 +8,9 @@
 use super::message::Message;
 use super::owner_row::READ;
 use super::shared::{PART, Shared};
-use crate::sched::history::{PastPage, PastRow};
+use crate::sched::history::{HistoryPage, HistoryRow};
 use crate::sched::job::Outcome;
-use crate::sched::journal::PAST_TABLE;
+use crate::sched::journal::HISTORY_TABLE;
 use crate::sched::message::Event;
 use crate::table::{Row, decode};
 
@@ -24,11 +24,11 @@
 pub async fn read(shared: Rc<Shared>, epoch: u64) {
     let mut from = String::new();
     while shared.leading() == Some(epoch) {
-        let read = shared.store.page(PAST_TABLE, PART, &from, PAGE, READ);
+        let read = shared.store.page(HISTORY_TABLE, PART, &from, PAGE, READ);
         match read.await {
             Ok(read) => {
                 let page = page(&read.rows, read.next.is_none());
-                shared.lead(Message::Event(epoch, Event::Past(page)));
+                shared.lead(Message::Event(epoch, Event::History(page)));
                 let Some(next) = read.next else {
                     return;
                 };
@@ -43,14 +43,14 @@
 }
 
 /// Returns the jobs out of their rows; `last` when no page follows.
-pub(super) fn page(rows: &[Row], last: bool) -> PastPage {
-    let mut page = PastPage {
+pub(super) fn page(rows: &[Row], last: bool) -> HistoryPage {
+    let mut page = HistoryPage {
         last,
-        ..PastPage::default()
+        ..HistoryPage::default()
     };
     for row in rows {
         let id = row.key.clone();
-        let past: Option<PastRow> = decode(row);
+        let past: Option<HistoryRow> = decode(row);
         match past.filter(|p| p.outcome != Outcome::Open) {
             Some(past) => page.rows.push((id, past)),
             None => {
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -9,7 +9,7 @@
 use crate::metrics::{self, End};
 use crate::options::daemon;
 use crate::sched::failover::Life;
-use crate::sched::history::PastRow;
+use crate::sched::history::HistoryRow;
 use crate::sched::job::{Job, Outcome, Queue};
 use crate::sched::journal::{Journal, OwnerRow};
 use crate::sched::owner::{Bounds, Kept, Now, Owner};
@@ -149,7 +149,7 @@
 
 #[test]
 fn a_job_that_is_over_and_whose_row_cannot_be_read_is_told_apart() {
-    let past = |outcome| PastRow { outcome, ended: 5 };
+    let past = |outcome| HistoryRow { outcome, ended: 5 };
     let rows = [
         row("good", encode(&past(Outcome::Failed))),
         row("open", encode(&past(Outcome::Open))),
--- a/src/sched/asks.rs
+++ b/src/sched/asks.rs
@@ -29,7 +29,7 @@
             let number = *number;
             return self.answer_kept(ticket, number, Answer::Accepted);
         }
-        if self.past.get(&id).is_some() {
+        if self.history.get(&id).is_some() {
             return self.reply(ticket, Answer::Accepted);
         }
         let findings = spec.findings();
@@ -42,7 +42,7 @@
             log::info!(target: "job", "job={id} event=refused reason={obstacle:?} workers={workers}");
             return self.reply(ticket, Answer::Refused(obstacle.come_back()));
         }
-        if !self.past.whole() {
+        if !self.history.whole() {
             return self.park(ticket, JobRequest::Submit { id, spec, queue });
         }
         let steps = spec.steps.len();
@@ -65,7 +65,7 @@
 
     fn cancel(&mut self, ticket: Ticket, id: &Name) {
         let Some(number) = self.ids.get(id).copied() else {
-            return match self.past.get(id) {
+            return match self.history.get(id) {
                 Some(_) => self.reply(ticket, Answer::Cancelled),
                 None => self.not_found(ticket, JobRequest::Cancel(id.clone())),
             };
@@ -82,8 +82,8 @@
             Some(job) if job.stored => Answer::State(job.shown()),
             // Its acceptance is on its way to the store, so neither word is true yet.
             Some(_) => Answer::InDoubt,
-            None => match self.past.get(id) {
-                Some(past) => Answer::State(past.outcome.shown(true)),
+            None => match self.history.get(id) {
+                Some(row) => Answer::State(row.outcome.shown(true)),
                 None => return self.not_found(ticket, JobRequest::Show(id.clone())),
             },
         };
@@ -93,7 +93,7 @@
     /// Answers about a job that is not known, once all that are over were read: it may be
     /// one of them. A later owner may hold it as well, so that there must be none.
     fn not_found(&mut self, ticket: Ticket, ask: JobRequest) {
-        match self.past.whole() && self.alone() {
+        match self.history.whole() && self.alone() {
             true => self.reply(ticket, Answer::Unknown),
             false => self.park(ticket, ask),
         }
@@ -107,8 +107,8 @@
 
     /// Asks those that wait once more, where it has just been confirmed that this is the owner.
     pub(super) fn answer_parked(&mut self) {
-        if self.past.waits() && self.past.whole() && self.alone() {
-            for (ticket, ask) in self.past.take_parked() {
+        if self.history.waits() && self.history.whole() && self.alone() {
+            for (ticket, ask) in self.history.take_parked() {
                 self.ask(ticket, ask);
             }
         }
--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -4,10 +4,10 @@
 
 use serde::Serialize;
 
-use super::history::PastRow;
+use super::history::HistoryRow;
 use super::job::{Job, Outcome, TaskKey};
 use super::journal::{
-    After, BELIEF_TABLE, JOB_TABLE, PAST_TABLE, PRESSURE_KEY, SPEC_TABLE, Settled, spare,
+    After, BELIEF_TABLE, HISTORY_TABLE, JOB_TABLE, PRESSURE_KEY, SPEC_TABLE, Settled, spare,
 };
 use super::message::{Action, Write, Written};
 use super::owner::Owner;
@@ -50,8 +50,8 @@
     /// they go with commits that are sent anyway.
     fn expired(&mut self, most: usize) -> Vec<Write> {
         let end = self.now.wall.saturating_sub(self.bounds.remember);
-        let old = self.past.expire(end, most).iter();
-        let write = |id| remove(PAST_TABLE, id);
+        let old = self.history.expire(end, most).iter();
+        let write = |id| remove(HISTORY_TABLE, id);
         old.map(write).collect()
     }
 
@@ -72,12 +72,12 @@
     /// Takes in how a commit went.
     pub(super) fn written(&mut self, number: u64, written: Written) {
         match self.journal.settle(number, written, self.now.steady) {
-            Settled::Again => self.past.settle(false),
+            Settled::Again => self.history.settle(false),
             Settled::Deposed => {
                 self.deposed = true;
             }
             Settled::Kept(jobs) => {
-                self.past.settle(true);
+                self.history.settle(true);
                 for (number, afters) in jobs {
                     self.kept(number, afters);
                 }
@@ -144,12 +144,12 @@
 fn rows(job: &mut Job) -> Vec<Write> {
     job.sent = job.row.outcome;
     if job.archived {
-        let past = PastRow {
+        let finished = HistoryRow {
             outcome: job.row.outcome,
             ended: job.row.ended,
         };
         return vec![
-            put(PAST_TABLE, &job.id, &past),
+            put(HISTORY_TABLE, &job.id, &finished),
             remove(JOB_TABLE, &job.id),
             remove(SPEC_TABLE, &job.id),
         ];
--- a/src/sched/history.rs
+++ b/src/sched/history.rs
@@ -28,7 +28,7 @@
 
 /// The row of a job that is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PastRow {
+pub struct HistoryRow {
     /// How it ended.
     #[serde(rename = "o")]
     pub outcome: Outcome,
@@ -39,9 +39,9 @@
 
 /// A page of the jobs that are over, as read from the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PastPage {
+pub struct HistoryPage {
     /// Jobs by id.
-    pub rows: Vec<(Name, PastRow)>,
+    pub rows: Vec<(Name, HistoryRow)>,
     /// Ids of those whose rows can't be read.
     pub unreadable: Vec<Name>,
     /// True when no page follows.
@@ -50,8 +50,8 @@
 
 /// The jobs that are over, as far as they are known.
 #[derive(Default)]
-pub(super) struct Past {
-    known: HashMap<Name, PastRow>,
+pub(super) struct History {
+    known: HashMap<Name, HistoryRow>,
     /// The same jobs by their end, so that a look for expired ones is cheap.
     order: BTreeSet<(Millis, Name)>,
     /// Those whose rows the commit on its way removes.
@@ -64,9 +64,9 @@
     parked: Vec<(Ticket, JobRequest)>,
 }
 
-impl Past {
+impl History {
     /// Returns a job that is over.
-    pub fn get(&self, id: &str) -> Option<&PastRow> {
+    pub fn get(&self, id: &str) -> Option<&HistoryRow> {
         self.known.get(id)
     }
 
@@ -76,13 +76,13 @@
     }
 
     /// Adds a job whose row is in the store.
-    pub fn add(&mut self, id: Name, row: PastRow) {
+    pub fn add(&mut self, id: Name, row: HistoryRow) {
         self.order.insert((row.ended, id.clone()));
         self.known.insert(id, row);
     }
 
     /// Adds a job out of a page that may be older than what this owner wrote.
-    fn learn(&mut self, id: Name, row: PastRow) {
+    fn merge(&mut self, id: Name, row: HistoryRow) {
         if !self.removed.contains(&id) && !self.known.contains_key(&id) {
             self.add(id, row);
         }
@@ -128,18 +128,18 @@
 
 impl Owner {
     /// Takes in a page of the jobs that are over.
-    pub(super) fn learn_past(&mut self, page: PastPage) {
+    pub(super) fn merge_history(&mut self, page: HistoryPage) {
         self.unreadable.extend(page.unreadable);
         for (id, row) in page.rows {
             if !self.ids.contains_key(&id) {
-                self.past.learn(id, row);
+                self.history.merge(id, row);
             }
         }
-        if !page.last || self.past.whole {
+        if !page.last || self.history.whole {
             return;
         }
-        let parked = self.past.complete();
-        let (jobs, waited) = (self.past.known.len(), parked.len());
+        let parked = self.history.complete();
+        let (jobs, waited) = (self.history.known.len(), parked.len());
         log::info!(target: "owner", "event=past-known jobs={jobs} parked={waited}");
         for (ticket, ask) in parked {
             self.ask(ticket, ask);
@@ -148,23 +148,23 @@
 
     /// Has a request wait until it is known whether its job is over, or held by a later owner.
     pub(super) fn park(&mut self, ticket: Ticket, ask: JobRequest) {
-        if self.past.parked.len() >= PARKED {
+        if self.history.parked.len() >= PARKED {
             log::info!(target: "job", "job={} event=refused reason=too-many-parked", ask.subject());
             return self.reply(ticket, Answer::Refused(COME_BACK));
         }
         log::info!(target: "job", "job={} event=parked", ask.subject());
-        self.past.parked.push((ticket, ask));
+        self.history.parked.push((ticket, ask));
     }
 
     /// Refuses the requests that wait, as new jobs are, while the store is away.
     pub(super) fn refuse_parked(&mut self) {
-        if self.past.parked.is_empty() {
+        if self.history.parked.is_empty() {
             return;
         }
         let Some(silent) = self.store_away() else {
             return;
         };
-        let parked = self.past.take_parked();
+        let parked = self.history.take_parked();
         log::info!(target: "job", "event=refused reason=store-away parked={} silent_ms={silent}", parked.len());
         for (ticket, _) in parked {
             self.reply(ticket, Answer::Refused(COME_BACK));
@@ -179,15 +179,15 @@
         self.ids.remove(&job.id);
         self.failed_on.retain(|key, _| key.job != number);
         self.deferred.retain(|key, _| key.job != number);
-        let row = PastRow {
+        let row = HistoryRow {
             outcome: job.kept,
             ended: job.row.ended,
         };
-        self.past.add(job.id, row);
+        self.history.add(job.id, row);
     }
 
     /// Returns true when a task, by its name, is of a job that is over.
-    pub(super) fn is_past(&self, task: &str) -> bool {
-        parse_task(task).is_some_and(|(id, ..)| self.past.get(id).is_some())
+    pub(super) fn is_finished_task(&self, task: &str) -> bool {
+        parse_task(task).is_some_and(|(id, ..)| self.history.get(id).is_some())
     }
 }
--- a/src/sched/journal.rs
+++ b/src/sched/journal.rs
@@ -23,7 +23,7 @@
 /// Table of the states of jobs.
 pub const JOB_TABLE: &str = "job";
 /// Table of jobs that are over.
-pub const PAST_TABLE: &str = "past";
+pub const HISTORY_TABLE: &str = "past";
 /// Table of what owners learned.
 pub const BELIEF_TABLE: &str = "belief";
 /// Key of the factors of pressure between images.
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use super::history::PastPage;
+use super::history::HistoryPage;
 use super::job::{Queue, Shown, StepKey, TaskKey};
 use super::lives::{Boot, Life};
 use super::spec::JobSpec;
@@ -263,7 +263,7 @@
     /// A commit ended.
     Written(u64, Written),
     /// Jobs that are over were read.
-    Past(PastPage),
+    History(HistoryPage),
     /// Time passes.
     Tick,
 }
@@ -281,7 +281,7 @@
             Self::Throttled(..) => "paced",
             Self::Advised(..) => "advised",
             Self::Written(..) => "written",
-            Self::Past(_) => "past",
+            Self::History(_) => "past",
             Self::Tick => "tick",
         }
     }
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -6,7 +6,7 @@
 use super::agenda::Agenda;
 use super::choice::Ranking;
 use super::crashes::Provisional;
-use super::history::Past;
+use super::history::History;
 use super::job::{Job, JobRow, Outcome, Phase, StepKey, TaskKey};
 use super::journal::Journal;
 use super::late::LateStart;
@@ -83,7 +83,7 @@
     /// Starts without an answer that may still be carried out.
     pub(super) late_starts: Vec<LateStart>,
     /// Jobs that are over, of which nothing is placed any more.
-    pub(super) past: Past,
+    pub(super) history: History,
     /// Jobs whose rows in the store can't be read: what became of them is not
     /// known here, and their rows are left as they are.
     pub(super) unreadable: BTreeSet<Name>,
@@ -174,7 +174,7 @@
             journal,
             jobs: BTreeMap::new(),
             ids: HashMap::new(),
-            past: Past::default(),
+            history: History::default(),
             unreadable: BTreeSet::new(),
             ready: BTreeMap::new(),
             workers: BTreeMap::new(),
@@ -327,7 +327,7 @@
                 self.written(number, written);
                 self.answer_parked();
             }
-            Event::Past(page) => self.learn_past(page),
+            Event::History(page) => self.merge_history(page),
             Event::Tick => {}
         }
         if now.steady >= self.next_sweep {
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -232,7 +232,7 @@
     /// one that its job does not have.
     fn is_stray(&self, task: &str) -> bool {
         let known = parse_task(task).is_some_and(|(id, ..)| self.ids.contains_key(id));
-        known || self.is_past(task)
+        known || self.is_finished_task(task)
     }
 
     /// Returns what a worker holds of a task, if it is for this run.
--- a/src/sched/tests/history.rs
+++ b/src/sched/tests/history.rs
@@ -1,9 +1,9 @@
 //! Jobs that are over: kept apart, known to the next owner, and forgotten in time.
 
 use super::world::{BOUNDS, World, job, lasting, queue, step};
-use crate::sched::history::{PastPage, PastRow};
+use crate::sched::history::{HistoryPage, HistoryRow};
 use crate::sched::job::{Job, Outcome, Shown};
-use crate::sched::journal::{JOB_TABLE, PAST_TABLE, SPEC_TABLE};
+use crate::sched::journal::{HISTORY_TABLE, JOB_TABLE, SPEC_TABLE};
 use crate::sched::message::{Answer, Event, How, JobRequest};
 use crate::table::encode;
 
@@ -48,7 +48,7 @@
     let mut world = World::new(4);
     run_many(&mut world, 5);
     let started = world.starts.len();
-    world.past_held = true;
+    world.history_held = true;
     world.take_over(INHERITED);
     world.run(100);
     let over = world.ask(JobRequest::Show("over-001".into()));
@@ -64,7 +64,7 @@
         assert!(!world.answers.contains_key(&ticket), "it waits");
     }
     assert_eq!(world.starts.len(), started);
-    world.past_held = false;
+    world.history_held = false;
     world.run(1_000);
     for ticket in [again, new, twice] {
         assert_eq!(world.answers[&ticket], Answer::Accepted);
@@ -82,7 +82,7 @@
 #[test]
 fn jobs_that_wait_are_refused_when_the_store_goes_away() {
     let mut world = World::new(2);
-    world.past_held = true;
+    world.history_held = true;
     world.take_over(INHERITED);
     world.run(100);
     let ticket = world.submit("j1", job(vec![step(1, 1_000)]));
@@ -90,7 +90,7 @@
     world.run(3_000);
     assert!(matches!(world.answers[&ticket], Answer::Refused(_)));
     world.store_down = false;
-    world.past_held = false;
+    world.history_held = false;
     world.run(3_000);
     assert!(world.starts.is_empty(), "a refused job never runs");
 }
@@ -160,14 +160,14 @@
 #[test]
 fn only_so_many_jobs_wait() {
     let mut world = World::new(2);
-    world.past_held = true;
+    world.history_held = true;
     world.take_over(INHERITED);
     world.run(100);
     let submit = |n: u32| world.submit(&format!("j{n}"), job(vec![step(1, 1_000)]));
     let tickets: Vec<u64> = (0..300).map(submit).collect();
     let refused = |t: &&u64| matches!(world.answers.get(*t), Some(Answer::Refused(_)));
     assert_eq!(tickets.iter().filter(refused).count(), 100);
-    world.past_held = false;
+    world.history_held = false;
     world.run(60_000);
     assert_eq!(world.starts.len(), 200, "all that waited run");
 }
@@ -184,12 +184,12 @@
     world.run(300);
     assert_eq!(world.answers[&ticket], Answer::Cancelled);
     assert_eq!(world.ids(JOB_TABLE), ["j1".into()]);
-    assert!(world.ids(PAST_TABLE).is_empty(), "its runs go on");
+    assert!(world.ids(HISTORY_TABLE).is_empty(), "its runs go on");
     world.take_over(INHERITED);
     world.workers.values_mut().for_each(|w| w.cut = false);
     world.run(1_500);
     assert!(world.running().is_empty(), "stopped by the next owner");
-    assert_eq!(world.ids(PAST_TABLE), ["j1".into()]);
+    assert_eq!(world.ids(HISTORY_TABLE), ["j1".into()]);
     assert!(world.ids(JOB_TABLE).is_empty() && world.ids(SPEC_TABLE).is_empty());
     assert_eq!(world.shown("j1"), Some(Shown::Cancelled));
     assert_eq!(world.starts.len(), 4);
@@ -199,13 +199,13 @@
 fn rows_of_jobs_that_are_over_are_removed_in_time() {
     let mut world = World::new(4);
     run_many(&mut world, MANY);
-    assert_eq!(world.ids(PAST_TABLE).len(), MANY);
+    assert_eq!(world.ids(HISTORY_TABLE).len(), MANY);
     world.take_over(INHERITED);
     world.run(1_000);
     world.bounds.remember = 1_000;
     world.owner.rebound(world.bounds);
     world.run(3_000);
-    assert!(world.ids(PAST_TABLE).is_empty(), "{}", world.rows.len());
+    assert!(world.ids(HISTORY_TABLE).is_empty(), "{}", world.rows.len());
     let shown = world.ask(JobRequest::Show("over-001".into()));
     assert_eq!(world.answers[&shown], Answer::Unknown);
 }
@@ -213,15 +213,15 @@
 #[test]
 fn an_older_page_does_not_bring_back_what_was_removed() {
     let mut world = World::new(1);
-    world.past_held = true;
+    world.history_held = true;
     world.take_over(INHERITED);
-    let old = PastRow {
+    let old = HistoryRow {
         outcome: Outcome::Completed,
         ended: world.now,
     };
     let page = |last| {
         let (rows, unreadable) = (vec![("old".into(), old)], Vec::new());
-        Event::Past(PastPage {
+        Event::History(HistoryPage {
             rows,
             unreadable,
             last,
@@ -238,13 +238,13 @@
 #[test]
 fn a_row_that_cannot_be_read_is_in_doubt() {
     let mut world = World::new(1);
-    world.past_held = true;
+    world.history_held = true;
     world.take_over(INHERITED);
     let ticket = world.submit("torn", job(vec![step(1, 1_000)]));
-    world.step(Event::Past(PastPage {
+    world.step(Event::History(HistoryPage {
         unreadable: vec!["torn".into()],
         last: true,
-        ..PastPage::default()
+        ..HistoryPage::default()
     }));
     world.run(1_000);
     assert_eq!(world.answers[&ticket], Answer::InDoubt);
@@ -278,6 +278,6 @@
     assert_eq!(world.shown("old-7"), Some(Shown::Failed));
     world.run(2_000);
     assert!(world.ids(JOB_TABLE).is_empty() && world.ids(SPEC_TABLE).is_empty());
-    assert_eq!(world.ids(PAST_TABLE).len(), 50);
+    assert_eq!(world.ids(HISTORY_TABLE).len(), 50);
     assert_eq!(world.shown("old-7"), Some(Shown::Failed));
 }
--- a/src/sched/tests/journal.rs
+++ b/src/sched/tests/journal.rs
@@ -1,6 +1,6 @@
 //! Group commits and their doubts.
 
-use crate::sched::journal::{Journal, OwnerRow, PAST_TABLE, Settled, spare};
+use crate::sched::journal::{HISTORY_TABLE, Journal, OwnerRow, Settled, spare};
 use crate::sched::message::{Write, Written};
 use crate::table::encode;
 
@@ -114,7 +114,7 @@
 #[test]
 fn a_commit_has_no_more_entries_than_the_store_takes() {
     let write = Write {
-        table: PAST_TABLE,
+        table: HISTORY_TABLE,
         key: "j".into(),
         value: None,
     };
--- a/src/sched/tests/random.rs
+++ b/src/sched/tests/random.rs
@@ -2,7 +2,7 @@
 
 use super::world::{Faults, World, job, step};
 use crate::sched::job::Shown;
-use crate::sched::journal::{JOB_TABLE, PAST_TABLE, SPEC_TABLE};
+use crate::sched::journal::{HISTORY_TABLE, JOB_TABLE, SPEC_TABLE};
 use crate::sched::message::{Answer, How, JobRequest};
 use crate::sched::spec::{JobSpec, Resources, StepSpec};
 use crate::utils::Name;
@@ -249,7 +249,7 @@
     wrong.append(&mut world.doubles);
     wrong.extend(machines_wrong(&world));
     wrong.extend(world.running().into_iter().map(|r| format!("{r:?} runs")));
-    for table in [JOB_TABLE, SPEC_TABLE, PAST_TABLE] {
+    for table in [JOB_TABLE, SPEC_TABLE, HISTORY_TABLE] {
         let left = world.ids(table).into_iter();
         wrong.extend(left.map(|id| format!("{id} is left in {table}")));
     }
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -50,7 +50,7 @@
     /// The next owner is not told which are.
     pub cordons_held: bool,
     /// Nothing of the jobs that are over is read.
-    pub past_held: bool,
+    pub history_held: bool,
     pub bounds: Bounds,
     /// How long each run takes and how it ends, by task name and run.
     pub script: fn(&str, u32) -> (Millis, How),
@@ -197,7 +197,7 @@
             store_down: false,
             cordoned: Halls::new(),
             cordons_held: false,
-            past_held: false,
+            history_held: false,
             bounds: BOUNDS,
             script: |_, _| (1_000, How::Done),
             crashes: Crashes::default(),
@@ -229,7 +229,7 @@
         for number in 0..workers {
             world.add_worker(&format!("w{number}"), 100 + number);
         }
-        world.read_past(world.epoch, None);
+        world.read_history(world.epoch, None);
         world.step(Event::Cordoned(world.cordoned.clone()));
         world.list();
         world.run(50);
@@ -325,7 +325,7 @@
         let journal = Journal::new(row, self.owner_version, self.now);
         let kept = self.kept();
         self.owner = Owner::new(self.bounds, journal, kept, self.now + inherited, at);
-        self.read_past(self.epoch, None);
+        self.read_history(self.epoch, None);
         if !self.cordons_held {
             self.step(Event::Cordoned(self.cordoned.clone()));
         }
@@ -375,7 +375,7 @@
                     Due::Kept(call, life) => self.carry_out_kept(call, life),
                     Due::Event(epoch, event) if epoch == self.epoch => self.step(event),
                     Due::Event(..) => {}
-                    Due::Past(epoch, from) => self.read_past(epoch, from),
+                    Due::History(epoch, from) => self.read_history(epoch, from),
                 }
             }
             if self.now.is_multiple_of(5) && self.now >= self.suspended {
--- a/src/sched/tests/world/calls.rs
+++ b/src/sched/tests/world/calls.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use super::{FakeWorker, World};
-use crate::sched::history::PastPage;
-use crate::sched::journal::{OWNER_KEY, OWNER_TABLE, PAST_TABLE};
+use crate::sched::history::HistoryPage;
+use crate::sched::journal::{HISTORY_TABLE, OWNER_KEY, OWNER_TABLE};
 use crate::sched::message::{
     Advice, Advise, Event, Hold, Refusal, Reply, Start, Stop, Throttle, Write, Written,
 };
@@ -25,9 +25,9 @@
 const ENTRIES: usize = 100;
 /// Rows in a page of the jobs that are over, the milliseconds that one may take, and
 /// those until one that failed is read again.
-const PAST_PAGE: usize = 5;
-const PAST_TIME: Millis = 6;
-const PAST_PAUSE: Millis = 50;
+const HISTORY_PAGE: usize = 5;
+const HISTORY_TIME: Millis = 6;
+const HISTORY_PAUSE: Millis = 50;
 
 /// How likely faults are, from 0 to 1.
 #[derive(Clone, Copy, Default)]
@@ -62,7 +62,7 @@
     /// The owner of an epoch is told something.
     Event(u64, Event),
     /// A page of the jobs that are over is read for the owner of an epoch.
-    Past(u64, Option<Name>),
+    History(u64, Option<Name>),
 }
 
 impl World {
@@ -202,7 +202,7 @@
             let at = match &due {
                 Due::Call(..) | Due::Kept(..) => at,
                 Due::Event(_, event) if timed_out(event) => at + span,
-                Due::Event(..) | Due::Past(..) => at.max(wakes),
+                Due::Event(..) | Due::History(..) => at.max(wakes),
             };
             ((at, serial), due)
         };
@@ -228,32 +228,32 @@
 
     /// Reads a page of the jobs that are over after an id, as the daemon does; it is
     /// told some time later, and then the next one is read.
-    pub(super) fn read_past(&mut self, epoch: u64, from: Option<Name>) {
+    pub(super) fn read_history(&mut self, epoch: u64, from: Option<Name>) {
         if epoch != self.epoch {
             return;
         }
-        if self.store_down || self.past_held {
-            return self.later(PAST_PAUSE, Due::Past(epoch, from));
+        if self.store_down || self.history_held {
+            return self.later(HISTORY_PAUSE, Due::History(epoch, from));
         }
         let after = |id: &Name| from.as_ref().is_none_or(|f| id > f);
-        let ids = self.ids(PAST_TABLE).into_iter().filter(after);
+        let ids = self.ids(HISTORY_TABLE).into_iter().filter(after);
         let mut ids: Vec<Name> = ids.collect();
-        let last = ids.len() <= PAST_PAGE;
-        ids.truncate(PAST_PAGE);
+        let last = ids.len() <= HISTORY_PAGE;
+        ids.truncate(HISTORY_PAGE);
         let next = ids.last().cloned();
         let row = |id: Name| {
-            let value = &self.rows[&(PAST_TABLE, id.clone())];
+            let value = &self.rows[&(HISTORY_TABLE, id.clone())];
             (id, serde_json::from_slice(value).expect("row"))
         };
-        let page = PastPage {
+        let page = HistoryPage {
             rows: ids.into_iter().map(row).collect(),
             unreadable: Vec::new(),
             last,
         };
-        let time = HOP + self.random.below(PAST_TIME);
-        self.later(time, Due::Event(epoch, Event::Past(page)));
+        let time = HOP + self.random.below(HISTORY_TIME);
+        self.later(time, Due::Event(epoch, Event::History(page)));
         if !last {
-            self.later(time, Due::Past(epoch, next));
+            self.later(time, Due::History(epoch, next));
         }
     }
 
