--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -11,13 +11,13 @@
 use willowpoint::sched::job::{Queue, TaskKey};
 use willowpoint::sched::journal::{Journal, OwnerRow};
 use willowpoint::sched::lives::Life;
+use willowpoint::sched::mechanisms::Switches;
 use willowpoint::sched::message::{
     Action, Ended, Entry, Event, Hold, How, JobRequest, Reply, Report, Running, Start, Word,
     Written,
 };
 use willowpoint::sched::owner::{Bounds, Now, Owner};
 use willowpoint::sched::spec::{JobSpec, Resources, StepSpec};
-use willowpoint::sched::switches::Switches;
 use willowpoint::sched::worker::Listing;
 use willowpoint::utils::Name;
 use willowpoint::utils::random::Random;
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -12,9 +12,9 @@
 use crate::sched::history::HistoryRow;
 use crate::sched::job::{Job, Outcome, Queue};
 use crate::sched::journal::{Journal, OwnerRow};
+use crate::sched::mechanisms::Switches;
 use crate::sched::owner::{Bounds, Kept, Now, Owner};
 use crate::sched::spec::{JobSpec, StepSpec};
-use crate::sched::switches::Switches;
 use crate::table::{Row, encode};
 
 fn row(key: &str, value: bytes::Bytes) -> Row {
--- a/src/options/tests.rs
+++ b/src/options/tests.rs
@@ -3,7 +3,7 @@
 use super::args;
 use super::daemon;
 use super::file::parse;
-use crate::sched::switches::Switches;
+use crate::sched::mechanisms::Switches;
 
 const GOOD: &str = r#"
 [box]
--- a/src/sched/spells.rs
+++ b/src/sched/breaches.rs
@@ -3,7 +3,7 @@
 use super::job::TaskKey;
 use super::owner::Owner;
 use super::placement::{Gauge, Placement, Stage};
-use super::recent::SPAN;
+use super::recently_ended::SPAN;
 use super::reports::Listed;
 use super::worker::Worker;
 use crate::metrics;
--- a/src/sched/choice.rs
+++ b/src/sched/choice.rs
@@ -3,9 +3,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
+use super::interference::{ImageNumber, Pressure};
 use super::job::{StepKey, TaskKey};
 use super::permits::Permits;
-use super::pressure::{ImageNumber, Pressure};
 use super::spec::StepSpec;
 use super::worker::Worker;
 use crate::utils::Name;
--- a/src/sched/beside.rs
+++ b/src/sched/colocation.rs
@@ -1,8 +1,8 @@
 //! What the serving tasks and fillers of a worker are to each other.
 
+use super::interference::ImageNumber;
 use super::job::TaskKey;
 use super::placement::Placement;
-use super::pressure::ImageNumber;
 
 /// What a worker's serving tasks and fillers are to each other, apart from the rest of
 /// their placements: scores of all workers look at this alone.
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -1,11 +1,11 @@
 //! What workers report of their load: the tails of serving tasks, and what fillers
 //! use beside them.
 
+use super::breaches::Spell;
+use super::interference::ImageNumber;
 use super::owner::Owner;
 use super::placement::Gauge;
-use super::pressure::ImageNumber;
 use super::reports::Listed;
-use super::spells::Spell;
 use super::worker::Mix;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
--- a/src/sched/pressure.rs
+++ b/src/sched/interference.rs
@@ -9,7 +9,7 @@
 
 use std::collections::HashMap;
 
-use super::beside::Filling;
+use super::colocation::Filling;
 use super::loads::UNMEASURED;
 use super::spec::StepSpec;
 use super::worker::{Mix, Worker};
--- a/src/sched/placement.rs
+++ b/src/sched/placement.rs
@@ -1,9 +1,9 @@
 //! A task that was given to a worker, and how far it is there.
 
+use super::breaches::Spell;
+use super::interference::ImageNumber;
 use super::lives::Boot;
-use super::pressure::ImageNumber;
 use super::spec::Resources;
-use super::spells::Spell;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -6,11 +6,11 @@
 
 use std::collections::BTreeMap;
 
+use super::interference::{Distances, ImageNumber};
 use super::job::TaskKey;
 use super::owner::Owner;
 use super::placement::Placement;
 use super::preempt::SPARED;
-use super::pressure::{Distances, ImageNumber};
 use super::worker::Worker;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
--- a/src/sched/tests/pressure.rs
+++ b/src/sched/tests/interference.rs
@@ -1,8 +1,8 @@
 //! Learned pressure between images.
 
 use super::world::{World, job, serving, step};
+use crate::sched::interference::Pressure;
 use crate::sched::message::{How, Running};
-use crate::sched::pressure::Pressure;
 use crate::sched::spec::StepSpec;
 use crate::sched::worker::Mix;
 
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -3,14 +3,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use super::beside::Beside;
+use super::colocation::Beside;
 use super::job::TaskKey;
 use super::lives::{Boot, Life};
-use super::paces::FULL_SPEED;
 use super::placement::{Gauge, Placement};
 use super::preempt::Promise;
-use super::recent::Recent;
+use super::recently_ended::Recent;
 use super::spec::Resources;
+use super::throttling::FULL_SPEED;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
