--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -80,7 +80,7 @@
         sleep(LOOK).await;
     }
     log::info!(target: "daemon", "event=stop box={}", shared.settings.name);
-    shared.stop();
+    shared.begin_stop();
     sleep(LEAVE).await;
     let whole = trigger.finish(rest).await;
     log::info!(target: "daemon", "event=stopped box={} whole={whole}", shared.settings.name);
@@ -90,7 +90,7 @@
 
 /// Tells when callers begin or cease to be sent here.
 fn note_ready(before: &mut bool, shared: &Shared) {
-    let ready = shared.ready();
+    let ready = shared.is_ready();
     if ready == *before {
         return;
     }
@@ -107,7 +107,7 @@
     let Some(span) = suspension.note(clock::now(), clock::awake()) else {
         return;
     };
-    let (leading, unserved) = (shared.leading().is_some(), shared.unserved());
+    let (leading, unserved) = (shared.local_epoch().is_some(), shared.unserved_ms());
     log::warn!(target: "daemon", "event=suspended span_ms={span} leading={leading} unserved_ms={unserved}");
     crate::metrics::get().suspended.inc_by(span);
 }
@@ -138,5 +138,5 @@
     let resized = settings.cores != old.cores;
     let restart = moved || resized;
     log::info!(target: "daemon", "event=reload addresses_changed={moved} cores_changed={resized} restart_needed={restart}");
-    shared.rebound(settings.bounds);
+    shared.set_bounds(settings.bounds);
 }
--- a/src/daemon/commits.rs
+++ b/src/daemon/commits.rs
@@ -7,7 +7,7 @@
 use monoio::time::sleep;
 
 use super::owner_row::read_owner;
-use super::shared::{PART, Shared};
+use super::shared::{STORE_PART, Shared};
 use crate::sched::journal::{OWNER_KEY, OWNER_TABLE};
 use crate::sched::message::{Write, Written};
 use crate::utils::clock::{self, Millis};
@@ -25,7 +25,10 @@
 pub async fn commit(shared: &Shared, version: u64, writes: &[Write], limit: Millis) -> Written {
     crate::metrics::get().calls.inc();
     let condition = (OWNER_TABLE, OWNER_KEY.into(), version);
-    shared.store.commit(PART, condition, writes, limit).await
+    shared
+        .store
+        .commit(STORE_PART, condition, writes, limit)
+        .await
 }
 
 /// Writes the commit `number` of the owner in this process.
@@ -56,7 +59,7 @@
         };
         let took = clock::now() - asked;
         match seen {
-            Ok(Some(seen)) if shared.owns(&seen.row) && seen.row.seq >= number => {
+            Ok(Some(seen)) if shared.is_own_row(&seen.row) && seen.row.seq >= number => {
                 log::info!(target: "store", "event=commit-found number={number} version={}", seen.version);
                 return Written::Done(seen.version);
             }
--- a/src/daemon/feeds.rs
+++ b/src/daemon/feeds.rs
@@ -23,10 +23,10 @@
 /// Follows the configuration and which halls are cordoned for ever.
 pub async fn config(shared: Rc<Shared>) {
     let take = |page: Page, whole: bool| {
-        shared.cordon(config::cordons(&page), whole.then_some(page.version));
+        shared.apply_cordons(config::cordons(&page), whole.then_some(page.version));
         let rows = page.rows.into_iter();
         for row in rows.filter(|r| &*r.key == config::KEY) {
-            shared.configure(row, "store");
+            shared.apply_config(row, "store");
         }
     };
     follow(&shared, config::TABLE, take, || true).await;
@@ -40,9 +40,9 @@
             true => Event::Directory(entries),
             false => Event::Listed(entries),
         };
-        shared.lead(Message::Event(epoch, event));
+        shared.send_to_owner(Message::Event(epoch, event));
     };
-    let leading = || shared.leading() == Some(epoch);
+    let leading = || shared.local_epoch() == Some(epoch);
     while leading() {
         // Entries of a service that was not named when they were read were passed over.
         let read = shared.queues().services().clone();
@@ -62,7 +62,7 @@
         };
         match read {
             Ok(page) => {
-                shared.set_served();
+                shared.record_store_answer();
                 if !healthy {
                     log::info!(target: "store", "event=feed-regained table={table}");
                     healthy = true;
--- a/src/daemon/follower.rs
+++ b/src/daemon/follower.rs
@@ -9,7 +9,7 @@
 
 use super::owner_row::{adopt, read_owner, store_failed};
 use super::pings::{self, PING};
-use super::shared::{Seen, Shared};
+use super::shared::{KnownOwner, Shared};
 use super::takeover::acquire;
 use crate::platform::config;
 use crate::proto::PingReply;
@@ -28,7 +28,7 @@
 pub async fn run(shared: Rc<Shared>, mut nudged: UnboundedReceiver<()>) {
     loop {
         // A box that stops follows the owner for its open connections.
-        if shared.leading().is_none() {
+        if shared.local_epoch().is_none() {
             watch_owner(&shared).await;
         }
         let pause = Duration::from_millis(pause(&shared));
@@ -44,7 +44,7 @@
 
 /// Returns the milliseconds until the next look.
 fn pause(shared: &Shared) -> Millis {
-    let weaker = |seen: Seen| failover::wait(shared.settings.cores, &seen.row) > 0;
+    let weaker = |seen: KnownOwner| failover::wait(shared.settings.cores, &seen.row) > 0;
     match shared.owner().is_some_and(weaker) {
         true => PING_WEAKER,
         false => PING,
@@ -58,7 +58,7 @@
             return;
         }
         match read_owner(shared).await {
-            Ok(None) if shared.stopping() => {}
+            Ok(None) if shared.is_stopping() => {}
             Ok(None) => acquire(shared, None).await,
             Ok(seen) => adopt(shared, seen),
             Err(e) => store_failed(&e).await,
@@ -84,9 +84,9 @@
     };
     let (cores, epoch, now) = (shared.settings.cores, seen.row.epoch, clock::now());
     match failover::judge(cores, epoch, seen.life, pong, now) {
-        Verdict::Follow(life) => shared.heard(epoch, life),
+        Verdict::Follow(life) => shared.set_liveness(epoch, life),
         Verdict::Look(life) => {
-            shared.heard(epoch, life);
+            shared.set_liveness(epoch, life);
             look(shared).await;
         }
         Verdict::Replace(cause) => {
@@ -129,7 +129,7 @@
             version: reply.config_row,
             value: reply.config.clone(),
         };
-        shared.configure(row, "peer");
+        shared.apply_config(row, "peer");
     }
 }
 
@@ -148,11 +148,11 @@
 }
 
 /// Takes the place of an owner, unless another box has done so.
-async fn replace(shared: &Rc<Shared>, before: &Seen) {
+async fn replace(shared: &Rc<Shared>, before: &KnownOwner) {
     if told_by_others(shared).await || !refresh(shared).await {
         return;
     }
-    let same = |s: &Seen| s.row.epoch == before.row.epoch;
+    let same = |s: &KnownOwner| s.row.epoch == before.row.epoch;
     if let Some(seen) = shared.owner().filter(|s| vacant(shared, &s.row) || same(s)) {
         succeed(shared, seen).await;
     }
@@ -160,8 +160,8 @@
 
 /// Takes the place of an owner that has given the cell up, or whose row as just read
 /// stands still.
-async fn succeed(shared: &Rc<Shared>, seen: Seen) {
-    if shared.stopping() {
+async fn succeed(shared: &Rc<Shared>, seen: KnownOwner) {
+    if shared.is_stopping() {
         return;
     }
     let stagger = stable(&[&shared.settings.name]) % STAGGER;
@@ -172,7 +172,7 @@
     }
     let current = shared.owner();
     let same = current.is_some_and(|c| c.row.epoch == seen.row.epoch);
-    if same && shared.leading().is_none() && !shared.stopping() {
+    if same && shared.local_epoch().is_none() && !shared.is_stopping() {
         acquire(shared, Some(seen)).await;
     }
 }
--- a/src/daemon/frontend.rs
+++ b/src/daemon/frontend.rs
@@ -99,14 +99,14 @@
             Err(Failure::Lost) => doubt = true,
             Err(Failure::NotThere) => {}
         }
-        shared.nudge();
+        shared.check_owner_now();
         sleep(PAUSE).await;
     }
 }
 
 /// Returns true while neither an owner nor the store serves this box.
 fn cut_off(shared: &Shared) -> bool {
-    shared.unserved() > CUT_OFF && !shared.store_serves()
+    shared.unserved_ms() > CUT_OFF && !shared.store_serves()
 }
 
 fn changes(ask: &JobRequest) -> bool {
@@ -131,7 +131,7 @@
 }
 
 async fn one_try(shared: &Rc<Shared>, ask: &JobRequest, left: Millis) -> Result<Answer, Failure> {
-    if shared.leading().is_some() {
+    if shared.local_epoch().is_some() {
         return match ask_here(shared, ask.clone(), left).await {
             Some(answer) => Ok(answer),
             None => Err(Failure::Lost),
@@ -163,7 +163,7 @@
 /// Asks the owner in this process; none when it does not answer in time.
 pub async fn ask_here(shared: &Shared, ask: JobRequest, left: Millis) -> Option<Answer> {
     let (reply, answer) = oneshot::channel();
-    shared.lead(Message::Ask(ask, reply));
+    shared.send_to_owner(Message::Ask(ask, reply));
     timeout(Duration::from_millis(left), answer)
         .await
         .ok()?
--- a/src/daemon/history.rs
+++ b/src/daemon/history.rs
@@ -7,7 +7,7 @@
 
 use super::message::Message;
 use super::owner_row::READ;
-use super::shared::{PART, Shared};
+use super::shared::{STORE_PART, Shared};
 use crate::sched::history::{HistoryPage, HistoryRow};
 use crate::sched::job::Outcome;
 use crate::sched::journal::HISTORY_TABLE;
@@ -23,12 +23,14 @@
 /// Reads the jobs that are over while the owner of `epoch` is in this process.
 pub async fn read(shared: Rc<Shared>, epoch: u64) {
     let mut from = String::new();
-    while shared.leading() == Some(epoch) {
-        let read = shared.store.page(HISTORY_TABLE, PART, &from, PAGE, READ);
+    while shared.local_epoch() == Some(epoch) {
+        let read = shared
+            .store
+            .page(HISTORY_TABLE, STORE_PART, &from, PAGE, READ);
         match read.await {
             Ok(read) => {
                 let page = page(&read.rows, read.next.is_none());
-                shared.lead(Message::Event(epoch, Event::History(page)));
+                shared.send_to_owner(Message::Event(epoch, Event::History(page)));
                 let Some(next) = read.next else {
                     return;
                 };
--- a/src/daemon/owner_row.rs
+++ b/src/daemon/owner_row.rs
@@ -4,7 +4,7 @@
 
 use monoio::time::sleep;
 
-use super::shared::{PART, Seen, Shared};
+use super::shared::{KnownOwner, STORE_PART, Shared};
 use crate::platform::store::StoreError;
 use crate::sched::failover::Life;
 use crate::sched::journal::{OWNER_KEY, OWNER_TABLE};
@@ -23,11 +23,11 @@
 }
 
 /// Reads the owner's row.
-pub async fn read_owner(shared: &Shared) -> Result<Option<Seen>, StoreError> {
-    let page = shared.store.read(OWNER_TABLE, PART, READ).await?;
+pub async fn read_owner(shared: &Shared) -> Result<Option<KnownOwner>, StoreError> {
+    let page = shared.store.read(OWNER_TABLE, STORE_PART, READ).await?;
     let row = page.rows.iter().find(|r| &*r.key == OWNER_KEY);
     Ok(row.and_then(|row| {
-        Some(Seen {
+        Some(KnownOwner {
             row: decode(row)?,
             version: row.version,
             life: Life {
@@ -39,16 +39,16 @@
 }
 
 /// Follows the owner that the store names.
-pub fn adopt(shared: &Shared, mut seen: Option<Seen>) {
+pub fn adopt(shared: &Shared, mut seen: Option<KnownOwner>) {
     if let Some(seen) = &mut seen {
         let before = shared.owner();
         match before.filter(|b| b.row.epoch == seen.row.epoch) {
             Some(before) => seen.life = before.life,
             None => {
                 let row = &seen.row;
-                log::info!(target: "member", "event=owner owner={} epoch={} version={} unserved_ms={}", row.name, row.epoch, seen.version, shared.unserved());
+                log::info!(target: "member", "event=owner owner={} epoch={} version={} unserved_ms={}", row.name, row.epoch, seen.version, shared.unserved_ms());
             }
         }
     }
-    shared.see(seen);
+    shared.set_owner(seen);
 }
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -69,18 +69,18 @@
 fn take(shared: &Rc<Shared>, lead: &mut Option<Lead>, message: Message) {
     match (message, lead.as_mut()) {
         // One whose load was ended meanwhile, by word of a later owner, never acts.
-        (Message::Begin(owner, epoch, load), _) if shared.loads(epoch) => {
+        (Message::Begin(owner, epoch, load), _) if shared.is_loading(epoch) => {
             *lead = Some(begin(*owner, epoch, load));
-            shared.set_leading(Some(epoch));
+            shared.set_local_epoch(Some(epoch));
             shared.set_loading(None);
             // Nothing is started before: another owner may have known of a cordon.
             if let Some(halls) = shared.cordoned() {
-                shared.lead(Message::Event(epoch, Event::Cordoned(halls)));
+                shared.send_to_owner(Message::Event(epoch, Event::Cordoned(halls)));
             }
             monoio::spawn(feeds::directory(shared.clone(), epoch));
             monoio::spawn(history::read(shared.clone(), epoch));
-            if shared.stopping() {
-                shared.lead(Message::Resign);
+            if shared.is_stopping() {
+                shared.send_to_owner(Message::Resign);
             }
         }
         (Message::Ask(ask, reply), Some(lead)) => {
@@ -123,8 +123,8 @@
     if let Some(Lead { owner, term, .. }) = lead.take() {
         term.end(&owner, reason, clock::now());
     }
-    shared.set_leading(None);
-    shared.nudge();
+    shared.set_local_epoch(None);
+    shared.check_owner_now();
 }
 
 /// Ends an owner that was replaced or has given the cell up.
@@ -138,7 +138,7 @@
         end(shared, lead, "deposed");
     } else if held.owner.released() {
         end(shared, lead, "released");
-    } else if shared.leading() != Some(held.term.epoch) {
+    } else if shared.local_epoch() != Some(held.term.epoch) {
         end(shared, lead, "superseded");
     }
 }
@@ -245,6 +245,6 @@
     let shared = shared.clone();
     monoio::spawn(async move {
         let event = call(shared.clone()).await;
-        shared.lead(Message::Event(epoch, event));
+        shared.send_to_owner(Message::Event(epoch, event));
     });
 }
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -37,7 +37,7 @@
 async fn ask(shared: Rc<Shared>, request: AskRequest) -> Result<AskReply, Status> {
     let ask = serde_json::from_slice(&request.ask)
         .map_err(|e| Status::invalid_argument(e.to_string()))?;
-    if shared.leading().is_none() {
+    if shared.local_epoch().is_none() {
         return Ok(AskReply::default());
     }
     match frontend::ask_here(&shared, ask, request.left).await {
@@ -49,18 +49,18 @@
 }
 
 fn pong(shared: &Shared, ping: &PingRequest) -> PingReply {
-    if shared.leading().is_some_and(|epoch| ping.epoch > epoch) {
+    if shared.local_epoch().is_some_and(|epoch| ping.epoch > epoch) {
         // The caller knows a later owner, so this one has ended.
-        shared.set_leading(None);
-        shared.lead(Message::Superseded(ping.epoch));
-        shared.nudge();
+        shared.set_local_epoch(None);
+        shared.send_to_owner(Message::Superseded(ping.epoch));
+        shared.check_owner_now();
     }
     if shared.loading().is_some_and(|l| ping.epoch > l.epoch) {
         // What this box loads is not its own any more, and it must not begin with it.
         shared.set_loading(None);
     }
-    if shared.leading().is_some() && ping.cores > shared.settings.cores {
-        shared.lead(Message::Stronger(ping.cores));
+    if shared.local_epoch().is_some() && ping.cores > shared.settings.cores {
+        shared.send_to_owner(Message::Stronger(ping.cores));
     }
     pings::take_owner(shared, ping.owner.clone(), ping.owner_row);
     let others = meet(shared, ping);
@@ -69,8 +69,8 @@
     let newer = ping.config < shared.queues().version();
     let config = shared.config().filter(|_| newer);
     PingReply {
-        owner: shared.leading().is_some(),
-        epoch: shared.leading().unwrap_or(0),
+        owner: shared.local_epoch().is_some(),
+        epoch: shared.local_epoch().unwrap_or(0),
         confirmed: clock::now().saturating_sub(shared.confirmed()),
         config_row: config.as_ref().map_or(0, |c| c.version),
         config: config.map(|c| c.value).unwrap_or_default(),
--- a/src/daemon/pings.rs
+++ b/src/daemon/pings.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures::future::join_all;
 
-use super::shared::{Seen, Shared};
+use super::shared::{KnownOwner, Shared};
 use crate::proto::cluster_client::ClusterClient;
 use crate::proto::{PingReply, PingRequest};
 use crate::rpc::client::CallError;
@@ -24,9 +24,9 @@
     let reply = call(shared, owner.address, request(shared, owner.epoch)).await;
     let serves = |r: &PingReply| r.owner && r.epoch == owner.epoch;
     let served = reply.as_ref().is_ok_and(serves);
-    shared.set_owned(served);
+    shared.record_owner_serving(served);
     if served {
-        shared.follow(owner);
+        shared.set_last_followed(owner);
     }
     if let Ok(reply) = &reply {
         learn(shared, reply);
@@ -71,7 +71,7 @@
         cores: failover::offered(
             shared.settings.cores,
             shared.store_serves(),
-            shared.stopping(),
+            shared.is_stopping(),
         ),
         ..PingRequest::default()
     }
@@ -101,7 +101,7 @@
         return;
     };
     let known = shared.owner().map_or(0, |seen| seen.row.epoch);
-    if row.epoch <= known || shared.owns(&row) {
+    if row.epoch <= known || shared.is_own_row(&row) {
         return;
     }
     log::info!(target: "member", "event=owner-told owner={} epoch={} known={known} version={version}", row.name, row.epoch);
@@ -109,7 +109,7 @@
         at: clock::now(),
         pages: None,
     };
-    shared.see(Some(Seen { row, version, life }));
+    shared.set_owner(Some(KnownOwner { row, version, life }));
 }
 
 /// Returns what the answer to a ping tells of the box.
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -25,11 +25,11 @@
 use crate::utils::clock::{self, Millis};
 
 /// Part of the store in which the owner keeps everything.
-pub const PART: &str = "main";
+pub const STORE_PART: &str = "main";
 
 /// Milliseconds after an answer of the store to a feed in which it counts as
 /// serving this box: the wait of a feed and half of one more.
-const SERVED: Millis = 1_200;
+const STORE_TIMEOUT: Millis = 1_200;
 
 /// Returns the clocks now.
 pub fn now() -> Now {
@@ -41,7 +41,7 @@
 
 /// The owner as last seen.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct KnownOwner {
     /// Its row.
     pub row: OwnerRow,
     /// Version of its row.
@@ -71,18 +71,18 @@
     pub workers: Workers,
     /// The advisor of services.
     pub advisor: Advisor,
-    lead: UnboundedSender<Message>,
-    nudge: UnboundedSender<()>,
+    owner_sender: UnboundedSender<Message>,
+    check_sender: UnboundedSender<()>,
     queues: RefCell<Rc<Queues>>,
     config: RefCell<Option<Row>>,
     cordons: RefCell<Cordons>,
-    owner: RefCell<Option<Seen>>,
-    followed: RefCell<Option<OwnerRow>>,
-    leading: Cell<Option<u64>>,
+    owner: RefCell<Option<KnownOwner>>,
+    last_followed: RefCell<Option<OwnerRow>>,
+    local_epoch: Cell<Option<u64>>,
     loading: Cell<Option<Loading>>,
     downtime: Downtime,
     confirmed: Cell<u64>,
-    served: Cell<Millis>,
+    store_answered: Cell<Millis>,
     bounds: Cell<Bounds>,
     stopping: Cell<bool>,
     channels: RefCell<HashMap<SocketAddr, Channel>>,
@@ -94,8 +94,8 @@
     pub fn new(
         settings: Settings,
         life: u64,
-        lead: UnboundedSender<Message>,
-        nudge: UnboundedSender<()>,
+        owner_sender: UnboundedSender<Message>,
+        check_sender: UnboundedSender<()>,
     ) -> Self {
         Self {
             store: Store::new(settings.store),
@@ -104,18 +104,18 @@
             bounds: Cell::new(settings.bounds),
             settings,
             life,
-            lead,
-            nudge,
+            owner_sender,
+            check_sender,
             queues: RefCell::default(),
             config: RefCell::default(),
             cordons: RefCell::default(),
             owner: RefCell::default(),
-            followed: RefCell::default(),
-            leading: Cell::new(None),
+            last_followed: RefCell::default(),
+            local_epoch: Cell::new(None),
             loading: Cell::new(None),
             downtime: Downtime::new(clock::now()),
             confirmed: Cell::new(0),
-            served: Cell::new(0),
+            store_answered: Cell::new(0),
             stopping: Cell::new(false),
             channels: RefCell::default(),
             peer_addresses: RefCell::default(),
@@ -123,15 +123,15 @@
     }
 
     /// Sends a message to the task of the owner.
-    pub fn lead(&self, message: Message) {
+    pub fn send_to_owner(&self, message: Message) {
         // The task ends only with the process.
-        let _ = self.lead.unbounded_send(message);
+        let _ = self.owner_sender.unbounded_send(message);
     }
 
     /// Has the owner looked for at once.
-    pub fn nudge(&self) {
+    pub fn check_owner_now(&self) {
         // The task ends only with the process.
-        let _ = self.nudge.unbounded_send(());
+        let _ = self.check_sender.unbounded_send(());
     }
 
     /// Returns the queues in force.
@@ -145,7 +145,7 @@
     }
 
     /// Puts a configuration in force unless a newer one is.
-    pub fn configure(&self, row: Row, from: &str) {
+    pub fn apply_config(&self, row: Row, from: &str) {
         let Some(queues) = config::queues(&row) else {
             return;
         };
@@ -166,7 +166,7 @@
     }
 
     /// Takes in changes of halls, or all cordons as of a version of the store.
-    pub fn cordon(&self, changes: Vec<Change>, whole: Option<u64>) {
+    pub fn apply_cordons(&self, changes: Vec<Change>, whole: Option<u64>) {
         let before = self.cordoned();
         match whole {
             Some(version) => self.cordons.borrow_mut().read(version, changes),
@@ -184,18 +184,18 @@
             log::info!(target: "config", "event=cordon hall={hall} cordoned={cordoned} read={whole:?}");
         }
         crate::metrics::get().cordoned.set(halls.len() as i64);
-        if let Some(epoch) = self.leading() {
-            self.lead(Message::Event(epoch, Event::Cordoned(halls)));
+        if let Some(epoch) = self.local_epoch() {
+            self.send_to_owner(Message::Event(epoch, Event::Cordoned(halls)));
         }
     }
 
     /// Returns the owner as last seen.
-    pub fn owner(&self) -> Option<Seen> {
+    pub fn owner(&self) -> Option<KnownOwner> {
         self.owner.borrow().clone()
     }
 
     /// Sets the owner as last seen.
-    pub fn see(&self, seen: Option<Seen>) {
+    pub fn set_owner(&self, seen: Option<KnownOwner>) {
         let epoch = seen.as_ref().map_or(0, |s| s.row.epoch);
         crate::metrics::get().followed.set(epoch as i64);
         *self.owner.borrow_mut() = seen;
@@ -203,24 +203,24 @@
 
     /// Forgets the owner as last seen, so that the store is asked; one later than `epoch`
     /// stays, since a box that the store turns away could not find it again.
-    pub fn forget(&self, epoch: u64) {
+    pub fn forget_owner(&self, epoch: u64) {
         if self.owner().is_none_or(|seen| seen.row.epoch <= epoch) {
-            self.see(None);
+            self.set_owner(None);
         }
     }
 
     /// Returns the row of the last owner in another box that served this one.
-    pub fn followed(&self) -> Option<OwnerRow> {
-        self.followed.borrow().clone()
+    pub fn last_followed(&self) -> Option<OwnerRow> {
+        self.last_followed.borrow().clone()
     }
 
     /// Takes in that an owner in another box serves this one.
-    pub fn follow(&self, row: &OwnerRow) {
-        *self.followed.borrow_mut() = Some(row.clone());
+    pub fn set_last_followed(&self, row: &OwnerRow) {
+        *self.last_followed.borrow_mut() = Some(row.clone());
     }
 
     /// Takes in a sign of life of the owner of an epoch.
-    pub fn heard(&self, epoch: u64, life: Life) {
+    pub fn set_liveness(&self, epoch: u64, life: Life) {
         let mut owner = self.owner.borrow_mut();
         if let Some(seen) = owner.as_mut().filter(|s| s.row.epoch == epoch) {
             seen.life = life;
@@ -228,23 +228,23 @@
     }
 
     /// Returns true when this life of this box wrote an owner's row.
-    pub fn owns(&self, row: &OwnerRow) -> bool {
+    pub fn is_own_row(&self, row: &OwnerRow) -> bool {
         row.name == self.settings.name && row.life == self.life
     }
 
     /// Returns the epoch of the owner in this process.
-    pub fn leading(&self) -> Option<u64> {
-        self.leading.get()
+    pub fn local_epoch(&self) -> Option<u64> {
+        self.local_epoch.get()
     }
 
     /// Sets the epoch of the owner in this process.
-    pub fn set_leading(&self, epoch: Option<u64>) {
-        if self.leading() != epoch {
+    pub fn set_local_epoch(&self, epoch: Option<u64>) {
+        if self.local_epoch() != epoch {
             // An owner that ends here has served until now.
-            self.set_owned(true);
-            self.set_owned(epoch.is_some());
+            self.record_owner_serving(true);
+            self.record_owner_serving(epoch.is_some());
         }
-        self.leading.set(epoch);
+        self.local_epoch.set(epoch);
     }
 
     /// Returns how far this box is with loading what the store holds, if it does.
@@ -259,17 +259,17 @@
 
     /// Returns true while this box loads as the owner of an epoch, and no later one is
     /// known.
-    pub fn loads(&self, epoch: u64) -> bool {
+    pub fn is_loading(&self, epoch: u64) -> bool {
         self.loading().is_some_and(|l| l.epoch == epoch)
     }
 
     /// Takes in whether an owner serves this box now.
-    pub fn set_owned(&self, served: bool) {
+    pub fn record_owner_serving(&self, served: bool) {
         self.downtime.record(served, clock::now());
     }
 
     /// Returns the milliseconds since an owner last served this box; 0 while one does.
-    pub fn unserved(&self) -> Millis {
+    pub fn unserved_ms(&self) -> Millis {
         self.downtime.duration(clock::now())
     }
 
@@ -284,20 +284,20 @@
     }
 
     /// Takes in that the store has just answered a feed.
-    pub fn set_served(&self) {
-        self.served.set(clock::now());
+    pub fn record_store_answer(&self) {
+        self.store_answered.set(clock::now());
     }
 
     /// Returns true while the store serves this box.
     pub fn store_serves(&self) -> bool {
-        clock::now() < self.served.get() + SERVED
+        clock::now() < self.store_answered.get() + STORE_TIMEOUT
     }
 
     /// Returns true while callers may be sent to this box: with a configuration, unless it
     /// stops, or neither knows an owner nor has the store to find one.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let found = self.owner().is_some() || self.store_serves();
-        self.queues().version() > 0 && found && !self.stopping()
+        self.queues().version() > 0 && found && !self.is_stopping()
     }
 
     /// Returns the bounds of decisions in force.
@@ -306,20 +306,20 @@
     }
 
     /// Puts other bounds of decisions in force.
-    pub fn rebound(&self, bounds: Bounds) {
+    pub fn set_bounds(&self, bounds: Bounds) {
         self.bounds.set(bounds);
-        self.lead(Message::Bounds(bounds));
+        self.send_to_owner(Message::Bounds(bounds));
     }
 
     /// Returns true once a planned stop has begun.
-    pub fn stopping(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.stopping.get()
     }
 
     /// Begins a planned stop.
-    pub fn stop(&self) {
+    pub fn begin_stop(&self) {
         self.stopping.set(true);
-        self.lead(Message::Resign);
+        self.send_to_owner(Message::Resign);
     }
 
     /// Returns the other boxes that are known; not to be held over a wait.
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -10,7 +10,7 @@
 use super::message::Message;
 use super::owner_row::{READ, STORE_PAUSE, adopt, read_owner, store_failed};
 use super::pings::{self, PING};
-use super::shared::{Loading, PART, Seen, Shared, now};
+use super::shared::{KnownOwner, Loading, STORE_PART, Shared, now};
 use crate::harm::Known;
 use crate::platform::store::{PAGE, Page};
 use crate::proto::PingRequest;
@@ -44,7 +44,7 @@
 }
 
 /// Writes this box into the owner's row, if it is as it was seen.
-pub async fn acquire(shared: &Rc<Shared>, before: Option<Seen>) {
+pub async fn acquire(shared: &Rc<Shared>, before: Option<KnownOwner>) {
     let settings = &shared.settings;
     let row = OwnerRow {
         name: settings.name.clone(),
@@ -90,17 +90,17 @@
     row: OwnerRow,
     version: u64,
     sent: Millis,
-    before: Option<Seen>,
+    before: Option<KnownOwner>,
 ) {
     let epoch = row.epoch;
     shared.set_loading(Some(Loading { epoch, pages: 0 }));
     let Some(stored) = load(shared, epoch).await else {
-        if shared.stopping() && shared.loads(epoch) {
+        if shared.is_stopping() && shared.is_loading(epoch) {
             give_up(shared, row, version).await;
         }
         shared.set_loading(None);
         // Somebody else may be the owner by now.
-        return shared.forget(epoch);
+        return shared.forget_owner(epoch);
     };
     let Some(confirmed) = holds(shared, &row).await else {
         return shared.set_loading(None);
@@ -110,7 +110,7 @@
     let inherited = legacy.lease_end(&bounds, now.steady);
     let took = now.steady - sent;
     log::info!(target: "owner", "event=owner-begins epoch={epoch} jobs={} unreadable={} load_ms={took}", stored.kept.len(), stored.unreadable.len());
-    shared.see(Some(Seen {
+    shared.set_owner(Some(KnownOwner {
         row: row.clone(),
         version,
         life: Life {
@@ -125,10 +125,10 @@
     let mut owner = Owner::new(bounds, journal, stored.kept, inherited, now);
     owner.distrust(stored.unreadable);
     owner.recall(stored.known);
-    shared.lead(Message::Begin(Box::new(owner), epoch, took));
+    shared.send_to_owner(Message::Begin(Box::new(owner), epoch, took));
     let told = pings::succession(shared, &owner_row, version);
     let before = before.map(|b| b.row);
-    for (row, last) in predecessors(before, shared.followed(), &owner_row) {
+    for (row, last) in predecessors(before, shared.last_followed(), &owner_row) {
         let tell = tell_predecessor(shared.clone(), row, told.clone(), last);
         monoio::spawn(tell);
     }
@@ -165,7 +165,7 @@
         match read_owner(shared).await {
             Ok(seen) => {
                 let own = seen.as_ref().is_some_and(|s| s.row.same_owner(row));
-                if own && shared.loads(row.epoch) {
+                if own && shared.is_loading(row.epoch) {
                     return Some(asked);
                 }
                 log::info!(target: "owner", "event=replaced-loading epoch={}", row.epoch);
@@ -178,7 +178,7 @@
             }
         }
     }
-    shared.forget(row.epoch);
+    shared.forget_owner(row.epoch);
     None
 }
 
@@ -190,13 +190,13 @@
 /// for as long as that lasts.
 async fn tell_predecessor(shared: Rc<Shared>, before: OwnerRow, told: PingRequest, last: bool) {
     let epoch = told.epoch;
-    while shared.leading().is_none_or(|e| e == epoch) {
+    while shared.local_epoch().is_none_or(|e| e == epoch) {
         if let Ok(reply) = pings::call(&shared, before.address, told.clone()).await
             && (!reply.owner || reply.epoch >= epoch)
         {
             log::info!(target: "owner", "event=predecessor-ended epoch={epoch} owner={} last={last}", before.name);
             if last {
-                shared.lead(Message::PredecessorEnded(epoch));
+                shared.send_to_owner(Message::PredecessorEnded(epoch));
             }
             return;
         }
@@ -235,8 +235,8 @@
 /// Reads a page of a table; none once tries have failed for [`FAILING`].
 async fn page(shared: &Shared, epoch: u64, table: &str, from: &str) -> Option<Page> {
     let since = clock::now();
-    while clock::now() <= since + FAILING && shared.loads(epoch) && !shared.stopping() {
-        match shared.store.page(table, PART, from, PAGE, READ).await {
+    while clock::now() <= since + FAILING && shared.is_loading(epoch) && !shared.is_stopping() {
+        match shared.store.page(table, STORE_PART, from, PAGE, READ).await {
             Ok(page) => return Some(page),
             Err(e) => {
                 log::warn!(target: "owner", "event=load-failed epoch={epoch} table={table} cause=\"{e}\"");
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -3,7 +3,7 @@
 use super::downtime::Downtime;
 use super::history::page;
 use super::peer_addresses::PeerAddresses;
-use super::shared::{Seen, Shared};
+use super::shared::{KnownOwner, Shared};
 use super::takeover::jobs;
 use super::term::Term;
 use crate::metrics::{self, End};
@@ -176,21 +176,21 @@
 #[test]
 fn a_box_whose_load_fails_keeps_a_later_owner_that_it_was_told_of() {
     let shared = shared();
-    let seen = |epoch| Seen {
+    let seen = |epoch| KnownOwner {
         row: owner_row(epoch),
         version: epoch,
         life: Life { at: 0, pages: None },
     };
     let known = || shared.owner().map(|s| s.row.epoch);
-    shared.see(Some(seen(6)));
-    shared.forget(7);
+    shared.set_owner(Some(seen(6)));
+    shared.forget_owner(7);
     assert_eq!(
         known(),
         None,
         "one before its own: the store knows who is it now"
     );
-    shared.see(Some(seen(8)));
-    shared.forget(7);
+    shared.set_owner(Some(seen(8)));
+    shared.forget_owner(7);
     assert_eq!(known(), Some(8), "the later one");
 }
 
