--- a/benches/orders.rs
+++ b/benches/orders.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpListener};
 
 use willowpoint::platform::worker::Workers;
-use willowpoint::sched::lives::Life;
+use willowpoint::sched::incarnation::Life;
 use willowpoint::sched::message::{Hold, Reply};
 
 const ROUNDS: usize = 20_000;
--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 use willowpoint::sched::history::HistoryPage;
+use willowpoint::sched::incarnation::Life;
 use willowpoint::sched::job::{Queue, TaskKey};
 use willowpoint::sched::journal::{Journal, OwnerRow};
-use willowpoint::sched::lives::Life;
 use willowpoint::sched::mechanisms::Switches;
 use willowpoint::sched::message::{
     Action, Ended, Entry, Event, Hold, How, JobRequest, Reply, Report, Running, Start, Word,
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -1,8 +1,8 @@
 //! Ends of runs: what becomes of their tasks, jobs and workers.
 
+use super::incarnation::Life;
 use super::job::{Outcome, Phase, TaskKey};
 use super::journal::After;
-use super::lives::Life;
 use super::message::{Ended, How};
 use super::owner::Owner;
 use super::worker::{Contact, Worker};
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
+use super::incarnation::{Standing, standing};
 use super::job::TaskKey;
-use super::lives::{Standing, standing};
 use super::message::Entry;
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::lives::Boot;
+use super::incarnation::Boot;
 use super::spec::{JobSpec, StepSpec};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
--- a/src/sched/journal.rs
+++ b/src/sched/journal.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
+use super::incarnation::Life;
 use super::job::TaskKey;
-use super::lives::Life;
 use super::message::{Answer, Ticket, Write, Written};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
--- a/src/sched/late.rs
+++ b/src/sched/late.rs
@@ -4,8 +4,8 @@
 //! life under the same id knows of no stop, nor does one that fell silent until its lease had
 //! ended: they are asked once they answer, so that the task may have run elsewhere.
 
+use super::incarnation::{Boot, Life};
 use super::job::TaskKey;
-use super::lives::{Boot, Life};
 use super::owner::Owner;
 use super::starts::STOP_AGAIN;
 use crate::utils::Name;
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::history::HistoryPage;
+use super::incarnation::{Boot, Life};
 use super::job::{Queue, Shown, StepKey, TaskKey};
-use super::lives::{Boot, Life};
 use super::spec::JobSpec;
 use super::worker::Listing;
 use crate::cordons::Halls;
--- a/src/sched/placement.rs
+++ b/src/sched/placement.rs
@@ -1,8 +1,8 @@
 //! A task that was given to a worker, and how far it is there.
 
 use super::breaches::Spell;
+use super::incarnation::Boot;
 use super::interference::ImageNumber;
-use super::lives::Boot;
 use super::spec::Resources;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::history::NO_TASK;
+use super::incarnation::{Standing, standing};
 use super::job::{Outcome, TaskKey, parse_task};
-use super::lives::{Standing, standing};
 use super::message::{Action, Hold, Refusal, Reply, Report, Running};
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
+use super::incarnation::{Life, Standing, standing};
 use super::job::TaskKey;
-use super::lives::{Life, Standing, standing};
 use super::message::{Action, Refusal, Reply, Start, Stop, Word};
 use super::owner::Owner;
 use super::placement::Stage;
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -4,9 +4,9 @@
 //! it are at a goal; when a tail stays over its target, they are halted whatever
 //! was learned.
 
+use super::incarnation::Life;
 use super::interference::{ImageNumber, Pressure};
 use super::job::TaskKey;
-use super::lives::Life;
 use super::message::{Action, Reply, Throttle, Word};
 use super::owner::Owner;
 use super::placement::Placement;
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use super::colocation::Beside;
+use super::incarnation::{Boot, Life};
 use super::job::TaskKey;
-use super::lives::{Boot, Life};
 use super::placement::{Gauge, Placement};
 use super::preempt::Promise;
 use super::recently_ended::Recent;
