--- a/benches/orders.rs
+++ b/benches/orders.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpListener};
 
 use willowpoint::platform::worker::Workers;
-use willowpoint::sched::incarnation::Life;
+use willowpoint::sched::incarnation::Incarnation;
 use willowpoint::sched::message::{Hold, Reply};
 
 const ROUNDS: usize = 20_000;
@@ -60,7 +60,7 @@
     let mut whole = 0;
     for seen in 0..count {
         let hold = Hold {
-            life: Life {
+            incarnation: Incarnation {
                 id: "i-0a5d8fc929".into(),
                 boot: None,
                 clock: 0,
--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use willowpoint::sched::history::HistoryPage;
-use willowpoint::sched::incarnation::Life;
+use willowpoint::sched::incarnation::Incarnation;
 use willowpoint::sched::job::{Queue, TaskKey};
 use willowpoint::sched::journal::{Journal, OwnerRow};
 use willowpoint::sched::mechanisms::Switches;
@@ -284,7 +284,7 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::Hold(hold) => {
-                let (worker, sent) = (hold.life.id.clone(), hold.sent);
+                let (worker, sent) = (hold.incarnation.id.clone(), hold.sent);
                 let wait = hold.wait.min(POLL);
                 let ready = match self.workers.get_mut(&worker) {
                     Some(w) => {
@@ -299,10 +299,11 @@
             }
             Action::Start(start) => self.start(start),
             Action::Stop(stop) => {
-                if let Some(w) = self.workers.get_mut(&stop.life.id) {
+                if let Some(w) = self.workers.get_mut(&stop.incarnation.id) {
                     w.running.remove(&*stop.task);
                 }
-                let event = Event::Stopped(stop.key, stop.run, stop.life, Reply::Ok(self.word()));
+                let event =
+                    Event::Stopped(stop.key, stop.run, stop.incarnation, Reply::Ok(self.word()));
                 self.at(self.now + CALL, Due::Tell(event));
             }
             Action::Throttle(throttle) => {
@@ -310,7 +311,7 @@
                     throttle.key,
                     throttle.run,
                     throttle.percent,
-                    throttle.life,
+                    throttle.incarnation,
                     Reply::Ok(self.word()),
                 );
                 self.at(self.now + CALL, Due::Tell(event));
@@ -332,8 +333,13 @@
     }
 
     fn start(&mut self, start: Start) {
-        let Start { key, run, life, .. } = start;
-        let worker = life.id.clone();
+        let Start {
+            key,
+            run,
+            incarnation,
+            ..
+        } = start;
+        let worker = incarnation.id.clone();
         let task: Name = start.task.into();
         let ends = (!start.text.contains("lasting")).then(|| {
             let mean = if start.text.contains("check") {
@@ -349,11 +355,11 @@
         if let Some(ends) = ends {
             self.at(ends, Due::End(worker.clone(), task, run));
         }
-        self.started(key, run, life);
+        self.started(key, run, incarnation);
     }
 
-    fn started(&mut self, key: TaskKey, run: u32, life: Life) {
-        let event = Event::Started(key, run, life, Reply::Ok(self.word()));
+    fn started(&mut self, key: TaskKey, run: u32, incarnation: Incarnation) {
+        let event = Event::Started(key, run, incarnation, Reply::Ok(self.word()));
         self.at(self.now + CALL, Due::Tell(event));
     }
 
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -197,13 +197,13 @@
             Action::Start(start) => {
                 tell(shared, epoch, async move |shared| {
                     let reply = shared.workers.start(&start).await;
-                    Event::Started(start.key, start.run, start.life, reply)
+                    Event::Started(start.key, start.run, start.incarnation, reply)
                 });
             }
             Action::Stop(stop) => {
                 tell(shared, epoch, async move |shared| {
                     let reply = shared.workers.stop(&stop).await;
-                    Event::Stopped(stop.key, stop.run, stop.life, reply)
+                    Event::Stopped(stop.key, stop.run, stop.incarnation, reply)
                 });
             }
             Action::Throttle(throttle) => {
@@ -213,7 +213,7 @@
                         throttle.key,
                         throttle.run,
                         throttle.percent,
-                        throttle.life,
+                        throttle.incarnation,
                         reply,
                     )
                 });
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -46,7 +46,7 @@
             last_checkpoint: &start.saved,
             ticket: &start.permit,
         });
-        let reply = self.order(start.address, "/run-start", body, &start.life.id, 0);
+        let reply = self.order(start.address, "/run-start", body, &start.incarnation.id, 0);
         reply.await.map(word)
     }
 
@@ -57,7 +57,7 @@
             run: stop.run,
             fence: stop.epoch,
         });
-        let reply = self.order(stop.address, "/run-stop", body, &stop.life.id, 0);
+        let reply = self.order(stop.address, "/run-stop", body, &stop.incarnation.id, 0);
         reply.await.map(word)
     }
 
@@ -69,7 +69,7 @@
             percent: throttle.percent,
             fence: throttle.epoch,
         });
-        let reply = self.order(throttle.address, "/pace", body, &throttle.life.id, 0);
+        let reply = self.order(throttle.address, "/pace", body, &throttle.incarnation.id, 0);
         reply.await.map(word)
     }
 
@@ -81,7 +81,7 @@
             last_seen: hold.seen,
             wait_ms: hold.wait,
         });
-        let reply = self.order(hold.address, "/hold", body, &hold.life.id, hold.wait);
+        let reply = self.order(hold.address, "/hold", body, &hold.incarnation.id, hold.wait);
         reply.await.map(report)
     }
 
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -1,6 +1,6 @@
 //! Ends of runs: what becomes of their tasks, jobs and workers.
 
-use super::incarnation::Life;
+use super::incarnation::Incarnation;
 use super::job::{Outcome, Phase, TaskKey};
 use super::journal::After;
 use super::message::{Ended, How};
@@ -39,10 +39,10 @@
             log::info!(target: "task", "task={task} run={run} event=unknown-end how={how:?} worker={name}");
             return;
         };
-        let Some(life) = self.workers.get(name).map(Worker::life) else {
+        let Some(incarnation) = self.workers.get(name).map(Worker::incarnation) else {
             return;
         };
-        log::info!(target: "task", "task={task} run={run} event=ended how={how:?} worker={life}");
+        log::info!(target: "task", "task={task} run={run} event=ended how={how:?} worker={incarnation}");
         self.begun(key);
         let current = self.workers.get(name).and_then(|w| w.placements.get(&key));
         let current = current.is_some_and(|s| s.run == end.run);
@@ -54,7 +54,8 @@
         if let Some(worker) = self.workers.get_mut(name) {
             worker.pending.insert(end.number);
         }
-        self.journal.after(key.job, After::Seen(life, end.number));
+        self.journal
+            .after(key.job, After::Seen(incarnation, end.number));
     }
 
     /// Takes in that a run has done its work; `current` when it is the run that its
@@ -139,11 +140,14 @@
     }
 
     /// Takes in that the store holds an end, so that the worker may forget it.
-    pub(super) fn end_stored(&mut self, life: &Life, end: u64) {
+    pub(super) fn end_stored(&mut self, incarnation: &Incarnation, end: u64) {
         let now = self.now.steady;
-        let name = &life.id;
-        // A later life counts its ends anew.
-        let worker = self.workers.get_mut(name).filter(|w| w.boot == life.boot);
+        let name = &incarnation.id;
+        // A later incarnation numbers its ends from 1 again.
+        let worker = self
+            .workers
+            .get_mut(name)
+            .filter(|w| w.boot == incarnation.boot);
         let Some(worker) = worker else {
             return;
         };
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -114,7 +114,7 @@
         worker.listing = listing;
         worker.cordoned = cordoned;
         if news == Standing::Later {
-            self.doubt_life(&id, "entry");
+            self.doubt_incarnation(&id, "entry");
         }
     }
 
@@ -125,8 +125,8 @@
         for other in self.at_address(listing.address, id) {
             let known = self.workers[&other].boot;
             match standing(known, listing.boot) {
-                Standing::Later => self.life_ended(&other, Ending::Replaced),
-                Standing::Present => self.doubt_life(&other, "entry-of-another"),
+                Standing::Later => self.incarnation_ended(&other, Ending::Replaced),
+                Standing::Present => self.doubt_incarnation(&other, "entry-of-another"),
                 Standing::Earlier => {
                     self.pass_over(id, listing.boot, known, "entry");
                     return false;
@@ -193,7 +193,7 @@
         // by the worker at its end.
         let silent = now - worker.answered.min(now);
         if worker.leaves.is_some() && worker.misses > 0 && silent < LEFT {
-            return self.life_ended(id, Ending::Left);
+            return self.incarnation_ended(id, Ending::Left);
         }
         worker.leaves.get_or_insert(now + self.bounds.drain);
     }
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -34,7 +34,7 @@
 
 /// A worker from one start on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Life {
+pub struct Incarnation {
     /// Id of the worker.
     pub id: Name,
     /// When it started.
@@ -43,7 +43,7 @@
     pub clock: Millis,
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.boot {
             Some(boot) => write!(f, "{} boot={boot}", self.id),
@@ -153,7 +153,7 @@
         self.break_promise(name);
         self.tell_over(name, Ending::Replaced);
         self.crashed(name, Crash::Replaced);
-        self.begin_life(name, report.boot, carried);
+        self.begin_incarnation(name, report.boot, carried);
         // The other members of a gang are stopped with one that is lost, on this life too.
         for key in lost {
             self.free(key);
@@ -178,14 +178,14 @@
     }
 
     /// Puts a later life in the place of the one before, with the runs that it may have.
-    fn begin_life(&mut self, name: &Name, boot: Boot, carried: Vec<(TaskKey, Placement)>) {
+    fn begin_incarnation(&mut self, name: &Name, boot: Boot, carried: Vec<(TaskKey, Placement)>) {
         let (now, span) = (self.now.steady, self.bounds.lease);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
         // An order to the earlier life that is on its way may extend the lease of this one
         // as far as leases go.
-        worker.begin_life(boot, now + lease_span(span));
+        worker.begin_incarnation(boot, now + lease_span(span));
         for (key, run) in carried {
             worker.put(key, run);
         }
@@ -198,7 +198,7 @@
     }
 
     /// Has a worker report at once: it may not be the life that is known.
-    pub(super) fn doubt_life(&mut self, name: &Name, by: &str) {
+    pub(super) fn doubt_incarnation(&mut self, name: &Name, by: &str) {
         let Some(worker) = self.workers.get_mut(name).filter(|w| !w.doubted) else {
             return;
         };
@@ -220,7 +220,7 @@
             return;
         };
         for other in self.at_address(address, name) {
-            self.life_ended(&other, Ending::Replaced);
+            self.incarnation_ended(&other, Ending::Replaced);
         }
     }
 }
--- a/src/sched/journal.rs
+++ b/src/sched/journal.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use super::incarnation::Life;
+use super::incarnation::Incarnation;
 use super::job::TaskKey;
 use super::message::{Answer, Ticket, Write, Written};
 use crate::utils::Name;
@@ -59,7 +59,7 @@
 pub struct OwnerRow {
     /// Name of the owning box.
     pub name: Name,
-    /// Life of the owning process.
+    /// Incarnation of the owning process.
     pub life: u64,
     /// Where other boxes reach it.
     pub address: std::net::SocketAddr,
@@ -96,7 +96,7 @@
     /// The start of a run.
     Start(TaskKey, u32),
     /// The acknowledgement of an end to a worker.
-    Seen(Life, u64),
+    Seen(Incarnation, u64),
 }
 
 /// Returns how many more writes a commit with these has room for.
--- a/src/sched/late.rs
+++ b/src/sched/late.rs
@@ -4,7 +4,7 @@
 //! life under the same id knows of no stop, nor does one that fell silent until its lease had
 //! ended: they are asked once they answer, so that the task may have run elsewhere.
 
-use super::incarnation::{Boot, Life};
+use super::incarnation::{Boot, Incarnation};
 use super::job::TaskKey;
 use super::owner::Owner;
 use super::starts::STOP_AGAIN;
@@ -32,7 +32,7 @@
 
 impl Owner {
     /// Keeps a start in mind that had no answer.
-    pub(super) fn keep_late_start(&mut self, key: TaskKey, run: u32, life: &Life) {
+    pub(super) fn keep_late_start(&mut self, key: TaskKey, run: u32, incarnation: &Incarnation) {
         let task = self.task_name(key);
         if task.is_empty() {
             return;
@@ -41,7 +41,7 @@
             key,
             run,
             task,
-            worker: life.id.clone(),
+            worker: incarnation.id.clone(),
             settled: None,
             asked: 0,
             until: self.now.steady + LATEST,
@@ -49,10 +49,10 @@
     }
 
     /// Takes in that a life of a worker has answered a stop, and will not begin the run.
-    pub(super) fn settle_late_start(&mut self, key: TaskKey, run: u32, life: &Life) {
-        let own = |s: &&mut LateStart| (s.key, s.run) == (key, run) && s.worker == life.id;
+    pub(super) fn settle_late_start(&mut self, key: TaskKey, run: u32, incarnation: &Incarnation) {
+        let own = |s: &&mut LateStart| (s.key, s.run) == (key, run) && s.worker == incarnation.id;
         let starts = self.late_starts.iter_mut().filter(own);
-        starts.for_each(|start| start.settled = Some(life.boot));
+        starts.for_each(|start| start.settled = Some(incarnation.boot));
     }
 
     /// Asks workers to stop the runs that may still reach them.
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::history::HistoryPage;
-use super::incarnation::{Boot, Life};
+use super::incarnation::{Boot, Incarnation};
 use super::job::{Queue, Shown, StepKey, TaskKey};
 use super::spec::JobSpec;
 use super::worker::Listing;
@@ -104,7 +104,7 @@
 /// An ended run that a worker lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ended {
-    /// Number of the end within the worker's life.
+    /// Number of the end, counted from the start of the worker's incarnation.
     pub number: u64,
     /// Name of the task.
     pub task: Name,
@@ -155,7 +155,7 @@
     Unfit,
     /// It is unhealthy and did nothing.
     Unwell,
-    /// Another life of the worker answers at this address.
+    /// Another incarnation of the worker answers at this address.
     Replaced,
 }
 
@@ -253,11 +253,11 @@
     /// An exchange ended.
     Held(Hold, Reply<Report>),
     /// A start ended.
-    Started(TaskKey, u32, Life, Reply<Word>),
+    Started(TaskKey, u32, Incarnation, Reply<Word>),
     /// A stop ended.
-    Stopped(TaskKey, u32, Life, Reply<Word>),
+    Stopped(TaskKey, u32, Incarnation, Reply<Word>),
     /// A change of speed ended.
-    Throttled(TaskKey, u32, u32, Life, Reply<Word>),
+    Throttled(TaskKey, u32, u32, Incarnation, Reply<Word>),
     /// A question about these workers to the advisor ended.
     Advised(StepKey, Vec<Name>, Reply<Advice>),
     /// A commit ended.
@@ -291,7 +291,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hold {
     /// The worker, as it is known to have started.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// When it was sent, on the clock of this box.
     pub sent: Millis,
     /// Where it is.
@@ -314,7 +314,7 @@
     /// Number of the run.
     pub run: u32,
     /// The worker, as it is known to have started.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Where it is.
     pub address: SocketAddr,
     /// Name of the task.
@@ -339,7 +339,7 @@
     /// Number of the run.
     pub run: u32,
     /// The worker, as it is known to have started.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Where it is.
     pub address: SocketAddr,
     /// Name of the task.
@@ -356,7 +356,7 @@
     /// Number of the run.
     pub run: u32,
     /// The worker, as it is known to have started.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Where it is.
     pub address: SocketAddr,
     /// Name of the task.
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -89,7 +89,7 @@
     pub(super) unreadable: BTreeSet<Name>,
     /// Tasks that may start, and since when.
     pub(super) ready: BTreeMap<TaskKey, Millis>,
-    /// Workers by the id of their life.
+    /// Workers by id.
     pub(super) workers: BTreeMap<Name, Worker>,
     /// The same by their addresses.
     pub(super) addresses: Addresses,
@@ -317,10 +317,14 @@
             Event::Listed(changes) => self.listed(changes),
             Event::Cordoned(halls) => self.cordon(halls),
             Event::Held(hold, reply) => self.held(&hold, reply),
-            Event::Started(key, run, life, reply) => self.started(key, run, &life, reply),
-            Event::Stopped(key, run, life, reply) => self.stopped(key, run, &life, reply),
-            Event::Throttled(key, run, percent, life, reply) => {
-                self.throttled(key, run, percent, &life, reply);
+            Event::Started(key, run, incarnation, reply) => {
+                self.started(key, run, &incarnation, reply)
+            }
+            Event::Stopped(key, run, incarnation, reply) => {
+                self.stopped(key, run, &incarnation, reply)
+            }
+            Event::Throttled(key, run, percent, incarnation, reply) => {
+                self.throttled(key, run, percent, &incarnation, reply);
             }
             Event::Advised(step, asked, reply) => self.advice(step, asked, reply),
             Event::Written(number, written) => {
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -71,7 +71,7 @@
             let watch = if worker.over_target() { WATCH } else { watch };
             worker.contact = Contact::Open(now);
             self.actions.push(Action::Hold(Hold {
-                life: worker.life(),
+                incarnation: worker.incarnation(),
                 sent: now,
                 address: worker.listing.address,
                 lease,
@@ -89,7 +89,7 @@
     /// Takes in how an exchange went.
     pub(super) fn held(&mut self, hold: &Hold, reply: Reply<Report>) {
         let now = self.now.steady;
-        let name = &hold.life.id;
+        let name = &hold.incarnation.id;
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -99,7 +99,7 @@
         }
         match reply {
             Reply::Ok(report) => self.heard(hold, report),
-            Reply::Refused(Refusal::Replaced) => self.life_ended(name, Ending::Replaced),
+            Reply::Refused(Refusal::Replaced) => self.incarnation_ended(name, Ending::Replaced),
             Reply::Refused(Refusal::Fenced) => {
                 // Only an owner with a higher epoch can have been there; the
                 // next commit finds out.
@@ -108,7 +108,7 @@
             }
             Reply::Refused(_) | Reply::NotSent | Reply::Lost => {
                 if worker.misses == 0 {
-                    log::info!(target: "worker", "worker={} event=silent reply={reply:?}", worker.life());
+                    log::info!(target: "worker", "worker={} event=silent reply={reply:?}", worker.incarnation());
                 }
                 worker.misses += 1;
                 self.schedule(name, now + MISS_PAUSE);
@@ -119,7 +119,7 @@
     /// Takes in the answer to an exchange, of whichever life of its worker.
     fn heard(&mut self, hold: &Hold, report: Report) {
         let now = self.now.steady;
-        let name = &hold.life.id;
+        let name = &hold.incarnation.id;
         let Some(worker) = self.workers.get(name) else {
             return;
         };
--- a/src/sched/silence.rs
+++ b/src/sched/silence.rs
@@ -27,7 +27,7 @@
 
 impl Owner {
     /// Ends everything that a life of a worker ran, which has certainly ended.
-    pub(super) fn life_ended(&mut self, name: &Name, ending: Ending) {
+    pub(super) fn incarnation_ended(&mut self, name: &Name, ending: Ending) {
         self.tell_over(name, ending);
         if ending == Ending::Replaced {
             // What runs down with a worker has no end to count: restarted uncounted, one
@@ -48,14 +48,14 @@
         };
         let (tasks, presence) = (worker.placements.len(), worker.presence);
         let silent = self.now.steady - worker.answered;
-        let life = worker.life();
-        log::info!(target: "worker", "worker={life} event=over reason={} tasks={tasks} presence={presence:?} silent_ms={silent}", ending.word());
+        let incarnation = worker.incarnation();
+        log::info!(target: "worker", "worker={incarnation} event=over reason={} tasks={tasks} presence={presence:?} silent_ms={silent}", ending.word());
         crate::metrics::get().orphaned.inc_by(tasks as u64);
         for (key, run) in &worker.placements {
             let task = self.task_name(*key);
             let age = age(worker, run);
             let (run, stage) = (run.run, run.stage);
-            log::info!(target: "task", "task={task} run={run} event=orphaned worker={life} stage={stage:?} age_ms={age}");
+            log::info!(target: "task", "task={task} run={run} event=orphaned worker={incarnation} stage={stage:?} age_ms={age}");
         }
     }
 
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::incarnation::{Life, Standing, standing};
+use super::incarnation::{Incarnation, Standing, standing};
 use super::job::TaskKey;
 use super::message::{Action, Refusal, Reply, Start, Stop, Word};
 use super::owner::Owner;
@@ -78,7 +78,8 @@
     /// Orders a worker to start a run.
     fn send_start(&mut self, key: TaskKey, run: u32, worker: Name, lease: Millis, permit: Name) {
         let known = self.workers.get(&worker);
-        let Some((address, life)) = known.map(|w| (w.listing.address, w.life())) else {
+        let Some((address, incarnation)) = known.map(|w| (w.listing.address, w.incarnation()))
+        else {
             return;
         };
         let Some(job) = self.jobs.get(&key.job) else {
@@ -90,11 +91,11 @@
             let seconds = age as f64 / 1_000.0;
             crate::metrics::get().start_seconds.observe(seconds);
         }
-        log::info!(target: "task", "task={task} run={run} event=start worker={life} job_age_ms={age}");
+        log::info!(target: "task", "task={task} run={run} event=start worker={incarnation} job_age_ms={age}");
         self.actions.push(Action::Start(Start {
             key,
             run,
-            life,
+            incarnation,
             address,
             task,
             text: job.spec.text.clone(),
@@ -106,13 +107,19 @@
     }
 
     /// Takes in how a start went.
-    pub(super) fn started(&mut self, key: TaskKey, run: u32, life: &Life, reply: Reply<Word>) {
+    pub(super) fn started(
+        &mut self,
+        key: TaskKey,
+        run: u32,
+        incarnation: &Incarnation,
+        reply: Reply<Word>,
+    ) {
         let now = self.now.steady;
-        let name = &life.id;
+        let name = &incarnation.id;
         if reply == Reply::Lost {
-            self.keep_late_start(key, run, life);
+            self.keep_late_start(key, run, incarnation);
         }
-        if !self.answers(life, &reply) {
+        if !self.answers(incarnation, &reply) {
             return;
         }
         let Some(placement) = self.run_mut(name, key, run) else {
@@ -137,11 +144,11 @@
 
     /// Returns true when the answer to an order is that of the life that is known and that
     /// the order was sent to. Word of a later one has it report at once.
-    pub(super) fn answers(&mut self, life: &Life, reply: &Reply<Word>) -> bool {
-        let Some(worker) = self.workers.get(&life.id) else {
+    pub(super) fn answers(&mut self, incarnation: &Incarnation, reply: &Reply<Word>) -> bool {
+        let Some(worker) = self.workers.get(&incarnation.id) else {
             return false;
         };
-        if worker.boot != life.boot {
+        if worker.boot != incarnation.boot {
             return false;
         }
         let Reply::Ok(word) = reply else {
@@ -149,9 +156,9 @@
         };
         let later = standing(worker.boot, word.boot) == Standing::Later;
         // Its clock goes on from what it had told before the order was sent.
-        let another = later || word.clock < life.clock;
+        let another = later || word.clock < incarnation.clock;
         if another {
-            self.doubt_life(&life.id, "answer");
+            self.doubt_incarnation(&incarnation.id, "answer");
         }
         !another
     }
@@ -178,7 +185,7 @@
         }
         self.free(key);
         if refusal == Refusal::Replaced {
-            self.life_ended(name, Ending::Replaced);
+            self.incarnation_ended(name, Ending::Replaced);
         }
     }
 
@@ -199,14 +206,20 @@
     }
 
     /// Takes in how a stop went.
-    pub(super) fn stopped(&mut self, key: TaskKey, run: u32, life: &Life, reply: Reply<Word>) {
+    pub(super) fn stopped(
+        &mut self,
+        key: TaskKey,
+        run: u32,
+        incarnation: &Incarnation,
+        reply: Reply<Word>,
+    ) {
         let now = self.now.steady;
-        let name = &life.id;
-        if !self.answers(life, &reply) {
+        let name = &incarnation.id;
+        if !self.answers(incarnation, &reply) {
             return;
         }
         if matches!(reply, Reply::Ok(_)) {
-            self.settle_late_start(key, run, life);
+            self.settle_late_start(key, run, incarnation);
         }
         let Some(placement) = self.run_mut(name, key, run) else {
             return;
@@ -215,7 +228,7 @@
             Reply::Ok(_) => placement.stage = Stage::Stopped(now),
             // It is sent again while the worker answers.
             Reply::Lost | Reply::NotSent => placement.stage = Stage::Stopping(now),
-            Reply::Refused(Refusal::Replaced) => self.life_ended(name, Ending::Replaced),
+            Reply::Refused(Refusal::Replaced) => self.incarnation_ended(name, Ending::Replaced),
             Reply::Refused(_) => placement.stage = Stage::Stopping(now),
         }
     }
@@ -299,14 +312,14 @@
         worker: Name,
         address: SocketAddr,
     ) {
-        let Some(life) = self.workers.get(&worker).map(Worker::life) else {
+        let Some(incarnation) = self.workers.get(&worker).map(Worker::incarnation) else {
             return;
         };
-        log::info!(target: "task", "task={task} run={run} event=stop worker={life}");
+        log::info!(target: "task", "task={task} run={run} event=stop worker={incarnation}");
         self.actions.push(Action::Stop(Stop {
             key,
             run,
-            life,
+            incarnation,
             address,
             task,
             epoch: self.journal.epoch(),
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -400,12 +400,12 @@
                     continue;
                 }
                 Action::Hold(hold) => {
-                    self.holds.insert(hold.life.id.clone(), hold.clone());
+                    self.holds.insert(hold.incarnation.id.clone(), hold.clone());
                     Call::Hold(hold)
                 }
                 Action::Start(start) => {
                     let sent = (self.now, start.clone());
-                    self.ordered.insert(start.life.id.clone(), sent);
+                    self.ordered.insert(start.incarnation.id.clone(), sent);
                     Call::Start(start)
                 }
                 Action::Stop(stop) => Call::Stop(stop),
--- a/src/sched/tests/world/calls.rs
+++ b/src/sched/tests/world/calls.rs
@@ -101,10 +101,10 @@
     /// Returns when the worker started that a call reaches.
     fn life_of(&self, call: &Call) -> Option<Millis> {
         let id = match call {
-            Call::Hold(hold) => &hold.life.id,
-            Call::Start(start) => &start.life.id,
-            Call::Stop(stop) => &stop.life.id,
-            Call::Throttle(throttle) => &throttle.life.id,
+            Call::Hold(hold) => &hold.incarnation.id,
+            Call::Start(start) => &start.incarnation.id,
+            Call::Stop(stop) => &stop.incarnation.id,
+            Call::Throttle(throttle) => &throttle.incarnation.id,
             Call::Commit(..) => return None,
         };
         self.workers.get(id).map(|w| w.started)
@@ -130,29 +130,35 @@
                 Event::Written(number, self.commit(version, writes))
             }
             Call::Hold(hold) if self.sharing.workers > 0 && hold.wait > 0 => {
-                let worker = self.workers.get(&hold.life.id);
+                let worker = self.workers.get(&hold.incarnation.id);
                 let over = worker.is_some_and(FakeWorker::shows_over);
                 let wait = self.sharing.wait(hold.wait, over);
                 let due = Call::Hold(Hold { wait: 0, ..hold });
                 return self.later(wait, Due::Call(due, answered));
             }
             Call::Hold(hold) => {
-                let reply = self.reach(&hold.life.id, hold.address, |world| world.hold(&hold));
+                let reply = self.reach(&hold.incarnation.id, hold.address, |world| {
+                    world.hold(&hold)
+                });
                 Event::Held(hold, reply)
             }
             Call::Start(start) => {
-                let reply = self.reach(&start.life.id, start.address, |world| world.start(&start));
-                Event::Started(start.key, start.run, start.life, reply)
+                let reply = self.reach(&start.incarnation.id, start.address, |world| {
+                    world.start(&start)
+                });
+                Event::Started(start.key, start.run, start.incarnation, reply)
             }
             Call::Throttle(throttle) => {
-                let reply = self.reach(&throttle.life.id, throttle.address, |world| {
+                let reply = self.reach(&throttle.incarnation.id, throttle.address, |world| {
                     world.throttle(&throttle)
                 });
                 Self::throttled(throttle, reply)
             }
             Call::Stop(stop) => {
-                let reply = self.reach(&stop.life.id, stop.address, |world| world.stop(&stop));
-                Event::Stopped(stop.key, stop.run, stop.life, reply)
+                let reply = self.reach(&stop.incarnation.id, stop.address, |world| {
+                    world.stop(&stop)
+                });
+                Event::Stopped(stop.key, stop.run, stop.incarnation, reply)
             }
         };
         let silent = timed_out(&event);
@@ -291,8 +297,8 @@
 fn unanswered(call: &Call) -> Event {
     match call {
         Call::Hold(hold) => Event::Held(hold.clone(), Reply::Lost),
-        Call::Start(s) => Event::Started(s.key, s.run, s.life.clone(), Reply::Lost),
-        Call::Stop(s) => Event::Stopped(s.key, s.run, s.life.clone(), Reply::Lost),
+        Call::Start(s) => Event::Started(s.key, s.run, s.incarnation.clone(), Reply::Lost),
+        Call::Stop(s) => Event::Stopped(s.key, s.run, s.incarnation.clone(), Reply::Lost),
         Call::Throttle(throttle) => World::throttled(throttle.clone(), Reply::Lost),
         Call::Commit(number, _, _) => Event::Written(*number, Written::Unknown),
     }
--- a/src/sched/tests/world/sharing.rs
+++ b/src/sched/tests/world/sharing.rs
@@ -182,7 +182,7 @@
     /// A change of speed reaches its worker.
     pub(super) fn throttle(&mut self, throttle: &Throttle) -> Reply<Word> {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&throttle.life.id) else {
+        let Some(worker) = self.workers.get_mut(&throttle.incarnation.id) else {
             return Reply::Lost;
         };
         if throttle.epoch < worker.epoch {
@@ -207,7 +207,7 @@
             throttle.key,
             throttle.run,
             throttle.percent,
-            throttle.life,
+            throttle.incarnation,
             reply,
         )
     }
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -169,7 +169,7 @@
 impl World {
     pub(super) fn hold(&mut self, hold: &Hold) -> Reply<Report> {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&hold.life.id) else {
+        let Some(worker) = self.workers.get_mut(&hold.incarnation.id) else {
             return Reply::Lost;
         };
         if hold.epoch < worker.epoch {
@@ -210,7 +210,7 @@
     pub(super) fn start(&mut self, start: &Start) -> Reply<Word> {
         let (span, how) = (self.script)(&start.task, start.run);
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&start.life.id) else {
+        let Some(worker) = self.workers.get_mut(&start.incarnation.id) else {
             return Reply::Lost;
         };
         if start.epoch < worker.epoch {
@@ -248,7 +248,7 @@
             how,
         };
         worker.running.insert(start.task.clone(), run);
-        let id = start.life.id.clone();
+        let id = start.incarnation.id.clone();
         self.share(&id, &start.task);
         self.starts.push((start.task.clone(), start.run, id, now));
         self.resumed.insert(start.task.clone(), start.saved.clone());
@@ -300,12 +300,12 @@
 
     /// Notes when a start brings its worker over its room, though the owner knew of it.
     fn note_excess(&mut self, start: &Start) {
-        let worker = &self.workers[&start.life.id];
+        let worker = &self.workers[&start.incarnation.id];
         let sizes = worker.tasks().filter_map(|task| self.resources_of(task));
         let used = sizes.fold(Resources::default(), Resources::plus);
         let told = self.now > worker.shrank + ON_ITS_WAY;
         if told && !used.within(worker.listing.capacity) {
-            let text = format!("{} on {} at {}", start.task, start.life.id, self.now);
+            let text = format!("{} on {} at {}", start.task, start.incarnation.id, self.now);
             self.excesses.push(text);
         }
     }
@@ -339,7 +339,7 @@
 
     pub(super) fn stop(&mut self, stop: &Stop) -> Reply<Word> {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&stop.life.id) else {
+        let Some(worker) = self.workers.get_mut(&stop.incarnation.id) else {
             return Reply::Lost;
         };
         if stop.epoch < worker.epoch {
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -4,7 +4,7 @@
 //! it are at a goal; when a tail stays over its target, they are halted whatever
 //! was learned.
 
-use super::incarnation::Life;
+use super::incarnation::Incarnation;
 use super::interference::{ImageNumber, Pressure};
 use super::job::TaskKey;
 use super::message::{Action, Reply, Throttle, Word};
@@ -165,7 +165,7 @@
             let Some(worker) = self.workers.get_mut(name) else {
                 return;
             };
-            let (address, life) = (worker.listing.address, worker.life());
+            let (address, incarnation) = (worker.listing.address, worker.incarnation());
             let Some(placement) = worker.placements.get_mut(&filler.key) else {
                 continue;
             };
@@ -187,7 +187,7 @@
             self.actions.push(Action::Throttle(Throttle {
                 key: filler.key,
                 run: placement.run,
-                life,
+                incarnation,
                 address,
                 task: job.task_name(filler.key),
                 epoch,
@@ -202,11 +202,11 @@
         key: TaskKey,
         run: u32,
         percent: u32,
-        life: &Life,
+        incarnation: &Incarnation,
         reply: Reply<Word>,
     ) {
-        let name = &life.id;
-        let answers = self.answers(life, &reply);
+        let name = &incarnation.id;
+        let answers = self.answers(incarnation, &reply);
         let Some(placement) = self.run_mut(name, key, run) else {
             return;
         };
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::colocation::Beside;
-use super::incarnation::{Boot, Life};
+use super::incarnation::{Boot, Incarnation};
 use super::job::TaskKey;
 use super::placement::{Gauge, Placement};
 use super::preempt::Promise;
@@ -186,7 +186,7 @@
 
     /// Forgets all but how it is listed and what its contact is: a later life is there.
     /// Leases given to it end at `granted` at the latest.
-    pub fn begin_life(&mut self, boot: Boot, granted: Millis) {
+    pub fn begin_incarnation(&mut self, boot: Boot, granted: Millis) {
         let next = Self::new(self.listing.clone(), 0);
         let before = std::mem::replace(self, next);
         self.boot = boot;
@@ -198,8 +198,8 @@
     }
 
     /// Returns the life that is known.
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation {
             id: self.listing.id.clone(),
             boot: self.boot,
             clock: self.heard.map_or(0, |h| h.clock),
