--- a/src/daemon/follower.rs
+++ b/src/daemon/follower.rs
@@ -13,7 +13,7 @@
 use super::takeover::acquire;
 use crate::platform::config;
 use crate::proto::PingReply;
-use crate::sched::failover::{self, Verdict};
+use crate::sched::failover::{self, Assessment};
 use crate::sched::journal::OwnerRow;
 use crate::table::Row;
 use crate::utils::clock::{self, Millis};
@@ -44,7 +44,8 @@
 
 /// Returns the milliseconds until the next look.
 fn pause(shared: &Shared) -> Millis {
-    let weaker = |seen: KnownOwner| failover::wait(shared.settings.cores, &seen.row) > 0;
+    let weaker =
+        |seen: KnownOwner| failover::weaker_box_delay(shared.settings.cores, &seen.row) > 0;
     match shared.owner().is_some_and(weaker) {
         true => PING_WEAKER,
         false => PING,
@@ -83,13 +84,13 @@
         }
     };
     let (cores, epoch, now) = (shared.settings.cores, seen.row.epoch, clock::now());
-    match failover::judge(cores, epoch, seen.life, pong, now) {
-        Verdict::Follow(life) => shared.set_liveness(epoch, life),
-        Verdict::Look(life) => {
+    match failover::assess_owner(cores, epoch, seen.life, pong, now) {
+        Assessment::Follow(life) => shared.set_liveness(epoch, life),
+        Assessment::CheckRow(life) => {
             shared.set_liveness(epoch, life);
             look(shared).await;
         }
-        Verdict::Replace(cause) => {
+        Assessment::Replace(cause) => {
             let quiet = now.saturating_sub(seen.life.at);
             log::info!(target: "member", "event=owner-suspected owner={} epoch={epoch} cause={cause:?} pong={pong:?} quiet_ms={quiet}", seen.row.name);
             replace(shared, &seen).await;
@@ -166,7 +167,7 @@
     }
     let stagger = stable(&[&shared.settings.name]) % STAGGER;
     let vacant = vacant(shared, &seen.row);
-    let pause = failover::pause(shared.settings.cores, &seen.row, vacant, stagger);
+    let pause = failover::takeover_delay(shared.settings.cores, &seen.row, vacant, stagger);
     if pause > 0 {
         sleep(Duration::from_millis(pause)).await;
     }
--- a/src/daemon/owner_row.rs
+++ b/src/daemon/owner_row.rs
@@ -6,7 +6,7 @@
 
 use super::shared::{KnownOwner, STORE_PART, Shared};
 use crate::platform::store::StoreError;
-use crate::sched::failover::Life;
+use crate::sched::failover::OwnerProgress;
 use crate::sched::journal::{OWNER_KEY, OWNER_TABLE};
 use crate::table::decode;
 use crate::utils::clock::{self, Millis};
@@ -30,7 +30,7 @@
         Some(KnownOwner {
             row: decode(row)?,
             version: row.version,
-            life: Life {
+            life: OwnerProgress {
                 at: clock::now(),
                 pages: None,
             },
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -159,7 +159,8 @@
 
     /// Makes way for a box with more cores, once this owner has settled.
     fn make_way(&mut self, own: u32, other: u32) {
-        if self.owner.gives_up() || !failover::makes_way(own, other, self.term.began, clock::now())
+        if self.owner.gives_up()
+            || !failover::should_make_way(own, other, self.term.began, clock::now())
         {
             return;
         }
--- a/src/daemon/pings.rs
+++ b/src/daemon/pings.rs
@@ -9,7 +9,7 @@
 use crate::proto::cluster_client::ClusterClient;
 use crate::proto::{PingReply, PingRequest};
 use crate::rpc::client::CallError;
-use crate::sched::failover::{self, Life, Pong};
+use crate::sched::failover::{self, OwnerProgress, Pong};
 use crate::sched::journal::{OWNER_KEY, OwnerRow};
 use crate::table::{Row, decode, encode};
 use crate::utils::clock::{self, Millis};
@@ -68,7 +68,7 @@
         config: shared.queues().version(),
         address: shared.settings.rpc.to_string(),
         others: shared.peer_addresses().needs_refresh(clock::now()),
-        cores: failover::offered(
+        cores: failover::offered_cores(
             shared.settings.cores,
             shared.store_serves(),
             shared.is_stopping(),
@@ -105,7 +105,7 @@
         return;
     }
     log::info!(target: "member", "event=owner-told owner={} epoch={} known={known} version={version}", row.name, row.epoch);
-    let life = Life {
+    let life = OwnerProgress {
         at: clock::now(),
         pages: None,
     };
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -17,7 +17,7 @@
 use crate::platform::{config, worker::Workers};
 use crate::queues::Queues;
 use crate::rpc::client::Channel;
-use crate::sched::failover::Life;
+use crate::sched::failover::OwnerProgress;
 use crate::sched::journal::OwnerRow;
 use crate::sched::message::Event;
 use crate::sched::owner::{Bounds, Now};
@@ -47,7 +47,7 @@
     /// Version of its row.
     pub version: u64,
     /// The last sign of life of it.
-    pub life: Life,
+    pub life: OwnerProgress,
 }
 
 /// How far a box that has become the owner is with loading what the store holds.
@@ -220,7 +220,7 @@
     }
 
     /// Takes in a sign of life of the owner of an epoch.
-    pub fn set_liveness(&self, epoch: u64, life: Life) {
+    pub fn set_liveness(&self, epoch: u64, life: OwnerProgress) {
         let mut owner = self.owner.borrow_mut();
         if let Some(seen) = owner.as_mut().filter(|s| s.row.epoch == epoch) {
             seen.life = life;
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -14,14 +14,14 @@
 use crate::harm::Known;
 use crate::platform::store::{PAGE, Page};
 use crate::proto::PingRequest;
-use crate::sched::failover::{self, Life};
+use crate::sched::failover::{self, OwnerProgress};
 use crate::sched::job::JobRow;
 use crate::sched::journal::{
     BELIEF_TABLE, JOB_TABLE, Journal, OWNER_KEY, OWNER_TABLE, OwnerRow, PRESSURE_KEY, SPEC_TABLE,
 };
 use crate::sched::message::{Write, Written};
 use crate::sched::owner::{Kept, Owner};
-use crate::sched::predecessors::{Legacy, predecessors};
+use crate::sched::predecessors::{PredecessorState, predecessors};
 use crate::sched::spec::JobSpec;
 use crate::table::{Row, decode, encode};
 use crate::utils::Name;
@@ -52,9 +52,10 @@
         address: settings.rpc,
         epoch: before.as_ref().map_or(0, |b| b.row.epoch) + 1,
         seq: 0,
-        settled: Legacy::of(before.as_ref().map(|b| &b.row), &settings.name).settled(),
+        settled: PredecessorState::from_row(before.as_ref().map(|b| &b.row), &settings.name)
+            .all_ended(),
         released: false,
-        cores: failover::wanted(settings.cores, before.as_ref().map(|b| &b.row)),
+        cores: failover::wanted_cores(settings.cores, before.as_ref().map(|b| &b.row)),
     };
     let version = before.as_ref().map_or(0, |b| b.version);
     let sent = clock::now();
@@ -106,14 +107,14 @@
         return shared.set_loading(None);
     };
     let (bounds, now) = (shared.bounds(), now());
-    let legacy = Legacy::of(before.as_ref().map(|b| &b.row), &row.name);
+    let legacy = PredecessorState::from_row(before.as_ref().map(|b| &b.row), &row.name);
     let inherited = legacy.lease_end(&bounds, now.steady);
     let took = now.steady - sent;
     log::info!(target: "owner", "event=owner-begins epoch={epoch} jobs={} unreadable={} load_ms={took}", stored.kept.len(), stored.unreadable.len());
     shared.set_owner(Some(KnownOwner {
         row: row.clone(),
         version,
-        life: Life {
+        life: OwnerProgress {
             at: now.steady,
             pages: None,
         },
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -8,7 +8,7 @@
 use super::term::Term;
 use crate::metrics::{self, End};
 use crate::options::daemon;
-use crate::sched::failover::Life;
+use crate::sched::failover::OwnerProgress;
 use crate::sched::history::HistoryRow;
 use crate::sched::job::{Job, Outcome, Queue};
 use crate::sched::journal::{Journal, OwnerRow};
@@ -179,7 +179,7 @@
     let seen = |epoch| KnownOwner {
         row: owner_row(epoch),
         version: epoch,
-        life: Life { at: 0, pages: None },
+        life: OwnerProgress { at: 0, pages: None },
     };
     let known = || shared.owner().map(|s| s.row.epoch);
     shared.set_owner(Some(seen(6)));
--- a/src/sched/asks.rs
+++ b/src/sched/asks.rs
@@ -102,7 +102,7 @@
     /// Returns true while no other box can be the owner: one that gives the cell up may have
     /// done so by a commit without an answer.
     fn alone(&self) -> bool {
-        !self.gives_up() && failover::alone(self.journal.confirmed(), self.now.steady)
+        !self.gives_up() && failover::holds_cell(self.journal.confirmed(), self.now.steady)
     }
 
     /// Asks those that wait once more, where it has just been confirmed that this is the owner.
--- a/src/sched/failover.rs
+++ b/src/sched/failover.rs
@@ -56,7 +56,7 @@
 
 /// How an owner fared when it was last heard of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life {
+pub struct OwnerProgress {
     /// When it was first seen, last served, or last came closer to it.
     pub at: Millis,
     /// Pages that it had loaded then; none when it did not load.
@@ -78,66 +78,72 @@
 
 /// What a box does about the owner that it follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Assessment {
     /// It is well, with this sign of life.
-    Follow(Life),
+    Follow(OwnerProgress),
     /// It does not serve, with this last sign of life: its row tells whether it gave the
     /// cell up, or another box has taken its place.
-    Look(Life),
+    CheckRow(OwnerProgress),
     /// Its place is to be taken.
     Replace(Cause),
 }
 
 /// Returns what a box with `own` thousandths of cores does about the owner of `epoch`
 /// that answered a ping so, none for no answer.
-pub fn judge(own: u32, epoch: u64, last: Life, pong: Option<Pong>, now: Millis) -> Verdict {
+pub fn assess_owner(
+    own: u32,
+    epoch: u64,
+    last: OwnerProgress,
+    pong: Option<Pong>,
+    now: Millis,
+) -> Assessment {
     let quiet = now.saturating_sub(last.at);
     match pong {
         Some(Pong::Serves {
             epoch: served,
             confirmed,
-        }) if served == epoch => serves(confirmed, now),
+        }) if served == epoch => assess_serving(confirmed, now),
         Some(Pong::Loads {
             epoch: loaded,
             pages,
             cores,
-        }) if loaded == epoch => loads(own > cores, pages, last, now),
-        None if last.pages.is_some() && quiet <= QUIET => Verdict::Look(last),
-        None => Verdict::Replace(Cause::Silent),
-        Some(_) if quiet > GONE => Verdict::Replace(Cause::Stuck),
-        Some(_) => Verdict::Look(last),
+        }) if loaded == epoch => assess_loading(own > cores, pages, last, now),
+        None if last.pages.is_some() && quiet <= QUIET => Assessment::CheckRow(last),
+        None => Assessment::Replace(Cause::Silent),
+        Some(_) if quiet > GONE => Assessment::Replace(Cause::Stuck),
+        Some(_) => Assessment::CheckRow(last),
     }
 }
 
-fn serves(confirmed: Millis, now: Millis) -> Verdict {
+fn assess_serving(confirmed: Millis, now: Millis) -> Assessment {
     if confirmed > UNCONFIRMED {
-        return Verdict::Replace(Cause::Unconfirmed);
+        return Assessment::Replace(Cause::Unconfirmed);
     }
-    Verdict::Follow(Life {
+    Assessment::Follow(OwnerProgress {
         at: now,
         pages: None,
     })
 }
 
-fn loads(weaker: bool, pages: u64, last: Life, now: Millis) -> Verdict {
+fn assess_loading(weaker: bool, pages: u64, last: OwnerProgress, now: Millis) -> Assessment {
     if weaker {
-        return Verdict::Replace(Cause::Weaker);
+        return Assessment::Replace(Cause::Weaker);
     }
     if last.pages != Some(pages) {
-        return Verdict::Look(Life {
+        return Assessment::CheckRow(OwnerProgress {
             at: now,
             pages: Some(pages),
         });
     }
     match now > last.at + STUCK {
-        true => Verdict::Replace(Cause::Stuck),
-        false => Verdict::Look(last),
+        true => Assessment::Replace(Cause::Stuck),
+        false => Assessment::CheckRow(last),
     }
 }
 
 /// Returns the thousandths of cores with which a box offers itself to a weaker owner: an
 /// owner that made way for one that stops would give the cell to nobody.
-pub fn offered(cores: u32, served: bool, stopping: bool) -> u32 {
+pub fn offered_cores(cores: u32, served: bool, stopping: bool) -> u32 {
     match served && !stopping {
         true => cores,
         false => 0,
@@ -146,23 +152,23 @@
 
 /// Returns the milliseconds that a box with this many thousandths of cores lets pass
 /// before it takes the place of the owner of a row; nobody holds a `vacant` one.
-pub fn pause(cores: u32, before: &OwnerRow, vacant: bool, stagger: Millis) -> Millis {
+pub fn takeover_delay(cores: u32, before: &OwnerRow, vacant: bool, stagger: Millis) -> Millis {
     let still = match vacant {
         true => 0,
         false => STILL + stagger,
     };
-    still + wait(cores, before)
+    still + weaker_box_delay(cores, before)
 }
 
 /// Returns true while no other box can have taken the place of an owner that holds the cell
 /// by a commit sent at `confirmed`.
-pub fn alone(confirmed: Millis, now: Millis) -> bool {
+pub fn holds_cell(confirmed: Millis, now: Millis) -> bool {
     now < confirmed + STILL - DRIFT
 }
 
 /// Returns the milliseconds that a box with this many thousandths of cores waits
 /// longer than others before it takes the place of an owner.
-pub fn wait(cores: u32, before: &OwnerRow) -> Millis {
+pub fn weaker_box_delay(cores: u32, before: &OwnerRow) -> Millis {
     match cores < before.cores {
         true => WEAKER,
         false => 0,
@@ -174,12 +180,12 @@
 ///
 /// Were it the new one's own, a weak box that took the place of a strong one would
 /// be followed by other weak ones, each replaced while it still loads.
-pub fn wanted(own: u32, before: Option<&OwnerRow>) -> u32 {
+pub fn wanted_cores(own: u32, before: Option<&OwnerRow>) -> u32 {
     before.map_or(own, |row| row.cores.max(own))
 }
 
 /// Returns true when an owner that began at `began` makes way for a box with
 /// more cores that the store serves.
-pub fn makes_way(own: u32, other: u32, began: Millis, now: Millis) -> bool {
+pub fn should_make_way(own: u32, other: u32, began: Millis, now: Millis) -> bool {
     other > own && now >= began + SETTLE
 }
--- a/src/sched/predecessors.rs
+++ b/src/sched/predecessors.rs
@@ -7,41 +7,43 @@
 
 /// What earlier owners may still do to workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Legacy {
+pub enum PredecessorState {
     /// There was none.
-    Nothing,
+    Absent,
     /// The last one has ended; its leases run out.
-    Leases,
+    Ended,
     /// The last one may still extend leases, until it hears of its end.
-    Owner,
+    MayServe,
     /// One before the last one may.
-    Chain,
+    EarlierMayServe,
 }
 
-impl Legacy {
+impl PredecessorState {
     /// Returns what the owner of the row `before` may still do when the box
     /// `name` takes its place; a box that follows itself has ended that owner.
-    pub fn of(before: Option<&OwnerRow>, name: &str) -> Self {
+    pub fn from_row(before: Option<&OwnerRow>, name: &str) -> Self {
         match before {
-            None => Self::Nothing,
-            Some(row) if !row.settled => Self::Chain,
-            Some(row) if row.released || &*row.name == name => Self::Leases,
-            Some(_) => Self::Owner,
+            None => Self::Absent,
+            Some(row) if !row.settled => Self::EarlierMayServe,
+            Some(row) if row.released || &*row.name == name => Self::Ended,
+            Some(_) => Self::MayServe,
         }
     }
 
     /// Returns true when no earlier owner can extend a lease any more.
-    pub fn settled(self) -> bool {
-        self <= Self::Leases
+    pub fn all_ended(self) -> bool {
+        self <= Self::Ended
     }
 
     /// Returns when leases given by earlier owners have certainly ended, where
     /// the new one begins at `now`.
     pub fn lease_end(self, bounds: &Bounds, now: Millis) -> Millis {
         match self {
-            Self::Nothing => now,
-            Self::Leases => now + lease_span(bounds.lease),
-            Self::Owner | Self::Chain => now + bounds.unconfirmed + lease_span(bounds.lease),
+            Self::Absent => now,
+            Self::Ended => now + lease_span(bounds.lease),
+            Self::MayServe | Self::EarlierMayServe => {
+                now + bounds.unconfirmed + lease_span(bounds.lease)
+            }
         }
     }
 }
@@ -57,13 +59,13 @@
     followed: Option<OwnerRow>,
     own: &OwnerRow,
 ) -> Vec<(OwnerRow, bool)> {
-    let legacy = Legacy::of(before.as_ref(), &own.name);
-    if legacy < Legacy::Owner {
+    let state = PredecessorState::from_row(before.as_ref(), &own.name);
+    if state < PredecessorState::MayServe {
         return Vec::new();
     }
     let known = before.as_ref().map(|b| (b.name.clone(), b.epoch));
     let followed = followed.filter(|f| Some((f.name.clone(), f.epoch)) != known);
-    let before = before.map(|b| (b, legacy == Legacy::Owner));
+    let before = before.map(|b| (b, state == PredecessorState::MayServe));
     let all = before.into_iter().chain(followed.map(|f| (f, false)));
     let others = all.filter(|(row, _)| row.name != own.name && row.epoch < own.epoch);
     others.collect()
--- a/src/sched/tests/failover.rs
+++ b/src/sched/tests/failover.rs
@@ -2,7 +2,8 @@
 
 use super::world::owner_row;
 use crate::sched::failover::{
-    Cause, Life, Pong, Verdict, judge, makes_way, offered, pause, wait, wanted,
+    Assessment, Cause, OwnerProgress, Pong, assess_owner, offered_cores, should_make_way,
+    takeover_delay, wanted_cores, weaker_box_delay,
 };
 use crate::sched::journal::OwnerRow;
 use crate::utils::clock::Millis;
@@ -13,46 +14,49 @@
         cores: 500,
         ..owner_row(1)
     };
-    assert_eq!(wait(500, &before), 0);
-    assert_eq!(wait(1_000, &before), 0);
-    assert!(wait(120, &before) > 0);
+    assert_eq!(weaker_box_delay(500, &before), 0);
+    assert_eq!(weaker_box_delay(1_000, &before), 0);
+    assert!(weaker_box_delay(120, &before) > 0);
 }
 
 #[test]
 fn an_owner_makes_way_for_more_cores_once_it_has_settled() {
-    assert!(!makes_way(500, 500, 1_000, 60_000));
-    assert!(!makes_way(500, 0, 1_000, 60_000));
-    assert!(!makes_way(120, 500, 1_000, 1_500));
-    assert!(makes_way(120, 500, 1_000, 6_000));
+    assert!(!should_make_way(500, 500, 1_000, 60_000));
+    assert!(!should_make_way(500, 0, 1_000, 60_000));
+    assert!(!should_make_way(120, 500, 1_000, 1_500));
+    assert!(should_make_way(120, 500, 1_000, 6_000));
 }
 
 #[test]
 fn a_weak_owner_is_not_followed_by_weak_ones() {
     let strong = OwnerRow {
-        cores: wanted(500, None),
+        cores: wanted_cores(500, None),
         ..owner_row(1)
     };
     let weak = OwnerRow {
-        cores: wanted(120, Some(&strong)),
+        cores: wanted_cores(120, Some(&strong)),
         ..owner_row(2)
     };
-    assert!(wait(120, &weak) > 0, "strong boxes go first again");
-    assert_eq!(wait(500, &weak), 0);
+    assert!(
+        weaker_box_delay(120, &weak) > 0,
+        "strong boxes go first again"
+    );
+    assert_eq!(weaker_box_delay(500, &weak), 0);
 }
 
-/// Life of an owner that served at 1,000 ms, and of one that had loaded three pages.
-const SERVED: Life = Life {
+/// OwnerProgress of an owner that served at 1,000 ms, and of one that had loaded three pages.
+const SERVED: OwnerProgress = OwnerProgress {
     at: 1_000,
     pages: None,
 };
-const LOADED: Life = Life {
+const LOADED: OwnerProgress = OwnerProgress {
     at: 1_000,
     pages: Some(3),
 };
 
 /// Returns what a box of 500 thousandths of cores does about the owner of epoch 7.
-fn judged(last: Life, pong: Option<Pong>, now: Millis) -> Verdict {
-    judge(500, 7, last, pong, now)
+fn judged(last: OwnerProgress, pong: Option<Pong>, now: Millis) -> Assessment {
+    assess_owner(500, 7, last, pong, now)
 }
 
 fn loads(pages: u64, cores: u32) -> Option<Pong> {
@@ -68,35 +72,38 @@
     let mut last = SERVED;
     for pages in 0..60 {
         let now = last.at + 3_000;
-        let Verdict::Look(life) = judged(last, loads(pages, 500), now) else {
+        let Assessment::CheckRow(life) = judged(last, loads(pages, 500), now) else {
             panic!("replaced after {pages} pages");
         };
         assert_eq!(life.at, now, "page {pages} is a sign of life");
         last = life;
     }
-    assert_eq!(judged(LOADED, loads(3, 500), 4_500), Verdict::Look(LOADED));
-    let stuck = Verdict::Replace(Cause::Stuck);
+    assert_eq!(
+        judged(LOADED, loads(3, 500), 4_500),
+        Assessment::CheckRow(LOADED)
+    );
+    let stuck = Assessment::Replace(Cause::Stuck);
     assert_eq!(judged(LOADED, loads(3, 500), 4_501), stuck);
 }
 
 #[test]
 fn a_box_with_more_cores_does_not_wait_for_one_that_loads() {
-    let weaker = Verdict::Replace(Cause::Weaker);
+    let weaker = Assessment::Replace(Cause::Weaker);
     assert_eq!(judged(LOADED, loads(4, 120), 1_001), weaker);
-    let left = judge(120, 7, LOADED, loads(3, 500), 1_001);
-    assert_eq!(left, Verdict::Look(LOADED));
+    let left = assess_owner(120, 7, LOADED, loads(3, 500), 1_001);
+    assert_eq!(left, Assessment::CheckRow(LOADED));
 }
 
 #[test]
 fn one_that_served_until_now_and_is_no_owner_is_looked_up_first() {
     let idle = Some(Pong::Idle);
-    assert_eq!(judged(SERVED, idle, 1_200), Verdict::Look(SERVED));
+    assert_eq!(judged(SERVED, idle, 1_200), Assessment::CheckRow(SERVED));
     let other = Some(Pong::Serves {
         epoch: 6,
         confirmed: 0,
     });
-    assert_eq!(judged(SERVED, other, 1_200), Verdict::Look(SERVED));
-    let gone = Verdict::Replace(Cause::Stuck);
+    assert_eq!(judged(SERVED, other, 1_200), Assessment::CheckRow(SERVED));
+    let gone = Assessment::Replace(Cause::Stuck);
     assert_eq!(judged(SERVED, idle, 3_500), gone);
 }
 
@@ -108,30 +115,30 @@
             confirmed,
         })
     };
-    let alive = Life {
+    let alive = OwnerProgress {
         at: 90_000,
         pages: None,
     };
-    let follow = Verdict::Follow(alive);
+    let follow = Assessment::Follow(alive);
     assert_eq!(judged(SERVED, serves(300), 90_000), follow);
     assert_eq!(judged(LOADED, serves(300), 90_000), follow);
-    let cut_off = Verdict::Replace(Cause::Unconfirmed);
+    let cut_off = Assessment::Replace(Cause::Unconfirmed);
     assert_eq!(judged(SERVED, serves(1_501), 1_100), cut_off);
 }
 
 #[test]
 fn silence_counts_at_once_for_one_that_serves_and_later_for_one_that_loads() {
-    let silent = Verdict::Replace(Cause::Silent);
+    let silent = Assessment::Replace(Cause::Silent);
     assert_eq!(judged(SERVED, None, 1_100), silent);
-    assert_eq!(judged(LOADED, None, 2_000), Verdict::Look(LOADED));
+    assert_eq!(judged(LOADED, None, 2_000), Assessment::CheckRow(LOADED));
     assert_eq!(judged(LOADED, None, 2_001), silent);
 }
 
 #[test]
 fn a_box_that_stops_or_is_not_served_offers_itself_to_no_owner() {
-    assert_eq!(offered(500, true, false), 500);
-    assert_eq!(offered(500, true, true), 0);
-    assert_eq!(offered(500, false, false), 0);
+    assert_eq!(offered_cores(500, true, false), 500);
+    assert_eq!(offered_cores(500, true, true), 0);
+    assert_eq!(offered_cores(500, false, false), 0);
 }
 
 #[test]
@@ -140,10 +147,13 @@
         cores: 500,
         ..owner_row(1)
     };
-    assert_eq!(pause(500, &before, true, 100), 0);
-    assert_eq!(pause(120, &before, true, 100), wait(120, &before));
+    assert_eq!(takeover_delay(500, &before, true, 100), 0);
+    assert_eq!(
+        takeover_delay(120, &before, true, 100),
+        weaker_box_delay(120, &before)
+    );
     assert!(
-        pause(500, &before, false, 100) > 300,
+        takeover_delay(500, &before, false, 100) > 300,
         "an owner writes each 300"
     );
 }
--- a/src/sched/tests/predecessors.rs
+++ b/src/sched/tests/predecessors.rs
@@ -2,7 +2,7 @@
 
 use super::world::{BOUNDS, owner_row};
 use crate::sched::journal::OwnerRow;
-use crate::sched::predecessors::{Legacy, predecessors};
+use crate::sched::predecessors::{PredecessorState, predecessors};
 use crate::sched::worker::lease_span;
 
 #[test]
@@ -16,23 +16,43 @@
         settled: false,
         ..released.clone()
     };
-    assert_eq!(Legacy::of(None, "b"), Legacy::Nothing);
-    assert_eq!(Legacy::of(Some(&released), "b"), Legacy::Leases);
-    assert_eq!(Legacy::of(Some(&row), &row.name), Legacy::Leases);
-    assert_eq!(Legacy::of(Some(&row), "b"), Legacy::Owner);
-    assert_eq!(Legacy::of(Some(&unsettled), "b"), Legacy::Chain);
-    assert!(Legacy::Nothing.settled() && Legacy::Leases.settled());
-    assert!(!Legacy::Owner.settled() && !Legacy::Chain.settled());
+    assert_eq!(
+        PredecessorState::from_row(None, "b"),
+        PredecessorState::Absent
+    );
+    assert_eq!(
+        PredecessorState::from_row(Some(&released), "b"),
+        PredecessorState::Ended
+    );
+    assert_eq!(
+        PredecessorState::from_row(Some(&row), &row.name),
+        PredecessorState::Ended
+    );
+    assert_eq!(
+        PredecessorState::from_row(Some(&row), "b"),
+        PredecessorState::MayServe
+    );
+    assert_eq!(
+        PredecessorState::from_row(Some(&unsettled), "b"),
+        PredecessorState::EarlierMayServe
+    );
+    assert!(PredecessorState::Absent.all_ended() && PredecessorState::Ended.all_ended());
+    assert!(
+        !PredecessorState::MayServe.all_ended() && !PredecessorState::EarlierMayServe.all_ended()
+    );
 }
 
 #[test]
 fn leases_of_earlier_owners_are_waited_for() {
     let (now, lease) = (7_000, lease_span(BOUNDS.lease));
-    let end = |legacy: Legacy| legacy.lease_end(&BOUNDS, now) - now;
-    assert_eq!(end(Legacy::Nothing), 0);
-    assert_eq!(end(Legacy::Leases), lease);
-    assert_eq!(end(Legacy::Owner), BOUNDS.unconfirmed + lease);
-    assert_eq!(end(Legacy::Chain), BOUNDS.unconfirmed + lease);
+    let end = |state: PredecessorState| state.lease_end(&BOUNDS, now) - now;
+    assert_eq!(end(PredecessorState::Absent), 0);
+    assert_eq!(end(PredecessorState::Ended), lease);
+    assert_eq!(end(PredecessorState::MayServe), BOUNDS.unconfirmed + lease);
+    assert_eq!(
+        end(PredecessorState::EarlierMayServe),
+        BOUNDS.unconfirmed + lease
+    );
 }
 
 /// A box wrote itself into the owner's row, could not load, and did so again. It found its
--- a/src/sched/tests/rolling.rs
+++ b/src/sched/tests/rolling.rs
@@ -4,7 +4,10 @@
 use std::ops::Range;
 
 use super::world::owner_row;
-use crate::sched::failover::{Life, Pong, Verdict, judge, makes_way, offered, pause, wait, wanted};
+use crate::sched::failover::{
+    Assessment, OwnerProgress, Pong, assess_owner, offered_cores, should_make_way, takeover_delay,
+    wanted_cores, weaker_box_delay,
+};
 use crate::sched::journal::OwnerRow;
 use crate::utils::clock::Millis;
 
@@ -40,7 +43,7 @@
     back: Millis,
     duty: Duty,
     seen: OwnerRow,
-    life: Life,
+    life: OwnerProgress,
 }
 
 /// A course of stops.
@@ -81,7 +84,7 @@
             // Looks are spread over the time between two pings.
             duty: Duty::Follows(number as Millis * 37 % PINGS.0),
             seen: row.clone(),
-            life: Life { at: 0, pages: None },
+            life: OwnerProgress { at: 0, pages: None },
         };
         Self {
             now: 0,
@@ -175,19 +178,19 @@
         let lost = self.lost.0 == number && self.lost.1.contains(&now);
         let pong = (!lost).then(|| self.pong(&seen));
         if matches!(pong, Some(Pong::Serves { .. })) {
-            self.offer(seen.epoch, offered(cores, true, stopping));
+            self.offer(seen.epoch, offered_cores(cores, true, stopping));
         }
-        let weaker = wait(cores, &seen) > 0;
+        let weaker = weaker_box_delay(cores, &seen) > 0;
         let next = now + if weaker { PINGS.1 } else { PINGS.0 };
         self.nodes[number].duty = Duty::Follows(next);
         let last = self.nodes[number].life;
-        match judge(cores, seen.epoch, last, pong, now) {
-            Verdict::Follow(life) => self.nodes[number].life = life,
-            Verdict::Look(life) => {
+        match assess_owner(cores, seen.epoch, last, pong, now) {
+            Assessment::Follow(life) => self.nodes[number].life = life,
+            Assessment::CheckRow(life) => {
                 self.nodes[number].life = life;
                 self.read(number, false, stopping);
             }
-            Verdict::Replace(_) => self.read(number, true, stopping),
+            Assessment::Replace(_) => self.read(number, true, stopping),
         }
     }
 
@@ -200,7 +203,7 @@
         };
         let node = &self.nodes[owner];
         if let Duty::Serves(since, _) = node.duty
-            && makes_way(node.cores, cores, since, now)
+            && should_make_way(node.cores, cores, since, now)
         {
             self.release(owner);
         }
@@ -213,7 +216,7 @@
         let node = &mut self.nodes[number];
         let same = node.seen.epoch == row.epoch;
         if !same {
-            node.life = Life {
+            node.life = OwnerProgress {
                 at: now,
                 pages: None,
             };
@@ -221,7 +224,7 @@
         node.seen = row.clone();
         if !stopping && (row.released || suspected && same) {
             let stagger = number as Millis * 13 % 120;
-            let at = now + pause(node.cores, &row, row.released, stagger);
+            let at = now + takeover_delay(node.cores, &row, row.released, stagger);
             node.duty = Duty::Waits(at, version);
         }
     }
@@ -235,14 +238,14 @@
         }
         self.version += 1;
         self.row = OwnerRow {
-            cores: wanted(cores, Some(&self.row)),
+            cores: wanted_cores(cores, Some(&self.row)),
             ..owner_row(self.row.epoch + 1)
         };
         self.weak += usize::from(cores < self.row.cores);
         let node = &mut self.nodes[number];
         node.epoch = self.row.epoch;
         node.seen = self.row.clone();
-        node.life = Life {
+        node.life = OwnerProgress {
             at: now,
             pages: None,
         };
