--- a/src/sched/breaches.rs
+++ b/src/sched/breaches.rs
@@ -15,39 +15,46 @@
 
 /// A time in which a serving task is over its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Spell {
+pub(super) struct Breach {
     /// When a report showed it first.
     pub since: Millis,
     /// When a report showed it last.
     pub last: Millis,
     /// True when the last report shows it.
-    pub shown: bool,
+    pub current: bool,
     /// True once it was logged.
     logged: bool,
 }
 
-impl Spell {
+impl Breach {
     /// Returns the spell after a report; `over` when that shows a tail over the target.
     ///
     /// Gauges are rough: one below the target ends no spell, unless everything beside the
     /// task was halted, which is after `halt` milliseconds.
-    pub fn after(before: Option<Self>, over: bool, halt: Millis, now: Millis) -> Option<Self> {
-        let begun = Self {
+    pub fn after_report(
+        before: Option<Self>,
+        over: bool,
+        halt: Millis,
+        now: Millis,
+    ) -> Option<Self> {
+        let new = Self {
             since: now,
             last: now,
-            shown: true,
+            current: true,
             logged: false,
         };
         match (before, over) {
             (before, true) => Some(Self {
                 last: now,
-                shown: true,
-                ..before.unwrap_or(begun)
+                current: true,
+                ..before.unwrap_or(new)
             }),
-            (Some(spell), false) if now < spell.last + SPAN && spell.length(spell.last) < halt => {
+            (Some(breach), false)
+                if now < breach.last + SPAN && breach.duration(breach.last) < halt =>
+            {
                 Some(Self {
-                    shown: false,
-                    ..spell
+                    current: false,
+                    ..breach
                 })
             }
             _ => None,
@@ -55,14 +62,14 @@
     }
 
     /// Returns its length so far, in milliseconds.
-    pub fn length(self, now: Millis) -> Millis {
+    pub fn duration(self, now: Millis) -> Millis {
         now - self.since
     }
 }
 
 impl Owner {
     /// Logs a spell that goes on and one that has ended, and counts the latter.
-    pub(super) fn report_spell(&mut self, name: &Name, key: TaskKey, before: Option<Spell>) {
+    pub(super) fn report_breach(&mut self, name: &Name, key: TaskKey, before: Option<Breach>) {
         let now = self.now.steady;
         let Some(worker) = self.workers.get(name) else {
             return;
@@ -75,18 +82,18 @@
         };
         let (task, run, target) = (self.task_name(key), placement.run, placement.target);
         let (tail, own) = (gauge.tail, gauge.own_load);
-        match (before, gauge.spell) {
-            (_, Some(spell)) if !spell.logged && spell.length(now) >= LOGGED => {
-                let beside = self.fillers_text(worker);
-                log::info!(target: "task", "task={task} run={run} event=over-target worker={name} tail_ms={tail} target_ms={target} over_ms={} own_load={own:.2} beside={beside}", spell.length(now));
+        match (before, gauge.breach) {
+            (_, Some(breach)) if !breach.logged && breach.duration(now) >= LOGGED => {
+                let beside = self.best_effort_text(worker);
+                log::info!(target: "task", "task={task} run={run} event=over-target worker={name} tail_ms={tail} target_ms={target} over_ms={} own_load={own:.2} beside={beside}", breach.duration(now));
                 self.mark_logged(name, key);
             }
-            (Some(spell), None) => {
-                let seconds = spell.length(spell.last) as f64 / 1_000.0;
+            (Some(breach), None) => {
+                let seconds = breach.duration(breach.last) as f64 / 1_000.0;
                 metrics::observe_over_target(&placement.image, seconds);
-                if spell.logged {
-                    let beside = self.fillers_text(worker);
-                    log::info!(target: "task", "task={task} run={run} event=under-target worker={name} tail_ms={tail} target_ms={target} over_ms={} own_load={own:.2} beside={beside}", spell.length(spell.last));
+                if breach.logged {
+                    let beside = self.best_effort_text(worker);
+                    log::info!(target: "task", "task={task} run={run} event=under-target worker={name} tail_ms={tail} target_ms={target} over_ms={} own_load={own:.2} beside={beside}", breach.duration(breach.last));
                 }
             }
             _ => {}
@@ -95,34 +102,34 @@
 
     /// Takes in that a serving task reports no tail, as it has no users or does not run yet:
     /// its worker would be kept from fillers for good.
-    pub(super) fn report_no_tail(&mut self, name: &Name, run: &Listed<'_>) {
+    pub(super) fn record_missing_tail(&mut self, name: &Name, run: &Listed<'_>) {
         let now = self.now.steady;
         let (Some(key), Some(worker)) = (run.key, self.workers.get_mut(name)) else {
             return;
         };
         let placement = worker.placements.get(&key);
         let gauge = placement.and_then(|p| p.gauge.clone());
-        let Some(gauge) = gauge.filter(|g| g.spell.is_some()) else {
+        let Some(gauge) = gauge.filter(|g| g.breach.is_some()) else {
             return;
         };
-        let before = gauge.spell;
-        let spell = Spell::after(before, false, self.bounds.halt(), now);
-        worker.measure(key, Gauge { spell, ..gauge });
-        self.report_spell(name, key, before);
+        let before = gauge.breach;
+        let breach = Breach::after_report(before, false, self.bounds.halt(), now);
+        worker.measure(key, Gauge { breach, ..gauge });
+        self.report_breach(name, key, before);
     }
 
     fn mark_logged(&mut self, name: &Name, key: TaskKey) {
         let worker = self.workers.get_mut(name);
         let placement = worker.and_then(|w| w.placements.get_mut(&key));
         let gauge = placement.and_then(|p| p.gauge.as_mut());
-        if let Some(spell) = gauge.and_then(|g| g.spell.as_mut()) {
-            spell.logged = true;
+        if let Some(breach) = gauge.and_then(|g| g.breach.as_mut()) {
+            breach.logged = true;
         }
     }
 
     /// Returns the fillers of a worker for log lines: task, stage, ordered pace in percent
     /// and its age in milliseconds, processors used by the last report over those wished for.
-    fn fillers_text(&self, worker: &Worker) -> String {
+    fn best_effort_text(&self, worker: &Worker) -> String {
         let fillers = worker.placements.iter().filter(|(_, p)| p.best_effort);
         let text = |(key, p): (&TaskKey, &Placement)| {
             let used = p.in_use.map_or("?".into(), |used| used.to_string());
@@ -145,9 +152,9 @@
     }
 
     /// Sets the gauge of the longest spell that goes on.
-    pub(super) fn show_spells(&self) {
-        let spells = self.workers.values().filter_map(|w| w.over_since);
-        let longest = spells.min().map_or(0, |since| self.now.steady - since);
+    pub(super) fn export_longest_breach(&self) {
+        let breaches = self.workers.values().filter_map(|w| w.over_since);
+        let longest = breaches.min().map_or(0, |since| self.now.steady - since);
         metrics::get().over.set(longest as i64);
     }
 }
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -1,7 +1,7 @@
 //! What workers report of their load: the tails of serving tasks, and what fillers
 //! use beside them.
 
-use super::breaches::Spell;
+use super::breaches::Breach;
 use super::interference::ImageNumber;
 use super::owner::Owner;
 use super::placement::Gauge;
@@ -84,18 +84,18 @@
         let measured = (busy - pressed).clamp(0.0, busy);
         self.loads.note(step, key.index, measured, variance, now);
         let own_load = self.loads.of(step, key.index, now).load.clamp(0.0, busy);
-        let before = placement.gauge.as_ref().and_then(|g| g.spell);
+        let before = placement.gauge.as_ref().and_then(|g| g.breach);
         let over = run.gauge * WHOLE > placement.target * NEAR;
         let gauge = Gauge {
             busy,
             tail: run.gauge,
-            spell: Spell::after(before, over, self.bounds.halt(), now),
+            breach: Breach::after_report(before, over, self.bounds.halt(), now),
             own_load,
         };
         let number = placement.image_number;
         worker.measure(key, gauge.clone());
-        if before.is_some() || gauge.spell.is_some() {
-            self.report_spell(name, key, before);
+        if before.is_some() || gauge.breach.is_some() {
+            self.report_breach(name, key, before);
         }
         Some((number, gauge))
     }
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -379,7 +379,7 @@
             self.release(number);
         }
         self.measure_backlog();
-        self.show_spells();
+        self.export_longest_breach();
         self.tidy();
         self.refuse_parked();
         self.loads.forget_old(self.now.steady);
--- a/src/sched/placement.rs
+++ b/src/sched/placement.rs
@@ -1,6 +1,6 @@
 //! A task that was given to a worker, and how far it is there.
 
-use super::breaches::Spell;
+use super::breaches::Breach;
 use super::incarnation::Boot;
 use super::interference::ImageNumber;
 use super::spec::Resources;
@@ -104,8 +104,8 @@
     pub busy: f64,
     /// Its tail, in milliseconds.
     pub tail: Millis,
-    /// The spell over its target that goes on.
-    pub spell: Option<Spell>,
+    /// The ongoing breach of the latency target.
+    pub breach: Option<Breach>,
     /// The part of it that is its own load, as estimated.
     pub own_load: f64,
 }
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -225,7 +225,7 @@
         }
         if step.lasting {
             // One that does badly where it is loses least.
-            let over = run.gauge.as_ref().is_some_and(|g| g.spell.is_some());
+            let over = run.gauge.as_ref().is_some_and(|g| g.breach.is_some());
             return Some(if over { run.cpu / 2 } else { run.cpu });
         }
         let done = (self.now.steady - run.since) * run.cpu / 1_000;
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -67,7 +67,7 @@
                 None => WAIT,
             };
             let mixed = worker.beside.mixed();
-            // A spell over target is to end soon, however many workers there are.
+            // A breach of a latency target is to end soon, however many workers there are.
             let watch = if worker.over_target() { WATCH } else { watch };
             worker.contact = Contact::Open(now);
             self.actions.push(Action::Hold(Hold {
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -121,7 +121,7 @@
         let mut high = false;
         for run in running {
             if run.run.gauge == 0 {
-                self.report_no_tail(name, run);
+                self.record_missing_tail(name, run);
                 continue;
             }
             let Some((victim, gauge)) = self.gauge(name, run, &mix) else {
@@ -131,8 +131,8 @@
             let expected = gauge.own_load + fillers.iter().map(part).sum::<f64>();
             high |= gauge.busy.max(expected) > HIGH + stretch;
             if gauge
-                .spell
-                .is_some_and(|spell| spell.shown && spell.length(now) >= halt)
+                .breach
+                .is_some_and(|breach| breach.current && breach.duration(now) >= halt)
             {
                 fillers.iter_mut().for_each(|f| f.wanted = 0.0);
                 high = true;
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -248,7 +248,7 @@
         self.soft -= placement.soft;
         self.lasting -= u32::from(placement.lasting);
         if placement.serving {
-            self.settle_over();
+            self.update_over_since();
         }
     }
 
@@ -295,15 +295,15 @@
         if let Some(placement) = self.placements.get_mut(&key) {
             placement.gauge = Some(gauge);
         }
-        self.settle_over();
+        self.update_over_since();
     }
 
-    /// Finds the longest spell that the last report shows there.
-    fn settle_over(&mut self) {
+    /// Updates the start of the longest breach that the last report shows.
+    fn update_over_since(&mut self) {
         let gauges = self.placements.values().filter_map(|p| p.gauge.as_ref());
-        let spells = gauges.filter_map(|g| g.spell);
-        let shown = spells.filter(|s| s.shown);
-        self.over_since = shown.map(|s| s.since).min();
+        let breaches = gauges.filter_map(|g| g.breach);
+        let current = breaches.filter(|s| s.current);
+        self.over_since = current.map(|s| s.since).min();
     }
 
     /// Returns the processor share that work other than fillers takes.
