--- a/src/sched.rs
+++ b/src/sched.rs
@@ -2,10 +2,10 @@
 //!
 //! The way of a job: accepted (`asks`), kept (`journal`, `commits`), placed
 //! (`order`, `placing`, `gang`, `choice`, `permits`, `preempt`), started and
-//! stopped (`starts`, `late`), watched (`reports`), ended (`completions`), shown (`asks`); once it is
+//! stopped (`starts`, `late_starts`), watched (`reports`), ended (`completions`), shown (`asks`); once it is
 //! over, `history` knows what callers may still ask.
-//! Workers come and go by `directory` and `silence`, get nothing new by `cordon`, and are
-//! asked in turn by `agenda`; `addresses` tells who was listed where. What they report of
+//! Workers come and go by `directory` and `lost_workers`, get nothing new by `cordon`, and are
+//! asked in turn by `poll_schedule`; `addresses` tells who was listed where. What they report of
 //! their load is taken in by `gauges` (with `recently_ended` and `loads`) and becomes what
 //! `interference` knows; `throttling` and `swaps` keep fillers from slowing serving tasks by it, a little less so
 //! while `backlog` is long. `predecessors` tells what earlier owners may still do, `failover`
@@ -14,7 +14,6 @@
 
 mod addresses;
 mod admission;
-mod agenda;
 mod asks;
 mod backlog;
 mod breaches;
@@ -33,8 +32,9 @@
 mod interference;
 pub mod job;
 pub mod journal;
-mod late;
+mod late_starts;
 mod loads;
+mod lost_workers;
 pub mod mechanisms;
 pub mod message;
 mod order;
@@ -42,11 +42,11 @@
 mod permits;
 mod placement;
 mod placing;
+mod poll_schedule;
 pub mod predecessors;
 mod preempt;
 mod recently_ended;
 mod reports;
-mod silence;
 pub mod spec;
 mod starts;
 mod swaps;
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -5,10 +5,10 @@
 
 use super::incarnation::{Standing, standing};
 use super::job::TaskKey;
+use super::lost_workers::Ending;
 use super::message::Entry;
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
-use super::silence::Ending;
 use super::worker::{Listing, Presence, Worker};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -15,10 +15,10 @@
 
 use super::crashes::Crash;
 use super::job::TaskKey;
+use super::lost_workers::Ending;
 use super::message::Report;
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
-use super::silence::Ending;
 use super::throttling::FULL_SPEED;
 use super::worker::{Worker, lease_span};
 use crate::utils::Name;
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -3,19 +3,19 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use super::addresses::Addresses;
-use super::agenda::Agenda;
 use super::choice::Ranking;
 use super::crashes::Provisional;
 use super::history::History;
 use super::interference::Pressure;
 use super::job::{Job, JobRow, Outcome, Phase, StepKey, TaskKey};
 use super::journal::Journal;
-use super::late::LateStart;
+use super::late_starts::LateStart;
 use super::loads::Loads;
 use super::mechanisms::Switches;
 use super::message::{Action, Answer, Event, Ticket};
 use super::permits::Permits;
 use super::placement::Placement;
+use super::poll_schedule::Agenda;
 use super::spec::JobSpec;
 use super::starts::Deferral;
 use super::worker::{Worker, lease_span};
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -4,10 +4,10 @@
 
 use super::incarnation::{Incarnation, Standing, standing};
 use super::job::TaskKey;
+use super::lost_workers::Ending;
 use super::message::{Action, Refusal, Reply, Start, Stop, Word};
 use super::owner::Owner;
 use super::placement::Stage;
-use super::silence::Ending;
 use super::spec::Resources;
 use super::worker::Worker;
 use crate::utils::Name;
