--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -66,7 +66,7 @@
     for listener in [Some(admin), metrics].into_iter().flatten() {
         monoio::spawn(admin::serve(listener, shared.clone()));
     }
-    monoio::spawn(feeds::config(shared.clone()));
+    monoio::spawn(feeds::follow_config(shared.clone()));
     monoio::spawn(owner_task::run(shared.clone(), receiver));
     monoio::spawn(follower::run(shared.clone(), nudged));
     let mut suspension = Suspension::begin();
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -24,13 +24,13 @@
     match request.uri.path() {
         "/ready" if shared.is_ready() => Reply::text(StatusCode::OK, "ready\n"),
         "/ready" => Reply::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-        "/metrics" => Reply::text(StatusCode::OK, text(shared)),
+        "/metrics" => Reply::text(StatusCode::OK, metrics_text(shared)),
         _ => Reply::text(StatusCode::NOT_FOUND, "try /ready or /metrics\n"),
     }
 }
 
 /// Returns all metrics as text, with what grows while nothing happens.
-fn text(shared: &Shared) -> String {
+fn metrics_text(shared: &Shared) -> String {
     let metrics = metrics::get();
     metrics.unserved.set(shared.unserved_ms() as i64);
     metrics.others.set(shared.peer_addresses().count() as i64);
--- a/src/daemon/commits.rs
+++ b/src/daemon/commits.rs
@@ -14,15 +14,20 @@
 
 /// Longest wait for a commit's answer, in milliseconds: twice that of a store
 /// 60 times slower than usual.
-const LONGEST: Millis = 1_500;
+const COMMIT_TIMEOUT: Millis = 1_500;
 /// Milliseconds of a read that tell of a store that is not slow; it usually
 /// takes 5.
-const QUICK: Millis = 60;
+const FAST_READ: Millis = 60;
 /// Pause before a slow store is asked again.
-const PAUSE: Millis = 100;
+const READ_PAUSE: Millis = 100;
 
 /// Writes rows on the condition that the owner's row has a version.
-pub async fn commit(shared: &Shared, version: u64, writes: &[Write], limit: Millis) -> Written {
+pub async fn commit_if_version(
+    shared: &Shared,
+    version: u64,
+    writes: &[Write],
+    limit: Millis,
+) -> Written {
     crate::metrics::get().calls.inc();
     let condition = (OWNER_TABLE, OWNER_KEY.into(), version);
     shared
@@ -33,19 +38,19 @@
 
 /// Writes the commit `number` of the owner in this process.
 ///
-/// Without an answer after `patience` milliseconds, the owner's row is read: it
+/// Without an answer after `answer_wait` milliseconds, the owner's row is read: it
 /// may tell that the commit took effect, or, read quickly, that the answer was
 /// lost. While reads are slow too, the store is slow, and another commit would
 /// only wait behind this one.
-pub async fn commit_own(
+pub async fn commit_as_owner(
     shared: &Shared,
     number: u64,
     version: u64,
     writes: &[Write],
-    patience: Millis,
+    answer_wait: Millis,
 ) -> Written {
-    let mut commit = pin!(commit(shared, version, writes, LONGEST));
-    let pause = pin!(sleep(Duration::from_millis(patience)));
+    let mut commit = pin!(commit_if_version(shared, version, writes, COMMIT_TIMEOUT));
+    let pause = pin!(sleep(Duration::from_millis(answer_wait)));
     if let Either::Left((written, _)) = select(commit.as_mut(), pause).await {
         return written;
     }
@@ -63,14 +68,14 @@
                 log::info!(target: "store", "event=commit-found number={number} version={}", seen.version);
                 return Written::Done(seen.version);
             }
-            Ok(_) if took < QUICK => {
+            Ok(_) if took < FAST_READ => {
                 log::info!(target: "store", "event=commit-in-doubt number={number} cause=\"no answer\"");
                 return Written::Unknown;
             }
             Ok(_) => {}
             Err(e) => log::debug!(target: "store", "event=owner-unread cause=\"{e}\""),
         }
-        let pause = pin!(sleep(Duration::from_millis(PAUSE)));
+        let pause = pin!(sleep(Duration::from_millis(READ_PAUSE)));
         if let Either::Left((written, _)) = select(commit.as_mut(), pause).await {
             return written;
         }
--- a/src/daemon/feeds.rs
+++ b/src/daemon/feeds.rs
@@ -6,7 +6,7 @@
 use monoio::time::sleep;
 
 use super::message::Message;
-use super::owner_row::READ;
+use super::owner_row::READ_TIMEOUT;
 use super::shared::Shared;
 use crate::platform::store::{Page, StoreError};
 use crate::platform::{config, directory};
@@ -16,12 +16,12 @@
 /// Milliseconds that a feed waits for a change. The platform allows 30,000, but
 /// a connection that fell silent is noticed only after this wait, and a
 /// configuration has to be in force 2 s after the store took it.
-const WAIT: Millis = 800;
+const FEED_WAIT: Millis = 800;
 /// Pause after a feed that failed.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Follows the configuration and which halls are cordoned for ever.
-pub async fn config(shared: Rc<Shared>) {
+pub async fn follow_config(shared: Rc<Shared>) {
     let take = |page: Page, whole: bool| {
         shared.apply_cordons(config::cordons(&page), whole.then_some(page.version));
         let rows = page.rows.into_iter();
@@ -29,11 +29,11 @@
             shared.apply_config(row, "store");
         }
     };
-    follow(&shared, config::TABLE, take, || true).await;
+    follow_table(&shared, config::TABLE, take, || true).await;
 }
 
 /// Follows the directory while the owner of `epoch` is in this process.
-pub async fn directory(shared: Rc<Shared>, epoch: u64) {
+pub async fn follow_directory(shared: Rc<Shared>, epoch: u64) {
     let take = |page: Page, whole: bool| {
         let entries = directory::entries(page, &shared.queues());
         let event = match whole {
@@ -47,18 +47,23 @@
         // Entries of a service that was not named when they were read were passed over.
         let read = shared.queues().services().clone();
         let go_on = || leading() && *shared.queues().services() == read;
-        follow(&shared, directory::TABLE, take, go_on).await;
+        follow_table(&shared, directory::TABLE, take, go_on).await;
     }
 }
 
 /// Reads a table, then takes in its changes in their order.
-async fn follow(shared: &Shared, table: &str, take: impl Fn(Page, bool), go_on: impl Fn() -> bool) {
+async fn follow_table(
+    shared: &Shared,
+    table: &str,
+    take: impl Fn(Page, bool),
+    go_on: impl Fn() -> bool,
+) {
     let mut version = None;
     let mut healthy = true;
     while go_on() {
         let read = match version {
-            None => shared.store.read(table, "", READ).await,
-            Some(version) => shared.store.feed(table, version, WAIT).await,
+            None => shared.store.read(table, "", READ_TIMEOUT).await,
+            Some(version) => shared.store.feed(table, version, FEED_WAIT).await,
         };
         match read {
             Ok(page) => {
@@ -82,7 +87,7 @@
                     log::warn!(target: "store", "event=feed-lost table={table} cause=\"{e}\"");
                     healthy = false;
                 }
-                sleep(PAUSE).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
--- a/src/daemon/frontend.rs
+++ b/src/daemon/frontend.rs
@@ -163,7 +163,7 @@
 /// Asks the owner in this process; none when it does not answer in time.
 pub async fn ask_here(shared: &Shared, ask: JobRequest, left: Millis) -> Option<Answer> {
     let (reply, answer) = oneshot::channel();
-    shared.send_to_owner(Message::Ask(ask, reply));
+    shared.send_to_owner(Message::Request(ask, reply));
     timeout(Duration::from_millis(left), answer)
         .await
         .ok()?
--- a/src/daemon/history.rs
+++ b/src/daemon/history.rs
@@ -6,7 +6,7 @@
 use monoio::time::sleep;
 
 use super::message::Message;
-use super::owner_row::READ;
+use super::owner_row::READ_TIMEOUT;
 use super::shared::{STORE_PART, Shared};
 use crate::sched::history::{HistoryPage, HistoryRow};
 use crate::sched::job::Outcome;
@@ -18,18 +18,18 @@
 /// these are small.
 const PAGE: usize = 500;
 /// Pause after a page that could not be read.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Reads the jobs that are over while the owner of `epoch` is in this process.
-pub async fn read(shared: Rc<Shared>, epoch: u64) {
+pub async fn load(shared: Rc<Shared>, epoch: u64) {
     let mut from = String::new();
     while shared.local_epoch() == Some(epoch) {
         let read = shared
             .store
-            .page(HISTORY_TABLE, STORE_PART, &from, PAGE, READ);
+            .page(HISTORY_TABLE, STORE_PART, &from, PAGE, READ_TIMEOUT);
         match read.await {
             Ok(read) => {
-                let page = page(&read.rows, read.next.is_none());
+                let page = decode_page(&read.rows, read.next.is_none());
                 shared.send_to_owner(Message::Event(epoch, Event::History(page)));
                 let Some(next) = read.next else {
                     return;
@@ -38,14 +38,14 @@
             }
             Err(e) => {
                 log::warn!(target: "owner", "event=past-unread epoch={epoch} cause=\"{e}\"");
-                sleep(PAUSE).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
 /// Returns the jobs out of their rows; `last` when no page follows.
-pub(super) fn page(rows: &[Row], last: bool) -> HistoryPage {
+pub(super) fn decode_page(rows: &[Row], last: bool) -> HistoryPage {
     let mut page = HistoryPage {
         last,
         ..HistoryPage::default()
--- a/src/daemon/message.rs
+++ b/src/daemon/message.rs
@@ -9,7 +9,7 @@
 /// What the task is told.
 pub enum Message {
     /// A caller asks.
-    Ask(JobRequest, oneshot::Sender<Answer>),
+    Request(JobRequest, oneshot::Sender<Answer>),
     /// This box has become the owner of an epoch, in so many milliseconds.
     Begin(Box<Owner>, u64, Millis),
     /// Something happened to the owner of an epoch.
@@ -21,7 +21,7 @@
     /// The settings have changed.
     Bounds(Bounds),
     /// A box with more cores, in thousandths, could be the owner.
-    Stronger(u32),
+    StrongerBox(u32),
     /// Give the cell up.
     Resign,
 }
--- a/src/daemon/owner_row.rs
+++ b/src/daemon/owner_row.rs
@@ -12,19 +12,22 @@
 use crate::utils::clock::{self, Millis};
 
 /// Milliseconds for the answer to a read, several times that of a slow store.
-pub const READ: Millis = 1_500;
+pub const READ_TIMEOUT: Millis = 1_500;
 /// Milliseconds of the pause after a call to the store that failed.
 pub const STORE_PAUSE: Millis = 250;
 
 /// Lets some time pass after a failed call to the store.
-pub async fn store_failed(e: &StoreError) {
+pub async fn pause_after_failure(e: &StoreError) {
     log::debug!(target: "member", "event=owner-unread cause=\"{e}\"");
     sleep(Duration::from_millis(STORE_PAUSE)).await;
 }
 
 /// Reads the owner's row.
 pub async fn read_owner(shared: &Shared) -> Result<Option<KnownOwner>, StoreError> {
-    let page = shared.store.read(OWNER_TABLE, STORE_PART, READ).await?;
+    let page = shared
+        .store
+        .read(OWNER_TABLE, STORE_PART, READ_TIMEOUT)
+        .await?;
     let row = page.rows.iter().find(|r| &*r.key == OWNER_KEY);
     Ok(row.and_then(|row| {
         Some(KnownOwner {
@@ -39,7 +42,7 @@
 }
 
 /// Follows the owner that the store names.
-pub fn adopt(shared: &Shared, mut seen: Option<KnownOwner>) {
+pub fn adopt_owner(shared: &Shared, mut seen: Option<KnownOwner>) {
     if let Some(seen) = &mut seen {
         let before = shared.owner();
         match before.filter(|b| b.row.epoch == seen.row.epoch) {
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -8,7 +8,7 @@
 use futures::channel::{mpsc, oneshot};
 use monoio::time::timeout;
 
-use super::commits::commit_own;
+use super::commits::commit_as_owner;
 use super::feeds;
 use super::history;
 use super::message::Message;
@@ -21,24 +21,24 @@
 
 /// Shortest and longest wait for a commit's answer, in milliseconds, before
 /// its fate is asked for: many times the usual, and that of a slow store.
-const PATIENCE: std::ops::RangeInclusive<Millis> = 120..=900;
+const ANSWER_WAIT: std::ops::RangeInclusive<Millis> = 120..=900;
 /// Answers of a commit take at most this many times the last one.
 const COMMIT_SPREAD: Millis = 3;
 
 /// An owner in this process.
-struct Lead {
+struct LocalOwner {
     owner: Owner,
     term: Term,
     /// Callers that wait for an answer.
     tickets: HashMap<Ticket, oneshot::Sender<Answer>>,
     next_ticket: Ticket,
-    patience: Millis,
+    answer_wait: Millis,
     commit_sent: Millis,
 }
 
 /// Runs until the process ends.
 pub async fn run(shared: Rc<Shared>, mut receiver: mpsc::UnboundedReceiver<Message>) {
-    let mut lead: Option<Lead> = None;
+    let mut lead: Option<LocalOwner> = None;
     let mut woke = clock::now();
     loop {
         let wait = lead.as_ref().map_or(1_000, |l| l.owner.wait(now()));
@@ -52,54 +52,56 @@
         let mut next = match message {
             Ok(Some(message)) => Some(message),
             Ok(None) => return,
-            Err(_) => Some(tick(&lead)),
+            Err(_) => Some(tick_message(&lead)),
         };
         while let Some(message) = next {
-            take(&shared, &mut lead, message);
+            handle_message(&shared, &mut lead, message);
             next = receiver.try_recv().ok();
         }
-        finish(&shared, &mut lead);
+        end_if_over(&shared, &mut lead);
     }
 }
 
-fn tick(lead: &Option<Lead>) -> Message {
+fn tick_message(lead: &Option<LocalOwner>) -> Message {
     Message::Event(lead.as_ref().map_or(0, |l| l.term.epoch), Event::Tick)
 }
 
-fn take(shared: &Rc<Shared>, lead: &mut Option<Lead>, message: Message) {
+fn handle_message(shared: &Rc<Shared>, lead: &mut Option<LocalOwner>, message: Message) {
     match (message, lead.as_mut()) {
         // One whose load was ended meanwhile, by word of a later owner, never acts.
         (Message::Begin(owner, epoch, load), _) if shared.is_loading(epoch) => {
-            *lead = Some(begin(*owner, epoch, load));
+            *lead = Some(begin_term(*owner, epoch, load));
             shared.set_local_epoch(Some(epoch));
             shared.set_loading(None);
             // Nothing is started before: another owner may have known of a cordon.
             if let Some(halls) = shared.cordoned() {
                 shared.send_to_owner(Message::Event(epoch, Event::Cordoned(halls)));
             }
-            monoio::spawn(feeds::directory(shared.clone(), epoch));
-            monoio::spawn(history::read(shared.clone(), epoch));
+            monoio::spawn(feeds::follow_directory(shared.clone(), epoch));
+            monoio::spawn(history::load(shared.clone(), epoch));
             if shared.is_stopping() {
                 shared.send_to_owner(Message::Resign);
             }
         }
-        (Message::Ask(ask, reply), Some(lead)) => {
+        (Message::Request(ask, reply), Some(lead)) => {
             let ticket = lead.next_ticket;
             lead.next_ticket += 1;
             lead.tickets.insert(ticket, reply);
-            lead.step(shared, Event::Request(ticket, ask));
+            lead.apply_event(shared, Event::Request(ticket, ask));
         }
         (Message::Event(epoch, event), Some(lead)) if epoch == lead.term.epoch => {
-            lead.step(shared, event);
+            lead.apply_event(shared, event);
         }
         (Message::PredecessorEnded(epoch), Some(lead)) if epoch == lead.term.epoch => {
             lead.owner.predecessor_ended(now());
         }
         (Message::Superseded(epoch), Some(held)) if epoch > held.term.epoch => {
-            end(shared, lead, "superseded");
+            end_term(shared, lead, "superseded");
         }
         (Message::Bounds(bounds), Some(lead)) => lead.owner.rebound(bounds),
-        (Message::Stronger(cores), Some(lead)) => lead.make_way(shared.settings.cores, cores),
+        (Message::StrongerBox(cores), Some(lead)) => {
+            lead.yield_to_stronger(shared.settings.cores, cores)
+        }
         (Message::Resign, Some(lead)) => {
             lead.owner.resign(now());
         }
@@ -108,19 +110,19 @@
     }
 }
 
-fn begin(owner: Owner, epoch: u64, load: Millis) -> Lead {
-    Lead {
+fn begin_term(owner: Owner, epoch: u64, load: Millis) -> LocalOwner {
+    LocalOwner {
         term: Term::begin(epoch, load, clock::now()),
         owner,
         tickets: HashMap::new(),
         next_ticket: 1,
-        patience: *PATIENCE.start(),
+        answer_wait: *ANSWER_WAIT.start(),
         commit_sent: 0,
     }
 }
 
-fn end(shared: &Shared, lead: &mut Option<Lead>, reason: &'static str) {
-    if let Some(Lead { owner, term, .. }) = lead.take() {
+fn end_term(shared: &Shared, lead: &mut Option<LocalOwner>, reason: &'static str) {
+    if let Some(LocalOwner { owner, term, .. }) = lead.take() {
         term.end(&owner, reason, clock::now());
     }
     shared.set_local_epoch(None);
@@ -128,37 +130,37 @@
 }
 
 /// Ends an owner that was replaced or has given the cell up.
-fn finish(shared: &Shared, lead: &mut Option<Lead>) {
+fn end_if_over(shared: &Shared, lead: &mut Option<LocalOwner>) {
     let Some(held) = lead else {
         return;
     };
     shared.set_confirmed(held.owner.confirmed());
     held.term.show(&held.owner, clock::now());
     if held.owner.deposed() {
-        end(shared, lead, "deposed");
+        end_term(shared, lead, "deposed");
     } else if held.owner.released() {
-        end(shared, lead, "released");
+        end_term(shared, lead, "released");
     } else if shared.local_epoch() != Some(held.term.epoch) {
-        end(shared, lead, "superseded");
+        end_term(shared, lead, "superseded");
     }
 }
 
-impl Lead {
-    fn step(&mut self, shared: &Rc<Shared>, event: Event) {
+impl LocalOwner {
+    fn apply_event(&mut self, shared: &Rc<Shared>, event: Event) {
         if let Event::Written(_, written) = &event {
-            self.pace_commits(written);
+            self.adapt_answer_wait(written);
         }
         let (kind, begun) = (event.kind(), clock::micros());
         let actions = self.owner.step(event, now());
         let ended = clock::micros();
         self.term.spent(kind, ended - begun, ended / 1_000);
         for action in actions {
-            self.act(shared, action);
+            self.perform(shared, action);
         }
     }
 
     /// Makes way for a box with more cores, once this owner has settled.
-    fn make_way(&mut self, own: u32, other: u32) {
+    fn yield_to_stronger(&mut self, own: u32, other: u32) {
         if self.owner.gives_up()
             || !failover::should_make_way(own, other, self.term.began, clock::now())
         {
@@ -169,18 +171,18 @@
     }
 
     /// Waits longer for the next commit while the store is slow.
-    fn pace_commits(&mut self, written: &Written) {
+    fn adapt_answer_wait(&mut self, written: &Written) {
         let took = clock::now() - self.commit_sent;
         let seconds = took as f64 / 1_000.0;
         crate::metrics::get().commit_seconds.observe(seconds);
         let wished = match written {
-            Written::Unknown => self.patience,
+            Written::Unknown => self.answer_wait,
             _ => took * COMMIT_SPREAD,
         };
-        self.patience = wished.clamp(*PATIENCE.start(), *PATIENCE.end());
+        self.answer_wait = wished.clamp(*ANSWER_WAIT.start(), *ANSWER_WAIT.end());
     }
 
-    fn act(&mut self, shared: &Rc<Shared>, action: Action) {
+    fn perform(&mut self, shared: &Rc<Shared>, action: Action) {
         let epoch = self.term.epoch;
         match action {
             Action::Reply(ticket, answer) => {
@@ -190,25 +192,25 @@
                 }
             }
             Action::Hold(hold) => {
-                tell(shared, epoch, async move |shared| {
+                spawn_call(shared, epoch, async move |shared| {
                     let reply = shared.workers.hold(&hold).await;
                     Event::Held(hold, reply)
                 });
             }
             Action::Start(start) => {
-                tell(shared, epoch, async move |shared| {
+                spawn_call(shared, epoch, async move |shared| {
                     let reply = shared.workers.start(&start).await;
                     Event::Started(start.key, start.run, start.incarnation, reply)
                 });
             }
             Action::Stop(stop) => {
-                tell(shared, epoch, async move |shared| {
+                spawn_call(shared, epoch, async move |shared| {
                     let reply = shared.workers.stop(&stop).await;
                     Event::Stopped(stop.key, stop.run, stop.incarnation, reply)
                 });
             }
             Action::Throttle(throttle) => {
-                tell(shared, epoch, async move |shared| {
+                spawn_call(shared, epoch, async move |shared| {
                     let reply = shared.workers.throttle(&throttle).await;
                     Event::Throttled(
                         throttle.key,
@@ -220,7 +222,7 @@
                 });
             }
             Action::Advise(question) => {
-                tell(shared, epoch, async move |shared| {
+                spawn_call(shared, epoch, async move |shared| {
                     let reply = shared.advisor.ask(&question).await;
                     Event::Advised(question.step, question.workers, reply)
                 });
@@ -231,9 +233,10 @@
                 writes,
             } => {
                 self.commit_sent = clock::now();
-                let patience = self.patience;
-                tell(shared, epoch, async move |shared| {
-                    let written = commit_own(&shared, number, version, &writes, patience).await;
+                let answer_wait = self.answer_wait;
+                spawn_call(shared, epoch, async move |shared| {
+                    let written =
+                        commit_as_owner(&shared, number, version, &writes, answer_wait).await;
                     Event::Written(number, written)
                 });
             }
@@ -242,7 +245,11 @@
 }
 
 /// Makes a call in a task of its own, and tells the owner of `epoch` how it went.
-fn tell<C: AsyncFnOnce(Rc<Shared>) -> Event + 'static>(shared: &Rc<Shared>, epoch: u64, call: C) {
+fn spawn_call<C: AsyncFnOnce(Rc<Shared>) -> Event + 'static>(
+    shared: &Rc<Shared>,
+    epoch: u64,
+    call: C,
+) {
     let shared = shared.clone();
     monoio::spawn(async move {
         let event = call(shared.clone()).await;
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -24,17 +24,19 @@
 impl Cluster for Service {
     async fn ask(&self, request: Request<AskRequest>) -> Result<Response<AskReply>, Status> {
         let request = request.into_inner();
-        self.bridge.run(move |shared| ask(shared, request)).await
+        self.bridge
+            .run(move |shared| handle_request(shared, request))
+            .await
     }
 
     async fn ping(&self, request: Request<PingRequest>) -> Result<Response<PingReply>, Status> {
         let request = request.into_inner();
-        let work = move |shared: Rc<Shared>| async move { Ok(pong(&shared, &request)) };
+        let work = move |shared: Rc<Shared>| async move { Ok(handle_ping(&shared, &request)) };
         self.bridge.run(work).await
     }
 }
 
-async fn ask(shared: Rc<Shared>, request: AskRequest) -> Result<AskReply, Status> {
+async fn handle_request(shared: Rc<Shared>, request: AskRequest) -> Result<AskReply, Status> {
     let ask = serde_json::from_slice(&request.ask)
         .map_err(|e| Status::invalid_argument(e.to_string()))?;
     if shared.local_epoch().is_none() {
@@ -48,7 +50,7 @@
     }
 }
 
-fn pong(shared: &Shared, ping: &PingRequest) -> PingReply {
+fn handle_ping(shared: &Shared, ping: &PingRequest) -> PingReply {
     if shared.local_epoch().is_some_and(|epoch| ping.epoch > epoch) {
         // The caller knows a later owner, so this one has ended.
         shared.set_local_epoch(None);
@@ -60,10 +62,10 @@
         shared.set_loading(None);
     }
     if shared.local_epoch().is_some() && ping.cores > shared.settings.cores {
-        shared.send_to_owner(Message::Stronger(ping.cores));
+        shared.send_to_owner(Message::StrongerBox(ping.cores));
     }
-    pings::take_owner(shared, ping.owner.clone(), ping.owner_row);
-    let others = meet(shared, ping);
+    pings::follow_later_owner(shared, ping.owner.clone(), ping.owner_row);
+    let others = exchange_peers(shared, ping);
     let later = shared.owner().filter(|seen| seen.row.epoch > ping.epoch);
     let loading = shared.loading();
     let newer = ping.config < shared.queues().version();
@@ -84,7 +86,7 @@
 }
 
 /// Takes in which box asks, and returns the others that it wants to know.
-fn meet(shared: &Shared, ping: &PingRequest) -> Vec<String> {
+fn exchange_peers(shared: &Shared, ping: &PingRequest) -> Vec<String> {
     // One of the version before tells no address.
     let Ok(address) = ping.address.parse() else {
         return Vec::new();
--- a/src/daemon/pings.rs
+++ b/src/daemon/pings.rs
@@ -15,13 +15,13 @@
 use crate::utils::clock::{self, Millis};
 
 /// Milliseconds between two pings of the owner.
-pub const PING: Millis = 200;
+pub const PING_INTERVAL: Millis = 200;
 /// Milliseconds for the answer to a ping: a hundred round trips.
-const PONG: Millis = 350;
+const PING_TIMEOUT: Millis = 350;
 
 /// Asks the owner whether it still is, and takes in whether it serves.
 pub async fn ping(shared: &Shared, owner: &OwnerRow) -> Result<PingReply, CallError> {
-    let reply = call(shared, owner.address, request(shared, owner.epoch)).await;
+    let reply = send_ping(shared, owner.address, ping_request(shared, owner.epoch)).await;
     let serves = |r: &PingReply| r.owner && r.epoch == owner.epoch;
     let served = reply.as_ref().is_ok_and(serves);
     shared.record_owner_serving(served);
@@ -29,39 +29,39 @@
         shared.set_last_followed(owner);
     }
     if let Ok(reply) = &reply {
-        learn(shared, reply);
+        add_peers(shared, reply);
     }
     reply
 }
 
 /// Takes in which other boxes there are.
-fn learn(shared: &Shared, reply: &PingReply) {
+fn add_peers(shared: &Shared, reply: &PingReply) {
     let addresses = reply.others.iter().filter_map(|a| a.parse().ok());
     let addresses: Vec<SocketAddr> = addresses.collect();
     shared.peer_addresses().add_reply(&addresses, clock::now());
 }
 
 /// Asks some other boxes who the owner is; true when one knows a later than `epoch`.
-pub async fn ask_others(shared: &Shared, epoch: u64) -> bool {
+pub async fn query_peers(shared: &Shared, epoch: u64) -> bool {
     let asked = shared.peer_addresses().next_batch(shared.settings.rpc);
     if asked.is_empty() {
         return false;
     }
-    let request = request(shared, epoch);
-    let calls = asked.iter().map(|a| call(shared, *a, request.clone()));
+    let request = ping_request(shared, epoch);
+    let calls = asked.iter().map(|a| send_ping(shared, *a, request.clone()));
     let replies = join_all(calls).await;
     let answered: Vec<PingReply> = replies.into_iter().flatten().collect();
     let latest = answered.iter().max_by_key(|r| r.later_row);
     let later = latest.filter(|r| r.later_row > 0);
     log::info!(target: "member", "event=others-asked epoch={epoch} asked={} answered={} later={}", asked.len(), answered.len(), later.is_some());
     if let Some(reply) = later {
-        take_owner(shared, reply.later.clone(), reply.later_row);
+        follow_later_owner(shared, reply.later.clone(), reply.later_row);
     }
     later.is_some()
 }
 
 /// Returns a ping that says that an owner of this epoch is known.
-pub fn request(shared: &Shared, epoch: u64) -> PingRequest {
+pub fn ping_request(shared: &Shared, epoch: u64) -> PingRequest {
     PingRequest {
         name: shared.settings.name.to_string(),
         epoch,
@@ -78,17 +78,17 @@
 }
 
 /// Returns a ping by which the owner tells the one before of itself.
-pub fn succession(shared: &Shared, row: &OwnerRow, version: u64) -> PingRequest {
+pub fn takeover_notice(shared: &Shared, row: &OwnerRow, version: u64) -> PingRequest {
     PingRequest {
         owner: encode(row),
         owner_row: version,
-        ..request(shared, row.epoch)
+        ..ping_request(shared, row.epoch)
     }
 }
 
 /// Follows an owner that another box tells of, if it is later than the one known here.
 /// That only directs requests and pings: to take its place takes the store.
-pub fn take_owner(shared: &Shared, value: Bytes, version: u64) {
+pub fn follow_later_owner(shared: &Shared, value: Bytes, version: u64) {
     if value.is_empty() {
         return;
     }
@@ -113,7 +113,7 @@
 }
 
 /// Returns what the answer to a ping tells of the box.
-pub fn pong(reply: &PingReply) -> Pong {
+pub fn to_pong(reply: &PingReply) -> Pong {
     match (reply.owner, reply.loading) {
         (true, _) => Pong::Serves {
             epoch: reply.epoch,
@@ -129,11 +129,11 @@
 }
 
 /// Sends a ping to a box.
-pub async fn call(
+pub async fn send_ping(
     shared: &Shared,
     address: SocketAddr,
     request: PingRequest,
 ) -> Result<PingReply, CallError> {
     let call = |c| async move { ClusterClient::new(c).ping(request).await };
-    shared.channel(address).call(PONG, call).await
+    shared.channel(address).call(PING_TIMEOUT, call).await
 }
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -6,10 +6,10 @@
 
 use monoio::time::sleep;
 
-use super::commits::commit;
+use super::commits::commit_if_version;
 use super::message::Message;
-use super::owner_row::{READ, STORE_PAUSE, adopt, read_owner, store_failed};
-use super::pings::{self, PING};
+use super::owner_row::{READ_TIMEOUT, STORE_PAUSE, adopt_owner, pause_after_failure, read_owner};
+use super::pings::{self, PING_INTERVAL};
 use super::shared::{KnownOwner, Loading, STORE_PART, Shared, now};
 use crate::harm::Known;
 use crate::platform::store::{PAGE, Page};
@@ -28,14 +28,14 @@
 use crate::utils::clock::{self, Millis};
 
 /// Milliseconds for the commit that makes a box the owner.
-const ACQUIRE: Millis = 600;
+const ACQUIRE_TIMEOUT: Millis = 600;
 /// Milliseconds without a page of the store after which a box that has become the owner
 /// gives up: others that the store serves have taken its place by then.
-const FAILING: Millis = 4_000;
+const LOAD_TIMEOUT: Millis = 4_000;
 
 /// What the store holds of earlier owners' work.
 #[derive(Default)]
-pub(super) struct Stored {
+pub(super) struct StoredState {
     pub kept: Vec<Kept>,
     /// Ids of jobs whose rows can't be read.
     pub unreadable: Vec<Name>,
@@ -44,7 +44,7 @@
 }
 
 /// Writes this box into the owner's row, if it is as it was seen.
-pub async fn acquire(shared: &Rc<Shared>, before: Option<KnownOwner>) {
+pub async fn acquire_cell(shared: &Rc<Shared>, before: Option<KnownOwner>) {
     let settings = &shared.settings;
     let row = OwnerRow {
         name: settings.name.clone(),
@@ -59,23 +59,23 @@
     };
     let version = before.as_ref().map_or(0, |b| b.version);
     let sent = clock::now();
-    match commit(shared, version, &[write(&row)], ACQUIRE).await {
+    match commit_if_version(shared, version, &[owner_write(&row)], ACQUIRE_TIMEOUT).await {
         Written::Done(version) => take_over(shared, row, version, sent, before).await,
         written => {
-            log::info!(target: "member", "event=not-acquired epoch={} outcome={}", row.epoch, label(&written));
+            log::info!(target: "member", "event=not-acquired epoch={} outcome={}", row.epoch, outcome_label(&written));
             match read_owner(shared).await {
                 Ok(Some(seen)) if seen.row.same_owner(&row) => {
                     let (row, version) = (seen.row, seen.version);
                     take_over(shared, row, version, sent, before).await;
                 }
-                Ok(seen) => adopt(shared, seen),
-                Err(e) => store_failed(&e).await,
+                Ok(seen) => adopt_owner(shared, seen),
+                Err(e) => pause_after_failure(&e).await,
             }
         }
     }
 }
 
-fn label(written: &Written) -> &'static str {
+fn outcome_label(written: &Written) -> &'static str {
     match written {
         Written::Done(_) => "done",
         Written::Conflict(_) => "conflict",
@@ -95,15 +95,15 @@
 ) {
     let epoch = row.epoch;
     shared.set_loading(Some(Loading { epoch, pages: 0 }));
-    let Some(stored) = load(shared, epoch).await else {
+    let Some(stored) = load_state(shared, epoch).await else {
         if shared.is_stopping() && shared.is_loading(epoch) {
-            give_up(shared, row, version).await;
+            release_cell(shared, row, version).await;
         }
         shared.set_loading(None);
         // Somebody else may be the owner by now.
         return shared.forget_owner(epoch);
     };
-    let Some(confirmed) = holds(shared, &row).await else {
+    let Some(confirmed) = confirm_ownership(shared, &row).await else {
         return shared.set_loading(None);
     };
     let (bounds, now) = (shared.bounds(), now());
@@ -127,27 +127,28 @@
     owner.distrust(stored.unreadable);
     owner.recall(stored.known);
     shared.send_to_owner(Message::Begin(Box::new(owner), epoch, took));
-    let told = pings::succession(shared, &owner_row, version);
+    let told = pings::takeover_notice(shared, &owner_row, version);
     let before = before.map(|b| b.row);
     for (row, last) in predecessors(before, shared.last_followed(), &owner_row) {
-        let tell = tell_predecessor(shared.clone(), row, told.clone(), last);
+        let tell = notify_predecessor(shared.clone(), row, told.clone(), last);
         monoio::spawn(tell);
     }
 }
 
 /// Gives the cell up without having served, so that others need not wait for a load
 /// that is in vain.
-async fn give_up(shared: &Shared, row: OwnerRow, version: u64) {
+async fn release_cell(shared: &Shared, row: OwnerRow, version: u64) {
     let released = OwnerRow {
         released: true,
         ..row
     };
-    let written = commit(shared, version, &[write(&released)], ACQUIRE).await;
-    log::info!(target: "owner", "event=stops-loading epoch={} outcome={}", released.epoch, label(&written));
+    let written =
+        commit_if_version(shared, version, &[owner_write(&released)], ACQUIRE_TIMEOUT).await;
+    log::info!(target: "owner", "event=stops-loading epoch={} outcome={}", released.epoch, outcome_label(&written));
 }
 
 /// Returns the write of an owner's row.
-fn write(row: &OwnerRow) -> Write {
+fn owner_write(row: &OwnerRow) -> Write {
     Write {
         table: OWNER_TABLE,
         key: OWNER_KEY.into(),
@@ -159,9 +160,9 @@
 /// became it while this one loaded, or that can't be read.
 ///
 /// What was read may be torn by the other's writes, jobs without a specification, and a box that was told of a later owner must not extend leases.
-async fn holds(shared: &Shared, row: &OwnerRow) -> Option<Millis> {
+async fn confirm_ownership(shared: &Shared, row: &OwnerRow) -> Option<Millis> {
     let since = clock::now();
-    while clock::now() <= since + FAILING {
+    while clock::now() <= since + LOAD_TIMEOUT {
         let asked = clock::now();
         match read_owner(shared).await {
             Ok(seen) => {
@@ -170,7 +171,7 @@
                     return Some(asked);
                 }
                 log::info!(target: "owner", "event=replaced-loading epoch={}", row.epoch);
-                adopt(shared, seen);
+                adopt_owner(shared, seen);
                 return None;
             }
             Err(e) => {
@@ -189,10 +190,10 @@
 /// It is told who the owner is as well: where the store has turned it away, so have its
 /// followers been perhaps, and these ask it alone: they would find no owner and refuse jobs
 /// for as long as that lasts.
-async fn tell_predecessor(shared: Rc<Shared>, before: OwnerRow, told: PingRequest, last: bool) {
+async fn notify_predecessor(shared: Rc<Shared>, before: OwnerRow, told: PingRequest, last: bool) {
     let epoch = told.epoch;
     while shared.local_epoch().is_none_or(|e| e == epoch) {
-        if let Ok(reply) = pings::call(&shared, before.address, told.clone()).await
+        if let Ok(reply) = pings::send_ping(&shared, before.address, told.clone()).await
             && (!reply.owner || reply.epoch >= epoch)
         {
             log::info!(target: "owner", "event=predecessor-ended epoch={epoch} owner={} last={last}", before.name);
@@ -201,30 +202,30 @@
             }
             return;
         }
-        sleep(Duration::from_millis(PING)).await;
+        sleep(Duration::from_millis(PING_INTERVAL)).await;
     }
 }
 
 /// Reads the jobs and what owners learned; none when the store does not serve this box,
 /// it stops, or a later owner is known.
-async fn load(shared: &Shared, epoch: u64) -> Option<Stored> {
-    let specs = read(shared, epoch, SPEC_TABLE).await?;
-    let rows = read(shared, epoch, JOB_TABLE).await?;
-    let beliefs = read(shared, epoch, BELIEF_TABLE).await?;
+async fn load_state(shared: &Shared, epoch: u64) -> Option<StoredState> {
+    let specs = read_table(shared, epoch, SPEC_TABLE).await?;
+    let rows = read_table(shared, epoch, JOB_TABLE).await?;
+    let beliefs = read_table(shared, epoch, BELIEF_TABLE).await?;
     let known = beliefs.iter().find(|r| &*r.key == PRESSURE_KEY);
-    Some(Stored {
+    Some(StoredState {
         known: known.and_then(decode).unwrap_or_default(),
-        ..jobs(&specs, &rows)
+        ..decode_jobs(&specs, &rows)
     })
 }
 
 /// Reads a table. Each page is tried again by itself, so that a load comes closer to
 /// its end with each answer of the store.
-async fn read(shared: &Shared, epoch: u64, table: &str) -> Option<Vec<Row>> {
+async fn read_table(shared: &Shared, epoch: u64, table: &str) -> Option<Vec<Row>> {
     let mut rows = Vec::new();
     let mut next = Some(String::new());
     while let Some(from) = next {
-        let page = page(shared, epoch, table, &from).await?;
+        let page = read_page(shared, epoch, table, &from).await?;
         let pages = shared.loading().filter(|l| l.epoch == epoch)?.pages + 1;
         shared.set_loading(Some(Loading { epoch, pages }));
         rows.extend(page.rows);
@@ -233,11 +234,16 @@
     Some(rows)
 }
 
-/// Reads a page of a table; none once tries have failed for [`FAILING`].
-async fn page(shared: &Shared, epoch: u64, table: &str, from: &str) -> Option<Page> {
+/// Reads a page of a table; none once tries have failed for [`LOAD_TIMEOUT`].
+async fn read_page(shared: &Shared, epoch: u64, table: &str, from: &str) -> Option<Page> {
     let since = clock::now();
-    while clock::now() <= since + FAILING && shared.is_loading(epoch) && !shared.is_stopping() {
-        match shared.store.page(table, STORE_PART, from, PAGE, READ).await {
+    while clock::now() <= since + LOAD_TIMEOUT && shared.is_loading(epoch) && !shared.is_stopping()
+    {
+        match shared
+            .store
+            .page(table, STORE_PART, from, PAGE, READ_TIMEOUT)
+            .await
+        {
             Ok(page) => return Some(page),
             Err(e) => {
                 log::warn!(target: "owner", "event=load-failed epoch={epoch} table={table} cause=\"{e}\"");
@@ -249,9 +255,9 @@
 }
 
 /// Returns the jobs out of their rows, and the ids of those that can't be read.
-pub(super) fn jobs(specs: &[Row], rows: &[Row]) -> Stored {
+pub(super) fn decode_jobs(specs: &[Row], rows: &[Row]) -> StoredState {
     let specs: HashMap<&Name, &Row> = specs.iter().map(|row| (&row.key, row)).collect();
-    let mut stored = Stored::default();
+    let mut stored = StoredState::default();
     for row in rows {
         let spec: Option<JobSpec> = specs.get(&row.key).and_then(|spec| decode(spec));
         let state: Option<JobRow> = decode(row);
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of the daemon's parts that need no sockets.
 
 use super::downtime::Downtime;
-use super::history::page;
+use super::history::decode_page;
 use super::peer_addresses::PeerAddresses;
 use super::shared::{KnownOwner, Shared};
-use super::takeover::jobs;
+use super::takeover::decode_jobs;
 use super::term::Term;
 use crate::metrics::{self, End};
 use crate::options::daemon;
@@ -54,7 +54,7 @@
         row("torn", "{\"queue\":".into()),
         row("alone", state),
     ];
-    let stored = jobs(&specs, &rows);
+    let stored = decode_jobs(&specs, &rows);
     let ids: Vec<&str> = stored.kept.iter().map(|k| &*k.id).collect();
     assert_eq!(ids, ["good"]);
     assert_eq!(stored.unreadable, ["torn".into(), "alone".into()]);
@@ -155,7 +155,7 @@
         row("open", encode(&past(Outcome::Open))),
         row("torn", "{\"o\":".into()),
     ];
-    let page = page(&rows, true);
+    let page = decode_page(&rows, true);
     assert_eq!(page.rows, [("good".into(), past(Outcome::Failed))]);
     assert_eq!(page.unreadable, ["open".into(), "torn".into()]);
     assert!(page.last);
