--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -11,7 +11,7 @@
 use willowpoint::sched::incarnation::Incarnation;
 use willowpoint::sched::job::{Queue, TaskKey};
 use willowpoint::sched::journal::{Journal, OwnerRow};
-use willowpoint::sched::mechanisms::Switches;
+use willowpoint::sched::mechanisms::Mechanisms;
 use willowpoint::sched::message::{
     Action, Ended, Entry, Event, Hold, How, JobRequest, Reply, Report, Running, Start, Word,
     Written,
@@ -153,7 +153,7 @@
             over: 4_000,
             drain: 2_000,
             remember: 120_000,
-            switches: Switches::ON,
+            mechanisms: Mechanisms::ON,
         };
         let now = Now {
             steady: 1,
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -12,7 +12,7 @@
 use crate::sched::history::HistoryRow;
 use crate::sched::job::{Job, Outcome, Queue};
 use crate::sched::journal::{Journal, OwnerRow};
-use crate::sched::mechanisms::Switches;
+use crate::sched::mechanisms::Mechanisms;
 use crate::sched::owner::{Bounds, Kept, Now, Owner};
 use crate::sched::spec::{JobSpec, StepSpec};
 use crate::table::{Row, encode};
@@ -83,7 +83,7 @@
         over: 4_000,
         drain: 2_000,
         remember: 60_000,
-        switches: Switches::ON,
+        mechanisms: Mechanisms::ON,
     };
     let spec = JobSpec {
         steps: vec![StepSpec {
--- a/src/options/daemon.rs
+++ b/src/options/daemon.rs
@@ -6,7 +6,7 @@
 use super::file::{limits, logs};
 use super::reader::{Finding, Reader};
 use crate::logs::Logs;
-use crate::sched::mechanisms::Switches;
+use crate::sched::mechanisms::Mechanisms;
 use crate::sched::owner::Bounds;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -93,14 +93,14 @@
 }
 
 /// Reads which mechanisms are on; all are unless they are switched off.
-fn switches(reader: &mut Reader<'_>) -> Switches {
-    Switches {
+fn mechanisms(reader: &mut Reader<'_>) -> Mechanisms {
+    Mechanisms {
         preempt: reader.flag("mechanisms.preempt", true),
-        rest: reader.flag("mechanisms.rest", true),
+        quarantine: reader.flag("mechanisms.rest", true),
         throttle: reader.flag("mechanisms.pace", true),
-        pressure: reader.flag("mechanisms.pressure", true),
+        interference: reader.flag("mechanisms.pressure", true),
         swap: reader.flag("mechanisms.swap", true),
-        recall: reader.flag("mechanisms.recall", true),
+        warm_start: reader.flag("mechanisms.recall", true),
     }
 }
 
@@ -129,7 +129,7 @@
             drain: reader.duration("platform.drain", DRAIN, 0..=HOUR),
             over: reader.duration("platform.longest-over", OVER, 1_000..=HOUR),
             remember: reader.duration("jobs.remember", REMEMBER, 1_000..=HOUR),
-            switches: switches(&mut reader),
+            mechanisms: mechanisms(&mut reader),
         },
         stop: grace - STOP_SLACK,
         limits: limits(&mut reader),
--- a/src/options/tests.rs
+++ b/src/options/tests.rs
@@ -3,7 +3,7 @@
 use super::args;
 use super::daemon;
 use super::file::parse;
-use crate::sched::mechanisms::Switches;
+use crate::sched::mechanisms::Mechanisms;
 
 const GOOD: &str = r#"
 [box]
@@ -147,14 +147,14 @@
     let text = PLATFORM.replace("hall =", "cores = 0.12\nhall =");
     let settings = daemon::parse("c.toml", &text).expect("no findings");
     assert_eq!(settings.cores, 120);
-    assert_eq!(settings.bounds.switches, Switches::ON);
+    assert_eq!(settings.bounds.mechanisms, Mechanisms::ON);
     let text = format!("{text}[mechanisms]\nswap = false\n");
     let settings = daemon::parse("c.toml", &text).expect("no findings");
-    let expected = Switches {
+    let expected = Mechanisms {
         swap: false,
-        ..Switches::ON
+        ..Mechanisms::ON
     };
-    assert_eq!(settings.bounds.switches, expected);
+    assert_eq!(settings.bounds.mechanisms, expected);
     let text = text.replace("0.12", "-1\ndescriptors = 0") + "pace = \"off\"\nspeed = true\n";
     let findings = daemon::parse("c.toml", &text).expect_err("findings");
     let keys: Vec<&str> = findings.iter().map(|f| f.key.as_str()).collect();
--- a/src/sched.rs
+++ b/src/sched.rs
@@ -9,7 +9,7 @@
 //! their load is taken in by `gauges` (with `recently_ended` and `loads`) and becomes what
 //! `interference` knows; `throttling` and `swaps` keep fillers from slowing serving tasks by it, a little less so
 //! while `backlog` is long. `predecessors` tells what earlier owners may still do, `failover`
-//! which box comes next; `mechanisms` turns mechanisms off.
+//! which box comes next; `mechanisms` switches parts of the scheduler off.
 //! Everything here is plain state without sockets and clocks.
 
 mod addresses;
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -128,7 +128,7 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if !self.bounds.switches.rest {
+        if !self.bounds.mechanisms.quarantine {
             return;
         }
         worker.failures += 1;
--- a/src/sched/mechanisms.rs
+++ b/src/sched/mechanisms.rs
@@ -1,30 +1,30 @@
-//! Mechanisms that can be switched off, to measure what each is worth.
+//! Scheduling mechanisms that can be switched off one by one to measure what each contributes.
 
-/// Which mechanisms are on.
+/// Which scheduling mechanisms are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Switches {
-    /// Runs give way to tasks that fit nowhere.
+pub struct Mechanisms {
+    /// Preempts runs for tasks that fit on no worker.
     pub preempt: bool,
-    /// Workers rest after several failed runs, and count as worse before.
-    pub rest: bool,
-    /// Fillers are slowed before serving tasks pass their targets.
+    /// Quarantines workers after several failed runs, and ranks them lower before that.
+    pub quarantine: bool,
+    /// Slows best-effort tasks before serving tasks exceed their latency targets.
     pub throttle: bool,
-    /// Fillers and serving tasks are placed by learned pressure.
-    pub pressure: bool,
-    /// Serving tasks swap places while fillers wait.
+    /// Places best-effort and serving tasks by their learned interference.
+    pub interference: bool,
+    /// Swaps serving tasks between workers while best-effort tasks wait.
     pub swap: bool,
-    /// Owners go on with what earlier ones learned.
-    pub recall: bool,
+    /// Starts each owner from the interference factors that earlier owners learned.
+    pub warm_start: bool,
 }
 
-impl Switches {
-    /// All mechanisms.
+impl Mechanisms {
+    /// All mechanisms enabled.
     pub const ON: Self = Self {
         preempt: true,
-        rest: true,
+        quarantine: true,
         throttle: true,
-        pressure: true,
+        interference: true,
         swap: true,
-        recall: true,
+        warm_start: true,
     };
 }
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -11,7 +11,7 @@
 use super::journal::Journal;
 use super::late_starts::LateStart;
 use super::loads::Loads;
-use super::mechanisms::Switches;
+use super::mechanisms::Mechanisms;
 use super::message::{Action, Answer, Event, Ticket};
 use super::permits::Permits;
 use super::placement::Placement;
@@ -42,7 +42,7 @@
     /// Milliseconds for which the state of an ended job is told.
     pub remember: Millis,
     /// Mechanisms that are on.
-    pub switches: Switches,
+    pub mechanisms: Mechanisms,
 }
 
 impl Bounds {
@@ -393,7 +393,7 @@
 
     /// Goes on with what earlier owners learned of pressure between images.
     pub fn recall(&mut self, known: Vec<Known>) {
-        if self.bounds.switches.recall {
+        if self.bounds.mechanisms.warm_start {
             self.pressure.import(known);
         }
     }
--- a/src/sched/placing.rs
+++ b/src/sched/placing.rs
@@ -356,7 +356,11 @@
             step,
             last_try: !step.lasting && self.failures(key) + 1 >= job.row.queue.attempts,
             image: self.pressure.number_of(&step.image),
-            pressure: self.bounds.switches.pressure.then_some(&self.pressure),
+            pressure: self
+                .bounds
+                .mechanisms
+                .interference
+                .then_some(&self.pressure),
             avoid: self.failed_on.get(&key).map_or("", |w| w),
             beside: &beside,
             permits: self.permits.get(&key.of_step()),
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -130,7 +130,7 @@
 
     /// Stops the run that takes the room of a waiting task at the least cost.
     fn preempt(&mut self, key: TaskKey, search: &mut Search) {
-        if !self.bounds.switches.preempt {
+        if !self.bounds.mechanisms.preempt {
             return;
         }
         let step = self.jobs[&key.job].step(key);
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -61,7 +61,7 @@
     /// Begins swaps that make more room for waiting fillers.
     pub(super) fn swap_places(&mut self) {
         let now = self.now.steady;
-        if now < self.next_swap || !self.bounds.switches.swap {
+        if now < self.next_swap || !self.bounds.mechanisms.swap {
             return;
         }
         self.next_swap = now + LOOK;
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -17,7 +17,7 @@
 use crate::cordons::Halls;
 use crate::sched::job::{JobRow, Queue, Shown};
 use crate::sched::journal::{JOB_TABLE, Journal, OWNER_KEY, OWNER_TABLE, OwnerRow, SPEC_TABLE};
-use crate::sched::mechanisms::Switches;
+use crate::sched::mechanisms::Mechanisms;
 use crate::sched::message::{Action, Answer, Entry, Event, Hold, How, JobRequest, Start};
 use crate::sched::owner::{Bounds, Kept, Now, Owner};
 use crate::sched::spec::{JobSpec, Resources, StepSpec};
@@ -33,7 +33,7 @@
     drain: 2_000,
     over: 4_500,
     remember: 60_000,
-    switches: Switches::ON,
+    mechanisms: Mechanisms::ON,
 };
 
 /// An owner with its fake workers and store.
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -137,7 +137,7 @@
                 fillers.iter_mut().for_each(|f| f.wanted = 0.0);
                 high = true;
             }
-            if !self.bounds.switches.throttle {
+            if !self.bounds.mechanisms.throttle {
                 continue;
             }
             let goal = GOAL + stretch;
