--- a/src/sched/breaches.rs
+++ b/src/sched/breaches.rs
@@ -4,7 +4,7 @@
 use super::owner::Owner;
 use super::placement::{Gauge, Placement, Stage};
 use super::recently_ended::SPAN;
-use super::reports::Listed;
+use super::reports::ReportedRun;
 use super::worker::Worker;
 use crate::metrics;
 use crate::utils::Name;
@@ -102,7 +102,7 @@
 
     /// Takes in that a serving task reports no tail, as it has no users or does not run yet:
     /// its worker would be kept from fillers for good.
-    pub(super) fn record_missing_tail(&mut self, name: &Name, run: &Listed<'_>) {
+    pub(super) fn record_missing_tail(&mut self, name: &Name, run: &ReportedRun<'_>) {
         let now = self.now.steady;
         let (Some(key), Some(worker)) = (run.key, self.workers.get_mut(name)) else {
             return;
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -5,7 +5,7 @@
 use super::journal::After;
 use super::message::{Ended, How};
 use super::owner::Owner;
-use super::worker::{Contact, Worker};
+use super::worker::{PollState, Worker};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -152,7 +152,7 @@
             return;
         };
         worker.pending.remove(&end);
-        if worker.pending.is_empty() && matches!(worker.contact, Contact::Due(_)) {
+        if worker.pending.is_empty() && matches!(worker.contact, PollState::Due(_)) {
             self.schedule(name, now + GATHER);
         }
     }
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use super::incarnation::{Standing, standing};
+use super::incarnation::{BootOrder, compare_boots};
 use super::job::TaskKey;
-use super::lost_workers::Ending;
+use super::lost_workers::IncarnationEnd;
 use super::message::Entry;
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
@@ -83,9 +83,9 @@
         let Some(worker) = self.workers.get_mut(&id) else {
             return;
         };
-        let (known, news) = (worker.boot, standing(worker.boot, listing.boot));
+        let (known, news) = (worker.boot, compare_boots(worker.boot, listing.boot));
         // What an earlier life wrote may come late.
-        if news == Standing::Earlier && worker.listing.boot != listing.boot {
+        if news == BootOrder::Earlier && worker.listing.boot != listing.boot {
             let boot = listing.boot;
             worker.passed_over = Some(listing.into());
             return self.pass_over(&id, boot, known, "entry");
@@ -113,7 +113,7 @@
         }
         worker.listing = listing;
         worker.cordoned = cordoned;
-        if news == Standing::Later {
+        if news == BootOrder::Later {
             self.doubt_incarnation(&id, "entry");
         }
     }
@@ -124,10 +124,10 @@
     fn succeeds(&mut self, id: &Name, listing: &Listing) -> bool {
         for other in self.at_address(listing.address, id) {
             let known = self.workers[&other].boot;
-            match standing(known, listing.boot) {
-                Standing::Later => self.incarnation_ended(&other, Ending::Replaced),
-                Standing::Present => self.doubt_incarnation(&other, "entry-of-another"),
-                Standing::Earlier => {
+            match compare_boots(known, listing.boot) {
+                BootOrder::Later => self.incarnation_ended(&other, IncarnationEnd::Replaced),
+                BootOrder::Same => self.doubt_incarnation(&other, "entry-of-another"),
+                BootOrder::Earlier => {
                     self.pass_over(id, listing.boot, known, "entry");
                     return false;
                 }
@@ -193,7 +193,7 @@
         // by the worker at its end.
         let silent = now - worker.answered.min(now);
         if worker.leaves.is_some() && worker.misses > 0 && silent < LEFT {
-            return self.incarnation_ended(id, Ending::Left);
+            return self.incarnation_ended(id, IncarnationEnd::Left);
         }
         worker.leaves.get_or_insert(now + self.bounds.drain);
     }
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -5,8 +5,8 @@
 use super::interference::ImageNumber;
 use super::owner::Owner;
 use super::placement::Gauge;
-use super::reports::Listed;
-use super::worker::Mix;
+use super::reports::ReportedRun;
+use super::worker::ImageShares;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -30,8 +30,8 @@
 impl Owner {
     /// Takes in what running fillers of a worker use, and returns what fillers have
     /// used there over the last half second.
-    pub(super) fn mix(&mut self, name: &Name, running: &[Listed<'_>]) -> Mix {
-        let mut mix = Mix::new();
+    pub(super) fn mix(&mut self, name: &Name, running: &[ReportedRun<'_>]) -> ImageShares {
+        let mut mix = ImageShares::new();
         let Some(worker) = self
             .workers
             .get_mut(name)
@@ -41,7 +41,7 @@
         };
         worker.recent.add_to(&mut mix, self.now.steady);
         let capacity = worker.listing.capacity.cpu.max(1) as f64;
-        for Listed { key, run } in running {
+        for ReportedRun { key, run } in running {
             let placement = key.and_then(|k| worker.placements.get_mut(&k));
             let Some(placement) = placement.filter(|p| p.best_effort && p.run == run.run) else {
                 continue;
@@ -60,10 +60,10 @@
     pub(super) fn gauge(
         &mut self,
         name: &Name,
-        run: &Listed<'_>,
-        mix: &Mix,
+        run: &ReportedRun<'_>,
+        mix: &ImageShares,
     ) -> Option<(ImageNumber, Gauge)> {
-        let Listed { key, run } = run;
+        let ReportedRun { key, run } = run;
         let key = (*key)?;
         let now = self.now.steady;
         let worker = self.workers.get_mut(name)?;
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -15,12 +15,12 @@
 
 use super::crashes::Crash;
 use super::job::TaskKey;
-use super::lost_workers::Ending;
+use super::lost_workers::IncarnationEnd;
 use super::message::Report;
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
 use super::throttling::FULL_SPEED;
-use super::worker::{Worker, lease_span};
+use super::worker::{Worker, max_lease_duration};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -30,7 +30,7 @@
 
 /// When a worker started, in milliseconds since the Unix epoch by its own clock; none
 /// where it does not tell.
-pub type Boot = Option<Millis>;
+pub type BootTime = Option<Millis>;
 
 /// A worker from one start on.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     /// Id of the worker.
     pub id: Name,
     /// When it started.
-    pub boot: Boot,
+    pub boot: BootTime,
     /// Time on its clock that it had told by then; 0 for none.
     pub clock: Millis,
 }
@@ -54,9 +54,9 @@
 
 /// What news of a worker is about, next to the life that is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Standing {
+pub(super) enum BootOrder {
     /// The same life, as far as that is told.
-    Present,
+    Same,
     /// A later one.
     Later,
     /// An earlier one.
@@ -64,17 +64,17 @@
 }
 
 /// Returns which life is told of, where `known` is the one that is known.
-pub(super) fn standing(known: Boot, told: Boot) -> Standing {
-    match (known, told) {
-        (Some(known), Some(told)) if told > known => Standing::Later,
-        (Some(known), Some(told)) if told < known => Standing::Earlier,
-        _ => Standing::Present,
+pub(super) fn compare_boots(known: BootTime, reported: BootTime) -> BootOrder {
+    match (known, reported) {
+        (Some(known), Some(reported)) if reported > known => BootOrder::Later,
+        (Some(known), Some(reported)) if reported < known => BootOrder::Earlier,
+        _ => BootOrder::Same,
     }
 }
 
 /// What becomes of a run that was known on a worker when a later life of it reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum Resolution {
     /// The later life has it: its start reached that one.
     Kept,
     /// Its start may still reach the later life.
@@ -83,7 +83,7 @@
     Lost,
 }
 
-impl Fate {
+impl Resolution {
     /// Returns the fate of a run; `reported` when the later life lists it.
     fn of(run: &Placement, reported: bool) -> Self {
         match run.stage {
@@ -99,9 +99,13 @@
 
 /// Returns a run as it stands on a later life: which of the two has answered a stop or a
 /// change of speed is not known.
-fn carry(run: Placement, fate: Fate) -> Placement {
+fn carry(run: Placement, resolution: Resolution) -> Placement {
     let stage = match run.stage {
-        Stage::Starting | Stage::Running(_) | Stage::Inherited if fate == Fate::Kept => run.stage,
+        Stage::Starting | Stage::Running(_) | Stage::Inherited
+            if resolution == Resolution::Kept =>
+        {
+            run.stage
+        }
         _ => Stage::Doubt,
     };
     Placement {
@@ -122,9 +126,9 @@
 ) -> Vec<(TaskKey, Placement)> {
     let mut carried = Vec::new();
     for (key, run) in &worker.placements {
-        let fate = Fate::of(run, reported.contains(&(*key, run.run)));
-        if fate != Fate::Lost {
-            carried.push((*key, carry(run.clone(), fate)));
+        let resolution = Resolution::of(run, reported.contains(&(*key, run.run)));
+        if resolution != Resolution::Lost {
+            carried.push((*key, carry(run.clone(), resolution)));
         }
     }
     for (key, _) in &carried {
@@ -151,7 +155,7 @@
         let lost: Vec<TaskKey> = worker.placements.keys().copied().collect();
         self.forget_permits(name);
         self.break_promise(name);
-        self.tell_over(name, Ending::Replaced);
+        self.tell_over(name, IncarnationEnd::Replaced);
         self.crashed(name, Crash::Replaced);
         self.begin_incarnation(name, report.boot, carried);
         // The other members of a gang are stopped with one that is lost, on this life too.
@@ -178,21 +182,26 @@
     }
 
     /// Puts a later life in the place of the one before, with the runs that it may have.
-    fn begin_incarnation(&mut self, name: &Name, boot: Boot, carried: Vec<(TaskKey, Placement)>) {
+    fn begin_incarnation(
+        &mut self,
+        name: &Name,
+        boot: BootTime,
+        carried: Vec<(TaskKey, Placement)>,
+    ) {
         let (now, span) = (self.now.steady, self.bounds.lease);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
         // An order to the earlier life that is on its way may extend the lease of this one
         // as far as leases go.
-        worker.begin_incarnation(boot, now + lease_span(span));
+        worker.begin_incarnation(boot, now + max_lease_duration(span));
         for (key, run) in carried {
             worker.put(key, run);
         }
     }
 
     /// Passes over news of an earlier life of a worker.
-    pub(super) fn pass_over(&self, name: &Name, boot: Boot, known: Boot, by: &str) {
+    pub(super) fn pass_over(&self, name: &Name, boot: BootTime, known: BootTime, by: &str) {
         log::info!(target: "worker", "worker={name} event=passed-over by={by} reason=earlier-life boot={boot:?} known={known:?}");
         crate::metrics::get().earlier_lives.inc();
     }
@@ -220,7 +229,7 @@
             return;
         };
         for other in self.at_address(address, name) {
-            self.incarnation_ended(&other, Ending::Replaced);
+            self.incarnation_ended(&other, IncarnationEnd::Replaced);
         }
     }
 }
--- a/src/sched/interference.rs
+++ b/src/sched/interference.rs
@@ -12,7 +12,7 @@
 use super::colocation::Filling;
 use super::loads::UNMEASURED;
 use super::spec::StepSpec;
-use super::worker::{Mix, Worker};
+use super::worker::{ImageShares, Worker};
 use crate::harm::{Harm, Known, Model};
 use crate::utils::Name;
 
@@ -159,7 +159,7 @@
 
     /// Returns the part of a serving image's server that a mix of fillers takes,
     /// without caution, and the variance of that.
-    pub(super) fn pressed(&self, victim: &str, mix: &Mix) -> (f64, f64) {
+    pub(super) fn pressed(&self, victim: &str, mix: &ImageShares) -> (f64, f64) {
         let (mut part, mut variance) = (0.0, 0.0);
         for (image, share) in mix {
             let (mean, spread) = self.harm.estimated(victim, image, false);
@@ -171,7 +171,7 @@
 
     /// Learns from the part of a serving task's server that fillers took, which is
     /// known with a variance.
-    pub(super) fn learn(&mut self, victim: &Name, mix: &Mix, taken: f64, variance: f64) {
+    pub(super) fn learn(&mut self, victim: &Name, mix: &ImageShares, taken: f64, variance: f64) {
         let shares = mix.iter().filter(|(_, share)| **share > SLIGHT);
         let shares: Vec<(Name, f64)> = shares.map(|(i, s)| (i.clone(), *s)).collect();
         if !shares.is_empty() {
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::incarnation::Boot;
+use super::incarnation::BootTime;
 use super::spec::{JobSpec, StepSpec};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -97,7 +97,7 @@
     pub phase: Phase,
     /// Start of the worker that it was last given to, where that told it.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
-    pub boot: Boot,
+    pub boot: BootTime,
     /// Number of the last run; 0 before the first.
     #[serde(rename = "r", default)]
     pub run: u32,
--- a/src/sched/late_starts.rs
+++ b/src/sched/late_starts.rs
@@ -4,7 +4,7 @@
 //! life under the same id knows of no stop, nor does one that fell silent until its lease had
 //! ended: they are asked once they answer, so that the task may have run elsewhere.
 
-use super::incarnation::{Boot, Incarnation};
+use super::incarnation::{BootTime, Incarnation};
 use super::job::TaskKey;
 use super::owner::Owner;
 use super::starts::STOP_AGAIN;
@@ -23,7 +23,7 @@
     task: String,
     worker: Name,
     /// The life that has last answered a stop of the run, by its start; none before that.
-    settled: Option<Boot>,
+    settled: Option<BootTime>,
     /// When a life was last asked to stop it here; 0 for never.
     asked: Millis,
     /// When it is carried out no more.
--- a/src/sched/lost_workers.rs
+++ b/src/sched/lost_workers.rs
@@ -8,14 +8,14 @@
 
 /// How the life of a worker was seen to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Ending {
+pub(super) enum IncarnationEnd {
     /// Another life is there in its place.
     Replaced,
     /// It went as it had said.
     Left,
 }
 
-impl Ending {
+impl IncarnationEnd {
     /// Returns its word in log lines.
     fn word(self) -> &'static str {
         match self {
@@ -27,9 +27,9 @@
 
 impl Owner {
     /// Ends everything that a life of a worker ran, which has certainly ended.
-    pub(super) fn incarnation_ended(&mut self, name: &Name, ending: Ending) {
+    pub(super) fn incarnation_ended(&mut self, name: &Name, ending: IncarnationEnd) {
         self.tell_over(name, ending);
-        if ending == Ending::Replaced {
+        if ending == IncarnationEnd::Replaced {
             // What runs down with a worker has no end to count: restarted uncounted, one
             // task took a worker each 3 s for as long as its job was open.
             self.crashed(name, Crash::Replaced);
@@ -42,7 +42,7 @@
 
     /// Tells that a life of a worker is over, and of each run that went with it for how
     /// long the worker had told of it: a younger one may have ended it.
-    pub(super) fn tell_over(&self, name: &Name, ending: Ending) {
+    pub(super) fn tell_over(&self, name: &Name, ending: IncarnationEnd) {
         let Some(worker) = self.workers.get(name) else {
             return;
         };
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::history::HistoryPage;
-use super::incarnation::{Boot, Incarnation};
+use super::incarnation::{BootTime, Incarnation};
 use super::job::{Queue, Shown, StepKey, TaskKey};
 use super::spec::JobSpec;
 use super::worker::Listing;
@@ -122,7 +122,7 @@
     /// Time on the worker's clock.
     pub clock: Millis,
     /// When the worker started.
-    pub boot: Boot,
+    pub boot: BootTime,
     /// Runs there.
     pub running: Vec<Running>,
     /// Ends that were not acknowledged yet, 500 at most.
@@ -135,7 +135,7 @@
     /// Time on the worker's clock.
     pub clock: Millis,
     /// When the worker started.
-    pub boot: Boot,
+    pub boot: BootTime,
 }
 
 /// Why a worker did not do what it was told.
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -15,10 +15,10 @@
 use super::message::{Action, Answer, Event, Ticket};
 use super::permits::Permits;
 use super::placement::Placement;
-use super::poll_schedule::Agenda;
+use super::poll_schedule::PollSchedule;
 use super::spec::JobSpec;
 use super::starts::Deferral;
-use super::worker::{Worker, lease_span};
+use super::worker::{Worker, max_lease_duration};
 use crate::cordons::Halls;
 use crate::harm::Known;
 use crate::utils::Name;
@@ -97,7 +97,7 @@
     /// has just become the owner may know less than the one before.
     pub(super) cordoned: Option<Halls>,
     /// When exchanges with them are due.
-    pub(super) agenda: Agenda,
+    pub(super) poll_schedule: PollSchedule,
     /// Where each placed task is.
     pub(super) placed: HashMap<TaskKey, Name>,
     /// Tasks that the store held as placed on workers that were not listed here yet.
@@ -180,7 +180,7 @@
             workers: BTreeMap::new(),
             addresses: Addresses::default(),
             cordoned: None,
-            agenda: Agenda::default(),
+            poll_schedule: PollSchedule::default(),
             placed: HashMap::new(),
             unadopted: BTreeMap::new(),
             failed_on: HashMap::new(),
@@ -303,7 +303,7 @@
 
     /// Takes in that the owner before extends no lease any more.
     pub fn predecessor_ended(&mut self, now: Now) {
-        let end = now.steady + lease_span(self.bounds.lease);
+        let end = now.steady + max_lease_duration(self.bounds.lease);
         self.inherited = self.inherited.min(end);
         self.journal.settle_legacy();
     }
--- a/src/sched/placement.rs
+++ b/src/sched/placement.rs
@@ -1,7 +1,7 @@
 //! A task that was given to a worker, and how far it is there.
 
 use super::breaches::Breach;
-use super::incarnation::Boot;
+use super::incarnation::BootTime;
 use super::interference::ImageNumber;
 use super::spec::Resources;
 use crate::utils::Name;
@@ -35,7 +35,7 @@
     /// How far it is.
     pub stage: Stage,
     /// Start of the worker that it was given to, by the store.
-    pub boot: Boot,
+    pub boot: BootTime,
     /// Room that it holds.
     pub resources: Resources,
     /// Processor share that it would like beyond what it holds.
--- a/src/sched/poll_schedule.rs
+++ b/src/sched/poll_schedule.rs
@@ -6,13 +6,13 @@
 use std::collections::BinaryHeap;
 
 use super::owner::Owner;
-use super::worker::Contact;
+use super::worker::PollState;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
 /// Times of exchanges, the earliest first; some may hold no more.
 #[derive(Default)]
-pub(super) struct Agenda {
+pub(super) struct PollSchedule {
     entries: BinaryHeap<Reverse<(Millis, Name)>>,
 }
 
@@ -20,29 +20,32 @@
     /// Sets when the next exchange with a worker is due.
     pub(super) fn schedule(&mut self, name: &Name, at: Millis) {
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.contact = Contact::Due(at);
-            self.agenda.entries.push(Reverse((at, name.clone())));
+            worker.contact = PollState::Due(at);
+            self.poll_schedule.entries.push(Reverse((at, name.clone())));
         }
     }
 
     /// Returns the workers with which an exchange is due now.
     pub(super) fn due_contacts(&mut self) -> Vec<Name> {
         let mut names = Vec::new();
-        while let Some(Reverse((at, name))) = self.agenda.entries.peek() {
-            let holds = self.workers.get(name).map(|w| w.contact) == Some(Contact::Due(*at));
+        while let Some(Reverse((at, name))) = self.poll_schedule.entries.peek() {
+            let holds = self.workers.get(name).map(|w| w.contact) == Some(PollState::Due(*at));
             if holds && *at > self.now.steady {
                 break;
             }
             if holds && !names.contains(name) {
                 names.push(name.clone());
             }
-            self.agenda.entries.pop();
+            self.poll_schedule.entries.pop();
         }
         names
     }
 
     /// Returns when the next exchange is due.
     pub(super) fn next_contact(&self) -> Option<Millis> {
-        self.agenda.entries.peek().map(|Reverse((at, _))| *at)
+        self.poll_schedule
+            .entries
+            .peek()
+            .map(|Reverse((at, _))| *at)
     }
 }
--- a/src/sched/predecessors.rs
+++ b/src/sched/predecessors.rs
@@ -2,7 +2,7 @@
 
 use super::journal::OwnerRow;
 use super::owner::Bounds;
-use super::worker::lease_span;
+use super::worker::max_lease_duration;
 use crate::utils::clock::Millis;
 
 /// What earlier owners may still do to workers.
@@ -40,9 +40,9 @@
     pub fn lease_end(self, bounds: &Bounds, now: Millis) -> Millis {
         match self {
             Self::Absent => now,
-            Self::Ended => now + lease_span(bounds.lease),
+            Self::Ended => now + max_lease_duration(bounds.lease),
             Self::MayServe | Self::EarlierMayServe => {
-                now + bounds.unconfirmed + lease_span(bounds.lease)
+                now + bounds.unconfirmed + max_lease_duration(bounds.lease)
             }
         }
     }
--- a/src/sched/recently_ended.rs
+++ b/src/sched/recently_ended.rs
@@ -3,7 +3,7 @@
 //! Reports tell what running fillers used over that span. One that has just ended
 //! is not listed any more, and still shows in the tails of serving tasks.
 
-use super::worker::Mix;
+use super::worker::ImageShares;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -39,7 +39,7 @@
     }
 
     /// Adds the shares that they used over the last half second, by image.
-    pub fn add_to(&self, mix: &mut Mix, now: Millis) {
+    pub fn add_to(&self, mix: &mut ImageShares, now: Millis) {
         let since = now.saturating_sub(SPAN);
         for past in &self.past {
             let span = past.ended.saturating_sub(past.began.max(since));
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeSet;
 
 use super::history::NO_TASK;
-use super::incarnation::{Standing, standing};
+use super::incarnation::{BootOrder, compare_boots};
 use super::job::{Outcome, TaskKey, parse_task};
-use super::lost_workers::Ending;
+use super::lost_workers::IncarnationEnd;
 use super::message::{Action, Hold, Refusal, Reply, Report, Running};
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
 use super::throttling::FULL_SPEED;
-use super::worker::Contact;
+use super::worker::PollState;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -36,7 +36,7 @@
 
 /// A run that a worker lists.
 #[derive(Clone, Copy)]
-pub(super) struct Listed<'a> {
+pub(super) struct ReportedRun<'a> {
     /// Its task; none when no open job has it.
     pub key: Option<TaskKey>,
     /// What the worker tells of it.
@@ -69,7 +69,7 @@
             let mixed = worker.beside.mixed();
             // A breach of a latency target is to end soon, however many workers there are.
             let watch = if worker.over_target() { WATCH } else { watch };
-            worker.contact = Contact::Open(now);
+            worker.contact = PollState::InFlight(now);
             self.actions.push(Action::Hold(Hold {
                 incarnation: worker.incarnation(),
                 sent: now,
@@ -93,13 +93,15 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if worker.contact != Contact::Open(hold.sent) {
+        if worker.contact != PollState::InFlight(hold.sent) {
             log::debug!(target: "worker", "worker={name} event=overtaken sent={}", hold.sent);
             return;
         }
         match reply {
             Reply::Ok(report) => self.heard(hold, report),
-            Reply::Refused(Refusal::Replaced) => self.incarnation_ended(name, Ending::Replaced),
+            Reply::Refused(Refusal::Replaced) => {
+                self.incarnation_ended(name, IncarnationEnd::Replaced)
+            }
             Reply::Refused(Refusal::Fenced) => {
                 // Only an owner with a higher epoch can have been there; the
                 // next commit finds out.
@@ -124,8 +126,8 @@
             return;
         };
         let known = worker.boot;
-        let standing = standing(known, report.boot);
-        if standing == Standing::Earlier && !self.contradicted(worker) {
+        let order = compare_boots(known, report.boot);
+        if order == BootOrder::Earlier && !self.contradicted(worker) {
             self.pass_over(name, report.boot, known, "report");
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.misses += 1;
@@ -135,7 +137,7 @@
         if worker.answered == 0 {
             self.end_others(name);
         }
-        if standing != Standing::Present {
+        if order != BootOrder::Same {
             self.started_again(name, &report);
         }
         let Some(worker) = self.workers.get_mut(name) else {
@@ -152,7 +154,7 @@
         worker.misses = 0;
         worker.doubted = false;
         worker.boot = worker.boot.or(report.boot);
-        if standing == Standing::Present {
+        if order == BootOrder::Same {
             worker.acknowledged = worker.acknowledged.max(hold.seen);
         }
         worker.hear(report.clock, now);
@@ -165,7 +167,8 @@
         for end in &report.ended {
             self.end(name, end);
         }
-        let running: Vec<Listed<'_>> = report.running.iter().map(|r| self.listed_run(r)).collect();
+        let running: Vec<ReportedRun<'_>> =
+            report.running.iter().map(|r| self.resolve_run(r)).collect();
         self.runs(name, sent, &running, whole);
         self.clear_suspects(name);
         self.relieve(name, &running);
@@ -178,10 +181,10 @@
     }
 
     /// Compares the runs that a worker lists with those that are known there.
-    fn runs(&mut self, name: &Name, sent: Millis, running: &[Listed<'_>], whole: bool) {
+    fn runs(&mut self, name: &Name, sent: Millis, running: &[ReportedRun<'_>], whole: bool) {
         let mut listed = BTreeSet::new();
         let mut strangers = Vec::new();
-        for Listed { key, run } in running {
+        for ReportedRun { key, run } in running {
             match key {
                 Some(key) if self.confirm(name, *key, run) => {
                     listed.insert(*key);
@@ -208,9 +211,9 @@
     }
 
     /// Returns a run that a worker lists, with its task.
-    pub(super) fn listed_run<'a>(&self, run: &'a Running) -> Listed<'a> {
+    pub(super) fn resolve_run<'a>(&self, run: &'a Running) -> ReportedRun<'a> {
         let key = self.find(&run.task);
-        Listed { key, run }
+        ReportedRun { key, run }
     }
 
     /// Finds a task by its name; none when its job has no such task. Workers may list any
@@ -282,7 +285,7 @@
             if listed.contains(key) {
                 continue;
             }
-            let earlier = standing(boot, placement.boot) == Standing::Earlier;
+            let earlier = compare_boots(boot, placement.boot) == BootOrder::Earlier;
             match placement.stage {
                 Stage::Inherited if earlier => unseen.push(*key),
                 Stage::Inherited => free.push(*key),
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use super::incarnation::{Incarnation, Standing, standing};
+use super::incarnation::{BootOrder, Incarnation, compare_boots};
 use super::job::TaskKey;
-use super::lost_workers::Ending;
+use super::lost_workers::IncarnationEnd;
 use super::message::{Action, Refusal, Reply, Start, Stop, Word};
 use super::owner::Owner;
 use super::placement::Stage;
@@ -154,7 +154,7 @@
         let Reply::Ok(word) = reply else {
             return true;
         };
-        let later = standing(worker.boot, word.boot) == Standing::Later;
+        let later = compare_boots(worker.boot, word.boot) == BootOrder::Later;
         // Its clock goes on from what it had told before the order was sent.
         let another = later || word.clock < incarnation.clock;
         if another {
@@ -185,7 +185,7 @@
         }
         self.free(key);
         if refusal == Refusal::Replaced {
-            self.incarnation_ended(name, Ending::Replaced);
+            self.incarnation_ended(name, IncarnationEnd::Replaced);
         }
     }
 
@@ -228,7 +228,9 @@
             Reply::Ok(_) => placement.stage = Stage::Stopped(now),
             // It is sent again while the worker answers.
             Reply::Lost | Reply::NotSent => placement.stage = Stage::Stopping(now),
-            Reply::Refused(Refusal::Replaced) => self.incarnation_ended(name, Ending::Replaced),
+            Reply::Refused(Refusal::Replaced) => {
+                self.incarnation_ended(name, IncarnationEnd::Replaced)
+            }
             Reply::Refused(_) => placement.stage = Stage::Stopping(now),
         }
     }
--- a/src/sched/tests/interference.rs
+++ b/src/sched/tests/interference.rs
@@ -4,9 +4,9 @@
 use crate::sched::interference::Pressure;
 use crate::sched::message::{How, Running};
 use crate::sched::spec::StepSpec;
-use crate::sched::worker::Mix;
+use crate::sched::worker::ImageShares;
 
-fn mix(shares: &[(&str, f64)]) -> Mix {
+fn mix(shares: &[(&str, f64)]) -> ImageShares {
     shares.iter().map(|(i, s)| ((*i).into(), *s)).collect()
 }
 
@@ -75,7 +75,7 @@
     };
     for _ in 0..5 {
         let name = "w0".into();
-        let run = world.owner.listed_run(&run);
+        let run = world.owner.resolve_run(&run);
         world.owner.relieve(&name, &[run]);
         world.run(400);
     }
--- a/src/sched/tests/overload.rs
+++ b/src/sched/tests/overload.rs
@@ -70,7 +70,7 @@
     };
     world.ordered_speeds.clear();
     for _ in 0..8 {
-        let run = world.owner.listed_run(&run);
+        let run = world.owner.resolve_run(&run);
         world.owner.relieve(&"w0".into(), &[run]);
         world.run(200);
     }
--- a/src/sched/tests/predecessors.rs
+++ b/src/sched/tests/predecessors.rs
@@ -3,7 +3,7 @@
 use super::world::{BOUNDS, owner_row};
 use crate::sched::journal::OwnerRow;
 use crate::sched::predecessors::{PredecessorState, predecessors};
-use crate::sched::worker::lease_span;
+use crate::sched::worker::max_lease_duration;
 
 #[test]
 fn only_an_owner_that_has_ended_extends_no_leases() {
@@ -44,7 +44,7 @@
 
 #[test]
 fn leases_of_earlier_owners_are_waited_for() {
-    let (now, lease) = (7_000, lease_span(BOUNDS.lease));
+    let (now, lease) = (7_000, max_lease_duration(BOUNDS.lease));
     let end = |state: PredecessorState| state.lease_end(&BOUNDS, now) - now;
     assert_eq!(end(PredecessorState::Absent), 0);
     assert_eq!(end(PredecessorState::Ended), lease);
--- a/src/sched/tests/swaps.rs
+++ b/src/sched/tests/swaps.rs
@@ -3,7 +3,7 @@
 use super::world::{World, job, lasting, step};
 use crate::sched::message::How;
 use crate::sched::spec::{JobSpec, Resources, StepSpec};
-use crate::sched::worker::Mix;
+use crate::sched::worker::ImageShares;
 
 /// Returns a job of one serving task of an image; two of them fill a worker.
 fn serving(image: &str) -> JobSpec {
@@ -45,7 +45,7 @@
     world.submit("even2", serving("even"));
     world.submit("odd2", serving("odd"));
     world.run(200);
-    let mix: Mix = [("filler".into(), 0.2)].into();
+    let mix: ImageShares = [("filler".into(), 0.2)].into();
     for _ in 0..50 {
         for (image, factor) in ["even", "odd"].into_iter().zip(factors) {
             let pressure = &mut world.owner.pressure;
--- a/src/sched/tests/throttling.rs
+++ b/src/sched/tests/throttling.rs
@@ -194,7 +194,7 @@
             gauge: *tail,
         };
         let name = "w0".into();
-        let run = world.owner.listed_run(&run);
+        let run = world.owner.resolve_run(&run);
         world.owner.relieve(&name, &[run]);
         world.run(300);
     }
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -10,7 +10,7 @@
 use super::message::{Action, Reply, Throttle, Word};
 use super::owner::Owner;
 use super::placement::Placement;
-use super::reports::Listed;
+use super::reports::ReportedRun;
 use super::worker::Worker;
 use crate::metrics;
 use crate::utils::Name;
@@ -110,7 +110,7 @@
 
 impl Owner {
     /// Takes in the gauges of a worker's tasks, and slows or speeds up its fillers.
-    pub(super) fn relieve(&mut self, name: &Name, running: &[Listed<'_>]) {
+    pub(super) fn relieve(&mut self, name: &Name, running: &[ReportedRun<'_>]) {
         let mix = self.mix(name, running);
         let Some(worker) = self.workers.get(name) else {
             return;
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::colocation::Beside;
-use super::incarnation::{Boot, Incarnation};
+use super::incarnation::{BootTime, Incarnation};
 use super::job::TaskKey;
 use super::placement::{Gauge, Placement};
 use super::preempt::Promise;
@@ -23,7 +23,7 @@
 const SILENT_AFTER: Millis = 1_800;
 
 /// Returns the longest that a lease of `span` milliseconds may last.
-pub fn lease_span(span: Millis) -> Millis {
+pub fn max_lease_duration(span: Millis) -> Millis {
     span * 100 / CLOCK_RATE + LAPSE_MARGIN
 }
 
@@ -33,7 +33,7 @@
     /// Its id, under which it may start again.
     pub id: Name,
     /// When it started.
-    pub boot: Boot,
+    pub boot: BootTime,
     /// Service that it belongs to.
     pub service: Name,
     /// Where it takes orders.
@@ -53,11 +53,11 @@
 }
 
 /// Processor shares of fillers by image.
-pub(super) type Mix = BTreeMap<Name, f64>;
+pub(super) type ImageShares = BTreeMap<Name, f64>;
 
 /// A report of a worker's clock.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct ClockReading {
     /// Milliseconds on the clock of the worker.
     clock: Millis,
     /// When its report arrived.
@@ -66,11 +66,11 @@
 
 /// The exchange with a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Contact {
+pub(super) enum PollState {
     /// The next exchange is due at this time.
     Due(Millis),
     /// An exchange sent at this time has no answer yet.
-    Open(Millis),
+    InFlight(Millis),
 }
 
 /// Whether the directory lists a worker.
@@ -95,7 +95,7 @@
     /// An entry that was passed over, as it is of an earlier start.
     pub passed_over: Option<Box<Listing>>,
     /// Start of the life that all else here is known of.
-    pub boot: Boot,
+    pub boot: BootTime,
     /// True from news of another life until its next report.
     pub doubted: bool,
     /// The most room that it has had: what has shrunk may grow again.
@@ -117,7 +117,7 @@
     /// Since when a serving task there is over its target; none while none is.
     pub over_since: Option<Millis>,
     /// The exchange with it.
-    pub contact: Contact,
+    pub contact: PollState,
     /// Exchanges without an answer in a row.
     pub misses: u32,
     /// When it answered last; 0 for never.
@@ -144,7 +144,7 @@
     /// Fillers that have just ended there.
     pub recent: Recent,
     /// Its clock as reported last.
-    heard: Option<Heard>,
+    heard: Option<ClockReading>,
     /// When every lease given to it here has certainly ended.
     granted: Millis,
 }
@@ -166,7 +166,7 @@
             beside: Beside::default(),
             lasting: 0,
             over_since: None,
-            contact: Contact::Due(now),
+            contact: PollState::Due(now),
             misses: 0,
             answered: 0,
             top: 0,
@@ -186,7 +186,7 @@
 
     /// Forgets all but how it is listed and what its contact is: a later life is there.
     /// Leases given to it end at `granted` at the latest.
-    pub fn begin_incarnation(&mut self, boot: Boot, granted: Millis) {
+    pub fn begin_incarnation(&mut self, boot: BootTime, granted: Millis) {
         let next = Self::new(self.listing.clone(), 0);
         let before = std::mem::replace(self, next);
         self.boot = boot;
@@ -377,7 +377,7 @@
 
     /// Takes in a report of its clock.
     pub fn hear(&mut self, clock: Millis, now: Millis) {
-        self.heard = Some(Heard { clock, at: now });
+        self.heard = Some(ClockReading { clock, at: now });
         self.answered = now;
     }
 
@@ -386,7 +386,7 @@
         let heard = self.heard?;
         let clock = heard.clock + (now - heard.at) * CLOCK_RATE / 100;
         let end = clock + span;
-        let last = heard.at + lease_span(end - heard.clock);
+        let last = heard.at + max_lease_duration(end - heard.clock);
         self.granted = self.granted.max(last);
         Some(end)
     }
