--- a/benches/orders.rs
+++ b/benches/orders.rs
@@ -72,7 +72,7 @@
             seen: seen as u64,
             wait: 0,
         };
-        whole += usize::from(matches!(workers.hold(&hold).await, Reply::Ok(_)));
+        whole += usize::from(matches!(workers.poll(&hold).await, Reply::Ok(_)));
     }
     whole
 }
--- a/src/daemon/feeds.rs
+++ b/src/daemon/feeds.rs
@@ -23,7 +23,7 @@
 /// Follows the configuration and which halls are cordoned for ever.
 pub async fn follow_config(shared: Rc<Shared>) {
     let take = |page: Page, whole: bool| {
-        shared.apply_cordons(config::cordons(&page), whole.then_some(page.version));
+        shared.apply_cordons(config::cordon_changes(&page), whole.then_some(page.version));
         let rows = page.rows.into_iter();
         for row in rows.filter(|r| &*r.key == config::KEY) {
             shared.apply_config(row, "store");
@@ -35,7 +35,7 @@
 /// Follows the directory while the owner of `epoch` is in this process.
 pub async fn follow_directory(shared: Rc<Shared>, epoch: u64) {
     let take = |page: Page, whole: bool| {
-        let entries = directory::entries(page, &shared.queues());
+        let entries = directory::decode_entries(page, &shared.queues());
         let event = match whole {
             true => Event::Directory(entries),
             false => Event::Listed(entries),
@@ -62,8 +62,13 @@
     let mut healthy = true;
     while go_on() {
         let read = match version {
-            None => shared.store.read(table, "", READ_TIMEOUT).await,
-            Some(version) => shared.store.feed(table, version, FEED_WAIT).await,
+            None => shared.store.read_all(table, "", READ_TIMEOUT).await,
+            Some(version) => {
+                shared
+                    .store
+                    .wait_for_changes(table, version, FEED_WAIT)
+                    .await
+            }
         };
         match read {
             Ok(page) => {
@@ -74,11 +79,11 @@
                 }
                 let whole = version.is_none();
                 version = Some(page.version);
-                if whole || !page.rows.is_empty() || !page.dropped.is_empty() {
+                if whole || !page.rows.is_empty() || !page.deleted.is_empty() {
                     take(page, whole);
                 }
             }
-            Err(StoreError::Forgotten) => {
+            Err(StoreError::HistoryGone) => {
                 log::info!(target: "store", "event=feed-forgotten table={table} version={version:?}");
                 version = None;
             }
--- a/src/daemon/frontend.rs
+++ b/src/daemon/frontend.rs
@@ -41,9 +41,9 @@
     let queues = shared.queues();
     if queues.version() == 0 {
         log::info!(target: "desk", "event=refused reason=no-config");
-        return ingress::reply(&Answer::Refused(COME_BACK));
+        return ingress::to_reply(&Answer::Refused(COME_BACK));
     }
-    let ask = match ingress::ask(&request, &queues) {
+    let ask = match ingress::parse_request(&request, &queues) {
         Ok(ask) => ask,
         Err(reply) => {
             if reply.status != StatusCode::NOT_FOUND {
@@ -52,7 +52,7 @@
             return *reply;
         }
     };
-    let patience = ingress::patience(&request).saturating_sub(WAY_BACK);
+    let patience = ingress::deadline(&request).saturating_sub(WAY_BACK);
     let start = clock::micros();
     let answer = ask_owner(&shared, &ask, patience).await;
     let took = clock::micros() - start;
@@ -62,7 +62,7 @@
         let version = queues.version();
         log::info!(target: "desk", "job={id} event={what} answer={answer:?} us={took} config={version}");
     }
-    ingress::reply(&answer)
+    ingress::to_reply(&answer)
 }
 
 fn name(ask: &JobRequest) -> (&'static str, &str) {
--- a/src/daemon/history.rs
+++ b/src/daemon/history.rs
@@ -26,7 +26,7 @@
     while shared.local_epoch() == Some(epoch) {
         let read = shared
             .store
-            .page(HISTORY_TABLE, STORE_PART, &from, PAGE, READ_TIMEOUT);
+            .read_page(HISTORY_TABLE, STORE_PART, &from, PAGE, READ_TIMEOUT);
         match read.await {
             Ok(read) => {
                 let page = decode_page(&read.rows, read.next.is_none());
--- a/src/daemon/owner_row.rs
+++ b/src/daemon/owner_row.rs
@@ -26,7 +26,7 @@
 pub async fn read_owner(shared: &Shared) -> Result<Option<KnownOwner>, StoreError> {
     let page = shared
         .store
-        .read(OWNER_TABLE, STORE_PART, READ_TIMEOUT)
+        .read_all(OWNER_TABLE, STORE_PART, READ_TIMEOUT)
         .await?;
     let row = page.rows.iter().find(|r| &*r.key == OWNER_KEY);
     Ok(row.and_then(|row| {
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -193,7 +193,7 @@
             }
             Action::Hold(hold) => {
                 spawn_call(shared, epoch, async move |shared| {
-                    let reply = shared.workers.hold(&hold).await;
+                    let reply = shared.workers.poll(&hold).await;
                     Event::Held(hold, reply)
                 });
             }
@@ -223,7 +223,7 @@
             }
             Action::Advise(question) => {
                 spawn_call(shared, epoch, async move |shared| {
-                    let reply = shared.advisor.ask(&question).await;
+                    let reply = shared.advisor.advise(&question).await;
                     Event::Advised(question.step, question.workers, reply)
                 });
             }
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -146,7 +146,7 @@
 
     /// Puts a configuration in force unless a newer one is.
     pub fn apply_config(&self, row: Row, from: &str) {
-        let Some(queues) = config::queues(&row) else {
+        let Some(queues) = config::decode_queues(&row) else {
             return;
         };
         let old = self.queues.borrow().version();
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -241,7 +241,7 @@
     {
         match shared
             .store
-            .page(table, STORE_PART, from, PAGE, READ_TIMEOUT)
+            .read_page(table, STORE_PART, from, PAGE, READ_TIMEOUT)
             .await
         {
             Ok(page) => return Some(page),
--- a/src/platform/advice.rs
+++ b/src/platform/advice.rs
@@ -12,9 +12,9 @@
 use crate::web::client::Pool;
 
 /// Bytes of the largest answer, about a hundred workers.
-const REPLY_LIMIT: usize = 1 << 16;
+const MAX_REPLY_BYTES: usize = 1 << 16;
 /// Milliseconds for an answer: several questions may wait their turn there.
-const LIMIT: Millis = 3_000;
+const ADVICE_TIMEOUT: Millis = 3_000;
 
 /// The client of the advisor.
 #[derive(Clone)]
@@ -27,13 +27,13 @@
     /// Returns the client of an advisor, or of none.
     pub fn new(address: Option<SocketAddr>) -> Self {
         Self {
-            pool: Pool::new(REPLY_LIMIT),
+            pool: Pool::new(MAX_REPLY_BYTES),
             address,
         }
     }
 
     /// Asks which of some workers may run a step.
-    pub async fn ask(&self, question: &Advise) -> Reply<Advice> {
+    pub async fn advise(&self, question: &Advise) -> Reply<Advice> {
         let Some(address) = self.address else {
             log::error!(target: "task", "step={} event=no-advisor", question.name);
             return Reply::NotSent;
@@ -49,10 +49,10 @@
             "/advise",
             Some(body),
             None,
-            LIMIT,
+            ADVICE_TIMEOUT,
         );
         match call.await {
-            Ok(reply) if reply.status == StatusCode::OK => decode(&reply.body),
+            Ok(reply) if reply.status == StatusCode::OK => decode_advice(&reply.body),
             Ok(reply) => {
                 log::info!(target: "task", "step={} event=advice-refused status={}", question.name, reply.status);
                 Reply::Refused(Refusal::Unwell)
@@ -66,7 +66,7 @@
     }
 }
 
-fn decode(body: &[u8]) -> Reply<Advice> {
+fn decode_advice(body: &[u8]) -> Reply<Advice> {
     match serde_json::from_slice::<AdviceReply>(body) {
         Ok(reply) => Reply::Ok(Advice {
             good: reply.good,
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -12,13 +12,13 @@
 /// Key of the configuration.
 pub const KEY: &str = "config";
 /// Start of the keys under which halls are cordoned; the name of the hall follows.
-const CORDON: &str = "evacuate/";
+const CORDON_PREFIX: &str = "evacuate/";
 
 /// Returns what a page of the operator's table says of halls. A row holds by its key alone:
 /// one whose value does not decode cordons its hall all the same.
-pub fn cordons(page: &Page) -> Vec<Change> {
+pub fn cordon_changes(page: &Page) -> Vec<Change> {
     let change = |key: &str, version, cordoned| {
-        let hall = key.strip_prefix(CORDON).filter(|h| !h.is_empty())?;
+        let hall = key.strip_prefix(CORDON_PREFIX).filter(|h| !h.is_empty())?;
         Some(Change {
             hall: hall.into(),
             version,
@@ -26,7 +26,7 @@
         })
     };
     let gone = page
-        .dropped
+        .deleted
         .iter()
         .map(|d| change(&d.key, d.version, false));
     let set = page.rows.iter().map(|r| change(&r.key, r.version, true));
@@ -34,7 +34,7 @@
 }
 
 /// Returns the queues of a configuration, or `None` when it does not decode.
-pub fn queues(row: &Row) -> Option<Queues> {
+pub fn decode_queues(row: &Row) -> Option<Queues> {
     let config: Config = decode(row)?;
     let services = config.services.into_iter().map(|service| service.name);
     let routes = config.routes.into_iter().map(|route| Route {
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -1,7 +1,7 @@
 //! The workers' entries in the store.
 
 use super::store::Page;
-use super::wire::Beat;
+use super::wire::WorkerEntry;
 use crate::queues::Queues;
 use crate::sched::message::Entry;
 use crate::sched::spec::Resources;
@@ -13,7 +13,7 @@
 pub const TABLE: &str = "servers";
 
 /// Place of the rack among the labels.
-const RACK: usize = 1;
+const RACK_LABEL: usize = 1;
 
 /// State of a worker that takes tasks.
 const READY: &str = "ready";
@@ -21,7 +21,7 @@
 const DRAINING: &str = "draining";
 
 /// Why an entry names no worker to use.
-enum Flaw {
+enum EntryError {
     /// It does not decode.
     Unreadable,
     /// It has a state of another name.
@@ -31,59 +31,59 @@
 }
 
 /// Returns what the entries of a page say.
-pub fn entries(page: Page, queues: &Queues) -> Vec<(Name, Entry)> {
-    let dropped = page.dropped.into_iter().map(|d| (d.key, Entry::Gone));
+pub fn decode_entries(page: Page, queues: &Queues) -> Vec<(Name, Entry)> {
+    let deleted = page.deleted.into_iter().map(|d| (d.key, Entry::Gone));
     let rows = page.rows.iter().map(|row| {
         let id = row.key.clone();
-        match listing(row, queues) {
+        match decode_listing(row, queues) {
             Ok(listing) => (id, Entry::Listed(listing)),
-            Err(flaw) => {
-                tell(&id, &flaw);
+            Err(error) => {
+                log_unusable(&id, &error);
                 (id, Entry::Unusable)
             }
         }
     });
-    dropped.chain(rows).collect()
+    deleted.chain(rows).collect()
 }
 
-fn tell(id: &str, flaw: &Flaw) {
-    match flaw {
+fn log_unusable(id: &str, error: &EntryError) {
+    match error {
         // Told where it was decoded.
-        Flaw::Unreadable => {}
-        Flaw::State(state) => {
+        EntryError::Unreadable => {}
+        EntryError::State(state) => {
             log::warn!(target: "directory", "worker={id} event=passed-over reason=state state=\"{state}\"");
         }
-        Flaw::Service(service) => {
+        EntryError::Service(service) => {
             log::info!(target: "directory", "worker={id} event=passed-over reason=service service=\"{service}\"");
         }
     }
 }
 
-fn listing(row: &Row, queues: &Queues) -> Result<Listing, Flaw> {
-    let beat: Beat = decode(row).ok_or(Flaw::Unreadable)?;
-    let leaving = match &*beat.state {
+fn decode_listing(row: &Row, queues: &Queues) -> Result<Listing, EntryError> {
+    let entry: WorkerEntry = decode(row).ok_or(EntryError::Unreadable)?;
+    let leaving = match &*entry.state {
         READY => false,
         DRAINING => true,
-        _ => return Err(Flaw::State(beat.state)),
+        _ => return Err(EntryError::State(entry.state)),
     };
-    if !queues.names_service(&beat.service) {
-        return Err(Flaw::Service(beat.service));
+    if !queues.names_service(&entry.service) {
+        return Err(EntryError::Service(entry.service));
     }
     Ok(Listing {
         id: row.key.clone(),
-        boot: beat.born,
-        service: beat.service,
-        address: beat.address,
-        hall: beat.zone,
+        boot: entry.born,
+        service: entry.service,
+        address: entry.address,
+        hall: entry.zone,
         // The platform lists the rack after the worker's kind.
-        rack: beat.labels.get(RACK).cloned().unwrap_or_default(),
-        labels: beat.labels,
+        rack: entry.labels.get(RACK_LABEL).cloned().unwrap_or_default(),
+        labels: entry.labels,
         capacity: Resources {
-            cpu: beat.capacity.cpu,
-            memory: beat.capacity.mem_mb,
-            gpu: beat.capacity.gpu,
+            cpu: entry.capacity.cpu,
+            memory: entry.capacity.mem_mb,
+            gpu: entry.capacity.gpu,
         },
         leaving,
-        stays: beat.remaining_ms,
+        stays: entry.remaining_ms,
     })
 }
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -15,25 +15,25 @@
 /// Characters of a job's id.
 const ID_LENGTH: usize = 16;
 /// Bytes of the text of a job.
-const TEXT_LIMIT: usize = 4_000;
+const MAX_SPEC_BYTES: usize = 4_000;
 /// Milliseconds that a client waits when it does not say.
-const PATIENCE: Millis = 3_000;
+const DEFAULT_DEADLINE: Millis = 3_000;
 
 /// Returns how long the client waits for its answer, in milliseconds.
-pub fn patience(request: &Request) -> Millis {
+pub fn deadline(request: &Request) -> Millis {
     let value = request.headers.get(wire::DEADLINE);
     let Some(value) = value else {
-        return PATIENCE;
+        return DEFAULT_DEADLINE;
     };
     let number = value.to_str().ok().and_then(|t| t.parse().ok());
     number.unwrap_or_else(|| {
-        log::warn!(target: "desk", "event=bad-deadline value={value:?} taken_ms={PATIENCE}");
-        PATIENCE
+        log::warn!(target: "desk", "event=bad-deadline value={value:?} taken_ms={DEFAULT_DEADLINE}");
+        DEFAULT_DEADLINE
     })
 }
 
 /// Returns what a request asks for, or the answer to one that asks for nothing known.
-pub fn ask(request: &Request, queues: &Queues) -> Result<JobRequest, Box<Reply>> {
+pub fn parse_request(request: &Request, queues: &Queues) -> Result<JobRequest, Box<Reply>> {
     let host = request.headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = host.unwrap_or("").split(':').next().unwrap_or("");
     let Some((route, rest)) = queues.find(host, request.uri.path()) else {
@@ -54,7 +54,7 @@
         Method::DELETE => Ok(JobRequest::Cancel(id)),
         Method::POST => Ok(JobRequest::Submit {
             id,
-            spec: Box::new(job(&request.body)?),
+            spec: Box::new(parse_job(&request.body)?),
             queue,
         }),
         _ => {
@@ -66,15 +66,15 @@
     }
 }
 
-fn job(body: &[u8]) -> Result<JobSpec, Box<Reply>> {
+fn parse_job(body: &[u8]) -> Result<JobSpec, Box<Reply>> {
     let wrong = |text: String| Box::new(Reply::text(StatusCode::BAD_REQUEST, format!("{text}\n")));
     let job: Job = serde_json::from_slice(body).map_err(|e| wrong(e.to_string()))?;
-    if job.spec.len() > TEXT_LIMIT {
-        return Err(wrong(format!("a spec has at most {TEXT_LIMIT} bytes")));
+    if job.spec.len() > MAX_SPEC_BYTES {
+        return Err(wrong(format!("a spec has at most {MAX_SPEC_BYTES} bytes")));
     }
     Ok(JobSpec {
         text: job.spec,
-        steps: job.steps.into_iter().map(step).collect(),
+        steps: job.steps.into_iter().map(step_spec).collect(),
         schedule: (job.max_runs > 0).then_some(Schedule {
             rounds: job.max_runs,
             first: job.initial_delay_ms,
@@ -83,7 +83,7 @@
     })
 }
 
-fn step(step: Step) -> StepSpec {
+fn step_spec(step: Step) -> StepSpec {
     StepSpec {
         count: step.count,
         resources: Resources {
@@ -109,19 +109,19 @@
 }
 
 /// Returns the answer to a client.
-pub fn reply(answer: &Answer) -> Reply {
+pub fn to_reply(answer: &Answer) -> Reply {
     match answer {
-        Answer::Accepted | Answer::Cancelled => json(StatusCode::OK, json!({})),
-        Answer::State(shown) => json(StatusCode::OK, json!({ "state": state(*shown) })),
-        Answer::Waiting(count) => json(StatusCode::OK, json!({ "pending": count })),
+        Answer::Accepted | Answer::Cancelled => json_reply(StatusCode::OK, json!({})),
+        Answer::State(shown) => json_reply(StatusCode::OK, json!({ "state": state_name(*shown) })),
+        Answer::Waiting(count) => json_reply(StatusCode::OK, json!({ "pending": count })),
         Answer::Unknown => Reply::text(StatusCode::GONE, "no such job\n"),
         Answer::Invalid(wrong) => Reply::text(StatusCode::BAD_REQUEST, format!("{wrong}\n")),
         Answer::InDoubt => Reply::text(StatusCode::GATEWAY_TIMEOUT, "not known yet\n"),
-        Answer::Refused(after) => refused(*after),
+        Answer::Refused(after) => refused_reply(*after),
     }
 }
 
-fn refused(after: Millis) -> Reply {
+fn refused_reply(after: Millis) -> Reply {
     let mut reply = Reply::text(StatusCode::SERVICE_UNAVAILABLE, "not taken\n");
     let seconds = after.div_ceil(1_000);
     reply
@@ -130,7 +130,7 @@
     reply
 }
 
-fn state(shown: Shown) -> &'static str {
+fn state_name(shown: Shown) -> &'static str {
     match shown {
         Shown::Queued => "queued",
         Shown::Running => "running",
@@ -140,7 +140,7 @@
     }
 }
 
-fn json(status: StatusCode, value: serde_json::Value) -> Reply {
+fn json_reply(status: StatusCode, value: serde_json::Value) -> Reply {
     let mut reply = Reply::text(status, value.to_string());
     let kind = HeaderValue::from_static("application/json");
     reply.headers.insert(CONTENT_TYPE, kind);
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -15,22 +15,22 @@
 use crate::web::{Reply, WebError};
 
 /// Bytes of the largest answer: a page of rows has 1 MB, and JSON around it.
-const ANSWER_LIMIT: usize = 4 << 20;
+const MAX_REPLY_BYTES: usize = 4 << 20;
 /// Rows of one page; the platform would give five times as many, up to a megabyte,
 /// which takes 0.8 s over a link of 10 Mbit/s that carries nothing else.
 pub const PAGE: usize = 100;
 /// Milliseconds beyond its wait that the answer of a feed is waited for.
-const FEED_SLACK: Millis = 600;
+const FEED_MARGIN: Millis = 600;
 
 /// Why a read has no rows.
 #[derive(Debug)]
 pub enum StoreError {
     /// No answer, or none that says anything.
-    Away(WebError),
+    Unavailable(WebError),
     /// The store does not serve this box now.
     Refused(StatusCode),
     /// Older changes are forgotten; the rows must be read anew.
-    Forgotten,
+    HistoryGone,
     /// The answer does not decode.
     Malformed(String),
 }
@@ -38,9 +38,9 @@
 impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Away(e) => write!(f, "store away: {e}"),
+            Self::Unavailable(e) => write!(f, "store away: {e}"),
             Self::Refused(status) => write!(f, "store refused: {status}"),
-            Self::Forgotten => f.write_str("history forgotten"),
+            Self::HistoryGone => f.write_str("history forgotten"),
             Self::Malformed(e) => write!(f, "store's answer does not decode: {e}"),
         }
     }
@@ -53,17 +53,17 @@
 pub struct Page {
     /// The rows that are there.
     pub rows: Vec<table::Row>,
-    /// Rows that were dropped, in a feed.
-    pub dropped: Vec<Dropped>,
+    /// Rows that were deleted, in a feed.
+    pub deleted: Vec<DeletedRow>,
     /// Version of the store at that moment.
     pub version: u64,
     /// Key from which the rest of a table is read; none when this is all.
     pub next: Option<String>,
 }
 
-/// A row that was dropped.
+/// A row that was deleted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Dropped {
+pub struct DeletedRow {
     /// Its key.
     pub key: Name,
     /// Version of the store at its end.
@@ -84,7 +84,7 @@
     /// Returns a client that connects at its first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
-            pool: Pool::new(ANSWER_LIMIT),
+            pool: Pool::new(MAX_REPLY_BYTES),
             address,
         }
     }
@@ -131,15 +131,20 @@
             None,
             limit,
         );
-        written(call.await)
+        commit_outcome(call.await)
     }
 
     /// Reads all rows of a part of a table.
-    pub async fn read(&self, table: &str, part: &str, limit: Millis) -> Result<Page, StoreError> {
-        let mut whole = self.page(table, part, "", PAGE, limit).await?;
+    pub async fn read_all(
+        &self,
+        table: &str,
+        part: &str,
+        limit: Millis,
+    ) -> Result<Page, StoreError> {
+        let mut whole = self.read_page(table, part, "", PAGE, limit).await?;
         // Changes between two pages are found by a feed from the first one on.
         while let Some(from) = whole.next.take() {
-            let page = self.page(table, part, &from, PAGE, limit).await?;
+            let page = self.read_page(table, part, &from, PAGE, limit).await?;
             whole.rows.extend(page.rows);
             whole.next = page.next;
         }
@@ -147,7 +152,7 @@
     }
 
     /// Reads up to `count` rows of a part of a table from a key on.
-    pub async fn page(
+    pub async fn read_page(
         &self,
         table: &str,
         part: &str,
@@ -170,9 +175,14 @@
     }
 
     /// Waits for changes of a table after a version.
-    pub async fn feed(&self, table: &str, after: u64, wait: Millis) -> Result<Page, StoreError> {
+    pub async fn wait_for_changes(
+        &self,
+        table: &str,
+        after: u64,
+        wait: Millis,
+    ) -> Result<Page, StoreError> {
         let path = format!("/rows-feed?table={table}&after={after}&waitMs={wait}");
-        let rows = self.get(&path, wait + FEED_SLACK).await?;
+        let rows = self.get(&path, wait + FEED_MARGIN).await?;
         let mut page = Page {
             version: rows.ver.max(after),
             ..Page::default()
@@ -191,10 +201,10 @@
             None,
             limit,
         );
-        let reply = call.await.map_err(StoreError::Away)?;
+        let reply = call.await.map_err(StoreError::Unavailable)?;
         match reply.status {
-            StatusCode::OK => decode(&reply),
-            StatusCode::GONE => Err(StoreError::Forgotten),
+            StatusCode::OK => decode_rows(&reply),
+            StatusCode::GONE => Err(StoreError::HistoryGone),
             status => Err(StoreError::Refused(status)),
         }
     }
@@ -204,11 +214,11 @@
     fn add(&mut self, rows: Rows) {
         for row in rows.rows {
             match row.gone {
-                true => self.dropped.push(Dropped {
+                true => self.deleted.push(DeletedRow {
                     key: row.key,
                     version: row.ver,
                 }),
-                false => self.rows.push(plain(row)),
+                false => self.rows.push(decode_row(row)),
             }
         }
     }
@@ -216,7 +226,7 @@
 
 /// Returns a row with its value's bytes; none when they can't be read, which decodes as
 /// nothing: one such row must not hide the others of its page.
-fn plain(row: Row) -> table::Row {
+fn decode_row(row: Row) -> table::Row {
     let value = STANDARD.decode(&row.value).unwrap_or_else(|e| {
         log::warn!(target: "store", "event=unreadable-row key={} cause=\"{e}\"", row.key);
         Vec::new()
@@ -228,11 +238,11 @@
     }
 }
 
-fn decode(reply: &Reply) -> Result<Rows, StoreError> {
+fn decode_rows(reply: &Reply) -> Result<Rows, StoreError> {
     serde_json::from_slice(&reply.body).map_err(|e| StoreError::Malformed(e.to_string()))
 }
 
-fn written(result: Result<Reply, WebError>) -> Written {
+fn commit_outcome(result: Result<Reply, WebError>) -> Written {
     let reply = match result {
         Ok(reply) => reply,
         Err(WebError::NotSent(_) | WebError::Held) => return Written::NotDone,
@@ -242,14 +252,14 @@
         }
     };
     match reply.status {
-        StatusCode::OK => match decode(&reply) {
+        StatusCode::OK => match decode_rows(&reply) {
             Ok(rows) => Written::Done(rows.ver),
             Err(e) => {
                 log::error!(target: "store", "event=commit-in-doubt cause=\"{e}\"");
                 Written::Unknown
             }
         },
-        StatusCode::PRECONDITION_FAILED => conflict(&reply),
+        StatusCode::PRECONDITION_FAILED => conflict_outcome(&reply),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Written::NotDone,
         status => {
             let text = String::from_utf8_lossy(&reply.body);
@@ -259,8 +269,8 @@
     }
 }
 
-fn conflict(reply: &Reply) -> Written {
-    let rows = match decode(reply) {
+fn conflict_outcome(reply: &Reply) -> Written {
+    let rows = match decode_rows(reply) {
         Ok(rows) => rows,
         Err(e) => {
             log::error!(target: "store", "event=commit-in-doubt cause=\"{e}\"");
@@ -268,6 +278,6 @@
         }
     };
     let row = rows.rows.into_iter().find(|r| !r.gone && r.ver > 0);
-    let row = row.map(plain);
+    let row = row.map(decode_row);
     Written::Conflict(row.map(|r| (r.version, r.value)))
 }
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 
-use super::store::{Dropped, Page};
+use super::store::{DeletedRow, Page};
 use super::{config, directory, ingress};
 use crate::queues::Queues;
 use crate::sched::message::{Answer, Entry, JobRequest};
@@ -24,7 +24,7 @@
 }
 
 fn queues() -> Queues {
-    config::queues(&row(config::KEY, CONFIG)).expect("decodes")
+    config::decode_queues(&row(config::KEY, CONFIG)).expect("decodes")
 }
 
 fn request(method: Method, path: &str, body: &str) -> Request {
@@ -40,7 +40,7 @@
 
 fn refused(method: Method, path: &str, body: &str) -> Reply {
     let request = request(method, path, body);
-    *ingress::ask(&request, &queues()).expect_err("refused")
+    *ingress::parse_request(&request, &queues()).expect_err("refused")
 }
 
 #[test]
@@ -63,7 +63,7 @@
         "\"stretch\":1.5,\"advice\":{\"decide_ms\":40,\"each_ms\":2,\"valid_ms\":3000}",
         1,
     );
-    let queues = config::queues(&row(config::KEY, &text)).expect("decodes");
+    let queues = config::decode_queues(&row(config::KEY, &text)).expect("decodes");
     let advised = |path| queues.find("a.example", path).map(|(r, _)| r.queue.advised);
     assert_eq!(advised("/q/x/1"), Some(true));
     assert_eq!(advised("/q/1"), Some(false));
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_configuration_that_does_not_decode_is_not_taken() {
-    assert!(config::queues(&row(config::KEY, "{\"version\":")).is_none());
+    assert!(config::decode_queues(&row(config::KEY, "{\"version\":")).is_none());
 }
 
 #[test]
@@ -80,7 +80,8 @@
         {"count":2,"cpu":100,"memMb":10,"gpu":1,"after":[0],"savesProgress":true,"gang":true,"sameRack":true,"persistent":true,"image":"i","target_ms":50,"fills":true,"may_miss":0,"speculative":true}],
         "maxRuns":3,"initialDelayMs":1000,"intervalMs":500}"#;
     let request = request(Method::POST, "/q/x/5c0e7a21d94b36f8", body);
-    let Ok(JobRequest::Submit { id, spec, queue }) = ingress::ask(&request, &queues()) else {
+    let Ok(JobRequest::Submit { id, spec, queue }) = ingress::parse_request(&request, &queues())
+    else {
         panic!("a submission");
     };
     assert_eq!((&*id, &*queue.name), ("5c0e7a21d94b36f8", "r-long"));
@@ -119,36 +120,36 @@
 
 #[test]
 fn answers_say_what_is_true_and_when_to_come_back() {
-    let refused = ingress::reply(&Answer::Refused(500));
+    let refused = ingress::to_reply(&Answer::Refused(500));
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(refused.headers[http::header::RETRY_AFTER], "1");
-    let doubt = ingress::reply(&Answer::InDoubt);
+    let doubt = ingress::to_reply(&Answer::InDoubt);
     assert_eq!(doubt.status, StatusCode::GATEWAY_TIMEOUT);
-    assert_eq!(ingress::reply(&Answer::Unknown).status, StatusCode::GONE);
+    assert_eq!(ingress::to_reply(&Answer::Unknown).status, StatusCode::GONE);
     assert_eq!(
-        ingress::reply(&Answer::Waiting(12)).body,
+        ingress::to_reply(&Answer::Waiting(12)).body,
         "{\"pending\":12}"
     );
 }
 
-const BEAT: &str = r#"{"service":"s1","address":"10.1.0.9:80","zone":"z","version":"v1","slots":8,"state":"draining","remainingMs":900,"capacity":{"cpu":16000,"memMb":100},"labels":["a","r1-3"],"seq":4}"#;
+const ENTRY: &str = r#"{"service":"s1","address":"10.1.0.9:80","zone":"z","version":"v1","slots":8,"state":"draining","remainingMs":900,"capacity":{"cpu":16000,"memMb":100},"labels":["a","r1-3"],"seq":4}"#;
 
 fn entries(rows: Vec<Row>) -> Vec<(Name, Entry)> {
     let page = Page {
         rows,
-        dropped: vec![Dropped {
+        deleted: vec![DeletedRow {
             key: "i-gone".into(),
             version: 8,
         }],
         version: 9,
         next: None,
     };
-    directory::entries(page, &queues())
+    directory::decode_entries(page, &queues())
 }
 
 #[test]
 fn the_directory_is_decoded() {
-    let entries = entries(vec![row("i-1", BEAT)]);
+    let entries = entries(vec![row("i-1", ENTRY)]);
     assert_eq!(entries[0], ("i-gone".into(), Entry::Gone));
     let Entry::Listed(worker) = &entries[1].1 else {
         panic!("a worker");
@@ -163,8 +164,8 @@
 #[test]
 fn entries_of_other_writers_name_no_worker_and_hide_none() {
     let changed = |from: &str, to: &str| {
-        let text = BEAT.replacen(from, to, 1);
-        assert_ne!(text, BEAT, "{from}");
+        let text = ENTRY.replacen(from, to, 1);
+        assert_ne!(text, ENTRY, "{from}");
         text
     };
     let flawed = [
@@ -172,7 +173,7 @@
         "{}".into(),
         "null".into(),
         "[[[[".into(),
-        BEAT[..BEAT.len() / 2].into(),
+        ENTRY[..ENTRY.len() / 2].into(),
         changed("\"service\":\"s1\",", ""),
         changed("\"state\":\"draining\",", ""),
         changed("\"address\":\"10.1.0.9:80\",", ""),
@@ -192,7 +193,11 @@
         changed("{\"", "{\"born\":1.5,\""),
     ];
     for text in flawed {
-        let entries = entries(vec![row("i-0", BEAT), row("i-1", &text), row("i-2", BEAT)]);
+        let entries = entries(vec![
+            row("i-0", ENTRY),
+            row("i-1", &text),
+            row("i-2", ENTRY),
+        ]);
         let sound = |entry: &Entry| matches!(entry, Entry::Listed(_));
         assert_eq!(entries.len(), 4, "{text}");
         assert!(sound(&entries[1].1) && sound(&entries[3].1), "{text}");
@@ -202,7 +207,7 @@
         value: vec![0xff, 0xfe, 0x00, b'{'].into(),
         ..row("i-1", "")
     };
-    let entries = entries(vec![bytes, row("i-2", BEAT)]);
+    let entries = entries(vec![bytes, row("i-2", ENTRY)]);
     assert_eq!(entries[1].1, Entry::Unusable);
     assert!(matches!(entries[2].1, Entry::Listed(_)));
 }
@@ -214,7 +219,7 @@
         ("\"born\":7,", Some(7)),
         ("\"born\":null,", None),
     ] {
-        let text = BEAT.replacen('{', &format!("{{{start}"), 1);
+        let text = ENTRY.replacen('{', &format!("{{{start}"), 1);
         let entries = entries(vec![row("i-0", &text)]);
         let Entry::Listed(listing) = &entries[1].1 else {
             panic!("{text}: {entries:?}");
@@ -226,7 +231,7 @@
 #[test]
 fn a_service_without_a_queue_is_named_all_the_same() {
     let named = CONFIG.replacen("{\"name\":\"s1\"}", "{\"name\":\"s3\"}", 1);
-    let queues = config::queues(&row(config::KEY, &named)).expect("decodes");
+    let queues = config::decode_queues(&row(config::KEY, &named)).expect("decodes");
     assert!(["s1", "s2", "s3"].iter().all(|s| queues.names_service(s)));
     assert!(!queues.names_service("s4"));
 }
@@ -234,9 +239,9 @@
 quickcheck::quickcheck! {
     /// Any bytes in the place of an entry decode to none to use, and hide no other.
     fn bytes_of_any_kind_hide_no_entry(bytes: Vec<u8>, length: usize) -> bool {
-        let cut = BEAT.as_bytes()[..length % BEAT.len()].to_vec();
+        let cut = ENTRY.as_bytes()[..length % ENTRY.len()].to_vec();
         let value = |bytes: Vec<u8>| Row { value: bytes.into(), ..row("i-1", "") };
-        let entries = entries(vec![value(bytes), value(cut), row("i-2", BEAT)]);
+        let entries = entries(vec![value(bytes), value(cut), row("i-2", ENTRY)]);
         let flawed = entries[1..3].iter().all(|e| e.1 == Entry::Unusable);
         flawed && matches!(entries[3].1, Entry::Listed(_))
     }
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -129,7 +129,7 @@
 /// A worker's entry in the directory.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Beat {
+pub struct WorkerEntry {
     pub service: Name,
     pub address: SocketAddr,
     pub zone: Name,
@@ -219,7 +219,7 @@
     pub value: String,
     #[serde(default)]
     pub ver: u64,
-    /// True when the row was dropped.
+    /// True when the row was deleted.
     #[serde(default)]
     pub gone: bool,
 }
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -15,10 +15,10 @@
 use crate::web::{self, WebError};
 
 /// Bytes of the largest report: 500 ends and all runs of a worker.
-const REPORT_LIMIT: usize = 1 << 20;
+const MAX_REPORT_BYTES: usize = 1 << 20;
 /// Milliseconds for an order's answer: hundreds of times its usual time, well
 /// under a lease.
-const ORDER_LIMIT: Millis = 700;
+const ORDER_TIMEOUT: Millis = 700;
 
 /// The client of all workers.
 #[derive(Clone)]
@@ -31,7 +31,7 @@
     /// worker.
     pub fn new(idle: usize) -> Self {
         Self {
-            pool: Pool::new(REPORT_LIMIT).keeping(idle),
+            pool: Pool::new(MAX_REPORT_BYTES).keeping(idle),
         }
     }
 
@@ -46,7 +46,7 @@
             last_checkpoint: &start.saved,
             ticket: &start.permit,
         });
-        let reply = self.order(start.address, "/run-start", body, &start.incarnation.id, 0);
+        let reply = self.send_order(start.address, "/run-start", body, &start.incarnation.id, 0);
         reply.await.map(word)
     }
 
@@ -57,7 +57,7 @@
             run: stop.run,
             fence: stop.epoch,
         });
-        let reply = self.order(stop.address, "/run-stop", body, &stop.incarnation.id, 0);
+        let reply = self.send_order(stop.address, "/run-stop", body, &stop.incarnation.id, 0);
         reply.await.map(word)
     }
 
@@ -69,23 +69,23 @@
             percent: throttle.percent,
             fence: throttle.epoch,
         });
-        let reply = self.order(throttle.address, "/pace", body, &throttle.incarnation.id, 0);
+        let reply = self.send_order(throttle.address, "/pace", body, &throttle.incarnation.id, 0);
         reply.await.map(word)
     }
 
     /// Extends the lease of a worker and returns its report.
-    pub async fn hold(&self, hold: &Hold) -> Reply<Report> {
+    pub async fn poll(&self, hold: &Hold) -> Reply<Report> {
         let body = encode(&wire::Hold {
             deadline_ms: hold.lease,
             fence: hold.epoch,
             last_seen: hold.seen,
             wait_ms: hold.wait,
         });
-        let reply = self.order(hold.address, "/hold", body, &hold.incarnation.id, hold.wait);
-        reply.await.map(report)
+        let reply = self.send_order(hold.address, "/hold", body, &hold.incarnation.id, hold.wait);
+        reply.await.map(to_report)
     }
 
-    async fn order(
+    async fn send_order(
         &self,
         address: SocketAddr,
         path: &str,
@@ -100,10 +100,10 @@
             path,
             Some(body),
             Some(life),
-            ORDER_LIMIT + wait,
+            ORDER_TIMEOUT + wait,
         );
         match call.await {
-            Ok(reply) => decode(path, &reply),
+            Ok(reply) => decode_reply(path, &reply),
             Err(WebError::NotSent(_) | WebError::Held) => Reply::NotSent,
             Err(e) => {
                 log::debug!(target: "worker", "worker={life} call={path} event=lost cause=\"{e}\"");
@@ -113,7 +113,7 @@
     }
 }
 
-fn decode(path: &str, reply: &web::Reply) -> Reply<OrderReply> {
+fn decode_reply(path: &str, reply: &web::Reply) -> Reply<OrderReply> {
     let body = match serde_json::from_slice::<OrderReply>(&reply.body) {
         Ok(body) => body,
         Err(e) if reply.status == StatusCode::OK => {
@@ -125,7 +125,7 @@
     };
     match reply.status {
         StatusCode::OK => Reply::Ok(body),
-        StatusCode::CONFLICT => Reply::Refused(conflict(path, &body.reason)),
+        StatusCode::CONFLICT => Reply::Refused(conflict_refusal(path, &body.reason)),
         StatusCode::MISDIRECTED_REQUEST => Reply::Refused(Refusal::Replaced),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
             Reply::Refused(Refusal::Unwell)
@@ -138,7 +138,7 @@
     }
 }
 
-fn conflict(path: &str, reason: &str) -> Refusal {
+fn conflict_refusal(path: &str, reason: &str) -> Refusal {
     match reason {
         "fence" => Refusal::Fenced,
         "old" => Refusal::Old,
@@ -159,7 +159,7 @@
     }
 }
 
-fn report(body: OrderReply) -> Report {
+fn to_report(body: OrderReply) -> Report {
     let running = body
         .running
         .into_iter()
@@ -174,7 +174,7 @@
         .finished
         .into_iter()
         .filter_map(|(number, task, run, how, saved)| {
-            let how = how_ended(&how)?;
+            let how = parse_how(&how)?;
             Some(Ended {
                 number,
                 task,
@@ -191,7 +191,7 @@
     }
 }
 
-fn how_ended(how: &str) -> Option<How> {
+fn parse_how(how: &str) -> Option<How> {
     Some(match how {
         "done" => How::Done,
         "failed" => How::Failed,
