--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -39,7 +39,7 @@
     pub kept: Vec<Kept>,
     /// Ids of jobs whose rows can't be read.
     pub unreadable: Vec<Name>,
-    /// What they learned of pressure between images.
+    /// What they learned of interference between images.
     pub known: Vec<Known>,
 }
 
@@ -125,7 +125,7 @@
     let journal = Journal::new(row, version, confirmed);
     let mut owner = Owner::new(bounds, journal, stored.kept, inherited, now);
     owner.distrust(stored.unreadable);
-    owner.recall(stored.known);
+    owner.import_interference(stored.known);
     shared.send_to_owner(Message::Begin(Box::new(owner), epoch, took));
     let told = pings::takeover_notice(shared, &owner_row, version);
     let before = before.map(|b| b.row);
--- a/src/sched/choice.rs
+++ b/src/sched/choice.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use super::interference::{ImageNumber, Pressure};
+use super::interference::{ImageNumber, InterferenceModel};
 use super::job::{StepKey, TaskKey};
 use super::permits::Permits;
 use super::spec::StepSpec;
@@ -54,7 +54,7 @@
     /// Number of the step's image.
     pub image: ImageNumber,
     /// What is known of how fillers slow serving tasks; none when it does not count.
-    pub pressure: Option<&'a Pressure>,
+    pub interference: Option<&'a InterferenceModel>,
     /// True when one more failure ends the job.
     pub last_try: bool,
     /// Worker on which it failed last; empty for none.
@@ -174,9 +174,9 @@
         _ => load(worker.used.cpu + worker.soft + step.resources.cpu),
     };
     if (step.target > 0 || step.best_effort)
-        && let Some(pressure) = wish.pressure
+        && let Some(interference) = wish.interference
     {
-        let excess = pressure.excess_with(worker, step, wish.image);
+        let excess = interference.excess_with(worker, step, wish.image);
         score += (excess * CLASH as f64) as u64;
     }
     if !step.rack.is_empty() && worker.listing.rack != step.rack {
--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -61,7 +61,7 @@
             return None;
         }
         self.next_beliefs = self.now.steady + BELIEFS;
-        let known = self.pressure.export()?;
+        let known = self.interference.export()?;
         Some(Write {
             table: BELIEF_TABLE,
             key: PRESSURE_KEY.into(),
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -78,10 +78,10 @@
             && let Some(others) = self.loads.of_others(step, key.index, now)
         {
             let taken = busy - others.load;
-            self.pressure.learn(&image, mix, taken, others.variance);
+            self.interference.learn(&image, mix, taken, others.variance);
         }
-        let (pressed, variance) = self.pressure.pressed(&image, mix);
-        let measured = (busy - pressed).clamp(0.0, busy);
+        let (mix_load, variance) = self.interference.mix_load(&image, mix);
+        let measured = (busy - mix_load).clamp(0.0, busy);
         self.loads.note(step, key.index, measured, variance, now);
         let own_load = self.loads.of(step, key.index, now).load.clamp(0.0, busy);
         let before = placement.gauge.as_ref().and_then(|g| g.breach);
--- a/src/sched/interference.rs
+++ b/src/sched/interference.rs
@@ -36,7 +36,7 @@
 /// Share of a worker's processors below which a filler tells nothing.
 const SLIGHT: f64 = 0.005;
 /// What is known of how fillers slow serving tasks.
-pub struct Pressure {
+pub struct InterferenceModel {
     harm: Harm,
     /// Numbers of images.
     numbers: HashMap<Name, ImageNumber>,
@@ -50,7 +50,7 @@
 /// Number of an image.
 pub type ImageNumber = usize;
 
-impl Default for Pressure {
+impl Default for InterferenceModel {
     fn default() -> Self {
         Self {
             harm: Harm::new(MODEL),
@@ -62,17 +62,17 @@
 }
 
 /// How differently fillers press on each two images: sums of differences of their factors.
-pub struct Distances(Vec<Vec<f64>>);
+pub struct ImageDistances(Vec<Vec<f64>>);
 
-impl Distances {
+impl ImageDistances {
     /// Returns the distance of two images, 0 where one is not known.
-    pub fn of(&self, one: ImageNumber, other: ImageNumber) -> f64 {
-        let row = self.0.get(one);
-        row.and_then(|r| r.get(other)).copied().unwrap_or(0.0)
+    pub fn between(&self, a: ImageNumber, b: ImageNumber) -> f64 {
+        let row = self.0.get(a);
+        row.and_then(|r| r.get(b)).copied().unwrap_or(0.0)
     }
 }
 
-impl Pressure {
+impl InterferenceModel {
     /// Returns what was learned, to be kept, if that is more than before.
     pub fn export(&mut self) -> Option<Vec<Known>> {
         std::mem::take(&mut self.learned).then(|| self.harm.export())
@@ -82,12 +82,12 @@
     pub fn import(&mut self, all: Vec<Known>) {
         self.harm.import(all.clone());
         for known in all {
-            self.note(&known.victim, &known.culprit);
+            self.cache_factor(&known.victim, &known.culprit);
         }
     }
 
     /// Keeps the factor of a pair at hand.
-    fn note(&mut self, victim: &Name, culprit: &Name) {
+    fn cache_factor(&mut self, victim: &Name, culprit: &Name) {
         let row = self.intern(victim);
         let column = self.intern(culprit);
         self.factors[row][column] = self.harm.of(victim, culprit, false);
@@ -107,7 +107,7 @@
     }
 
     /// Returns the number of an image, or one that stands for unknown images.
-    pub fn number_of(&self, image: &str) -> ImageNumber {
+    pub fn image_number(&self, image: &str) -> ImageNumber {
         self.numbers.get(image).copied().unwrap_or(ImageNumber::MAX)
     }
 
@@ -122,16 +122,16 @@
     /// Returns how differently fillers press on each two images.
     ///
     /// All at once, as a look for swaps asks thousands of times for those of a few images.
-    pub fn distances(&self) -> Distances {
-        let apart = |one: &Vec<f64>, other: &Vec<f64>| -> f64 {
-            one.iter().zip(other).map(|(a, b)| (a - b).abs()).sum()
+    pub fn distances(&self) -> ImageDistances {
+        let apart = |a: &Vec<f64>, b: &Vec<f64>| -> f64 {
+            a.iter().zip(b).map(|(a, b)| (a - b).abs()).sum()
         };
-        let of_row = |row: &Vec<f64>| self.factors.iter().map(|other| apart(row, other)).collect();
-        Distances(self.factors.iter().map(of_row).collect())
+        let of_row = |row: &Vec<f64>| self.factors.iter().map(|b| apart(row, b)).collect();
+        ImageDistances(self.factors.iter().map(of_row).collect())
     }
 
     /// Returns the part of a serving image's server that a filler takes at full pace.
-    fn part(&self, victim: ImageNumber, culprit: ImageNumber, cpu: u64, capacity: u64) -> f64 {
+    fn load_part(&self, victim: ImageNumber, culprit: ImageNumber, cpu: u64, capacity: u64) -> f64 {
         self.factor(victim, culprit) * cpu as f64 / capacity.max(1) as f64
     }
 
@@ -141,8 +141,8 @@
         let capacity = worker.listing.capacity.cpu;
         let beside = &worker.beside;
         let parts = |victim: ImageNumber| -> f64 {
-            let part = |f: &Filling| self.part(victim, f.image, f.cpu, capacity);
-            beside.fillers.iter().map(part).sum()
+            let load_part = |f: &Filling| self.load_part(victim, f.image, f.cpu, capacity);
+            beside.fillers.iter().map(load_part).sum()
         };
         if !step.best_effort {
             return (PEAK + parts(number) - BORNE).max(0.0);
@@ -150,7 +150,7 @@
         let over = beside.serving.iter().map(|victim| {
             let own = victim.own_load.unwrap_or(UNMEASURED);
             let peak = (own + RISE).min(PEAK.max(own));
-            let added = self.part(victim.image, number, step.resources.cpu, capacity);
+            let added = self.load_part(victim.image, number, step.resources.cpu, capacity);
             let before = peak + parts(victim.image) - BORNE;
             (before + added).max(0.0) - before.max(0.0)
         });
@@ -159,14 +159,14 @@
 
     /// Returns the part of a serving image's server that a mix of fillers takes,
     /// without caution, and the variance of that.
-    pub(super) fn pressed(&self, victim: &str, mix: &ImageShares) -> (f64, f64) {
-        let (mut part, mut variance) = (0.0, 0.0);
+    pub(super) fn mix_load(&self, victim: &str, mix: &ImageShares) -> (f64, f64) {
+        let (mut load, mut variance) = (0.0, 0.0);
         for (image, share) in mix {
             let (mean, spread) = self.harm.estimated(victim, image, false);
-            part += mean * share;
+            load += mean * share;
             variance += spread * share * share;
         }
-        (part.max(0.0), variance)
+        (load.max(0.0), variance)
     }
 
     /// Learns from the part of a serving task's server that fillers took, which is
@@ -179,7 +179,7 @@
                 .learn_weighted(victim, &shares, taken, false, variance);
             shares
                 .iter()
-                .for_each(|(image, _)| self.note(victim, image));
+                .for_each(|(image, _)| self.cache_factor(victim, image));
             self.learned = true;
         }
     }
--- a/src/sched/journal.rs
+++ b/src/sched/journal.rs
@@ -26,7 +26,7 @@
 pub const HISTORY_TABLE: &str = "past";
 /// Table of what owners learned.
 pub const BELIEF_TABLE: &str = "belief";
-/// Key of the factors of pressure between images.
+/// Key of the interference factors between images.
 pub const PRESSURE_KEY: &str = "pressure";
 /// Key of the owner's row.
 pub const OWNER_KEY: &str = "owner";
--- a/src/sched/loads.rs
+++ b/src/sched/loads.rs
@@ -55,8 +55,8 @@
 impl Loads {
     /// Takes in what a task of a step was measured to load its server with, less
     /// what fillers are thought to take with this variance.
-    pub fn note(&mut self, step: StepKey, index: u32, load: f64, pressed: f64, now: Millis) {
-        let variance = NOISE + pressed;
+    pub fn note(&mut self, step: StepKey, index: u32, load: f64, mix_variance: f64, now: Millis) {
+        let variance = NOISE + mix_variance;
         let others = self.of_others(step, index, now);
         let entry = self.steps.entry(step).or_default();
         if let Some(others) = others {
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -6,7 +6,7 @@
 use super::choice::Ranking;
 use super::crashes::Provisional;
 use super::history::History;
-use super::interference::Pressure;
+use super::interference::InterferenceModel;
 use super::job::{Job, JobRow, Outcome, Phase, StepKey, TaskKey};
 use super::journal::Journal;
 use super::late_starts::LateStart;
@@ -126,7 +126,7 @@
     pub(super) crowded: bool,
     /// When tasks may be placed next.
     pub(super) next_place: Millis,
-    pub(super) pressure: Pressure,
+    pub(super) interference: InterferenceModel,
     /// Own loads of serving tasks.
     pub(super) loads: Loads,
     /// When workers have crashed, as far back as that matters.
@@ -195,7 +195,7 @@
             inherited,
             crowded: false,
             next_place: 0,
-            pressure: Pressure::default(),
+            interference: InterferenceModel::default(),
             loads: Loads::default(),
             crashed_at: VecDeque::new(),
             provisional: Vec::new(),
@@ -391,10 +391,10 @@
         self.unreadable.extend(ids);
     }
 
-    /// Goes on with what earlier owners learned of pressure between images.
-    pub fn recall(&mut self, known: Vec<Known>) {
+    /// Goes on with what earlier owners learned of interference between images.
+    pub fn import_interference(&mut self, known: Vec<Known>) {
         if self.bounds.mechanisms.warm_start {
-            self.pressure.import(known);
+            self.interference.import(known);
         }
     }
 
--- a/src/sched/placing.rs
+++ b/src/sched/placing.rs
@@ -355,12 +355,12 @@
             service: &job.row.queue.service,
             step,
             last_try: !step.lasting && self.failures(key) + 1 >= job.row.queue.attempts,
-            image: self.pressure.number_of(&step.image),
-            pressure: self
+            image: self.interference.image_number(&step.image),
+            interference: self
                 .bounds
                 .mechanisms
                 .interference
-                .then_some(&self.pressure),
+                .then_some(&self.interference),
             avoid: self.failed_on.get(&key).map_or("", |w| w),
             beside: &beside,
             permits: self.permits.get(&key.of_step()),
@@ -412,7 +412,7 @@
         let job = &self.jobs[&key.job];
         let boot = job.task(key).and_then(|t| t.boot);
         let step = job.step(key);
-        let image_number = self.pressure.intern(&step.image);
+        let image_number = self.interference.intern(&step.image);
         Placement {
             run,
             boot,
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use super::interference::{Distances, ImageNumber};
+use super::interference::{ImageDistances, ImageNumber};
 use super::job::TaskKey;
 use super::owner::Owner;
 use super::placement::Placement;
@@ -43,14 +43,17 @@
 }
 
 /// Returns the sum of the distances of an image to others.
-fn distance_to(distances: &Distances, image: ImageNumber, others: &[ImageNumber]) -> f64 {
-    others.iter().map(|other| distances.of(image, *other)).sum()
+fn distance_to(distances: &ImageDistances, image: ImageNumber, others: &[ImageNumber]) -> f64 {
+    others
+        .iter()
+        .map(|other| distances.between(image, *other))
+        .sum()
 }
 
 /// Returns by how much less the tasks of both workers are unlike each other after a swap.
-fn gain(distances: &Distances, a: &Misfit, b: &Misfit) -> f64 {
+fn gain(distances: &ImageDistances, a: &Misfit, b: &Misfit) -> f64 {
     // Each takes the place of the other, which is not beside it then.
-    let apart = distances.of(a.image, b.image);
+    let apart = distances.between(a.image, b.image);
     let after = distance_to(distances, a.image, &b.images) - apart
         + distance_to(distances, b.image, &a.images)
         - apart;
@@ -69,7 +72,7 @@
         if self.ready.keys().filter(waits).count() < WAITING {
             return;
         }
-        let distances = self.pressure.distances();
+        let distances = self.interference.distances();
         let mut misfits = self.misfits(&distances);
         for _ in 0..AT_ONCE {
             let Some((a, b)) = self.best_swap(&misfits, &distances) else {
@@ -83,7 +86,7 @@
 
     /// Returns the tasks that are most unlike the others of their workers, for each
     /// worker one of each image at most.
-    fn misfits(&self, distances: &Distances) -> Vec<Misfit> {
+    fn misfits(&self, distances: &ImageDistances) -> Vec<Misfit> {
         let open = |w: &&Worker| w.promise.is_none() && w.open(self.now.steady);
         let workers = self.workers.values().filter(open);
         let mut misfits: Vec<Misfit> = workers
@@ -94,7 +97,7 @@
         misfits
     }
 
-    fn misfits_of(&self, worker: &Worker, distances: &Distances) -> Vec<Misfit> {
+    fn misfits_of(&self, worker: &Worker, distances: &ImageDistances) -> Vec<Misfit> {
         let images = images(worker);
         if images.iter().all(|image| *image == images[0]) {
             return Vec::new();
@@ -122,7 +125,7 @@
     fn best_swap<'a>(
         &self,
         misfits: &'a [Misfit],
-        distances: &Distances,
+        distances: &ImageDistances,
     ) -> Option<(&'a Misfit, &'a Misfit)> {
         let mut best = GAIN;
         let mut pair = None;
--- a/src/sched/tests/interference.rs
+++ b/src/sched/tests/interference.rs
@@ -1,7 +1,7 @@
 //! Learned pressure between images.
 
 use super::world::{World, job, serving, step};
-use crate::sched::interference::Pressure;
+use crate::sched::interference::InterferenceModel;
 use crate::sched::message::{How, Running};
 use crate::sched::spec::StepSpec;
 use crate::sched::worker::ImageShares;
@@ -10,32 +10,32 @@
     shares.iter().map(|(i, s)| ((*i).into(), *s)).collect()
 }
 
-fn learned() -> Pressure {
-    let mut pressure = Pressure::default();
+fn learned() -> InterferenceModel {
+    let mut model = InterferenceModel::default();
     for _ in 0..40 {
-        pressure.learn(&"serving".into(), &mix(&[("loud", 0.1)]), 0.2, 0.0);
-        pressure.learn(&"serving".into(), &mix(&[("soft", 0.1)]), 0.0, 0.0);
+        model.learn(&"serving".into(), &mix(&[("loud", 0.1)]), 0.2, 0.0);
+        model.learn(&"serving".into(), &mix(&[("soft", 0.1)]), 0.0, 0.0);
         let both = mix(&[("loud", 0.1), ("soft", 0.1)]);
-        pressure.learn(&"serving".into(), &both, 0.2, 0.0);
+        model.learn(&"serving".into(), &both, 0.2, 0.0);
     }
-    pressure
+    model
 }
 
-fn factor(pressure: &Pressure, image: &str) -> f64 {
-    pressure.pressed("serving", &mix(&[(image, 1.0)])).0
+fn factor(model: &InterferenceModel, image: &str) -> f64 {
+    model.mix_load("serving", &mix(&[(image, 1.0)])).0
 }
 
 #[test]
 fn factors_are_learned_from_what_fillers_take() {
-    let pressure = learned();
-    assert!((factor(&pressure, "loud") - 2.0).abs() < 0.2);
-    assert!(factor(&pressure, "soft").abs() < 0.2);
+    let model = learned();
+    assert!((factor(&model, "loud") - 2.0).abs() < 0.2);
+    assert!(factor(&model, "soft").abs() < 0.2);
 }
 
 #[test]
 fn the_next_owner_goes_on_with_what_was_learned() {
     let mut before = learned();
-    let mut after = Pressure::default();
+    let mut after = InterferenceModel::default();
     after.import(before.export().expect("something was learned"));
     assert_eq!(factor(&before, "loud"), factor(&after, "loud"));
     assert!(before.export().is_none(), "nothing new was learned");
--- a/src/sched/tests/swaps.rs
+++ b/src/sched/tests/swaps.rs
@@ -48,8 +48,8 @@
     let mix: ImageShares = [("filler".into(), 0.2)].into();
     for _ in 0..50 {
         for (image, factor) in ["even", "odd"].into_iter().zip(factors) {
-            let pressure = &mut world.owner.pressure;
-            pressure.learn(&image.into(), &mix, factor * 0.2, 0.0);
+            let model = &mut world.owner.interference;
+            model.learn(&image.into(), &mix, factor * 0.2, 0.0);
         }
     }
     assert_eq!(mixes(&world), 2);
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -5,7 +5,7 @@
 //! was learned.
 
 use super::incarnation::Incarnation;
-use super::interference::{ImageNumber, Pressure};
+use super::interference::{ImageNumber, InterferenceModel};
 use super::job::TaskKey;
 use super::message::{Action, Reply, Throttle, Word};
 use super::owner::Owner;
@@ -53,8 +53,14 @@
 
 /// Lowers the wished paces until a victim of this own load would be at its
 /// goal, those that press most first.
-fn limit(pressure: &Pressure, fillers: &mut [Filler], victim: ImageNumber, own: f64, goal: f64) {
-    let part = |f: &Filler| pressure.factor(victim, f.image) * f.share;
+fn limit(
+    model: &InterferenceModel,
+    fillers: &mut [Filler],
+    victim: ImageNumber,
+    own: f64,
+    goal: f64,
+) {
+    let part = |f: &Filler| model.factor(victim, f.image) * f.share;
     let wanted: f64 = fillers.iter().map(|f| part(f) * f.wanted).sum();
     let mut excess = own + wanted - goal;
     let mut order: Vec<(f64, &mut Filler)> = fillers.iter_mut().map(|f| (part(f), f)).collect();
@@ -127,7 +133,7 @@
             let Some((victim, gauge)) = self.gauge(name, run, &mix) else {
                 continue;
             };
-            let part = |f: &Filler| self.pressure.factor(victim, f.image) * f.share * f.speed;
+            let part = |f: &Filler| self.interference.factor(victim, f.image) * f.share * f.speed;
             let expected = gauge.own_load + fillers.iter().map(part).sum::<f64>();
             high |= gauge.busy.max(expected) > HIGH + stretch;
             if gauge
@@ -141,7 +147,13 @@
                 continue;
             }
             let goal = GOAL + stretch;
-            limit(&self.pressure, &mut fillers, victim, gauge.own_load, goal);
+            limit(
+                &self.interference,
+                &mut fillers,
+                victim,
+                gauge.own_load,
+                goal,
+            );
         }
         self.order_speeds(name, &fillers, high);
     }
