--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -131,7 +131,7 @@
             gpu: 0,
         },
         leaving: false,
-        stays: 2_000,
+        min_stay: 2_000,
     }
 }
 
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -84,6 +84,6 @@
             gpu: entry.capacity.gpu,
         },
         leaving,
-        stays: entry.remaining_ms,
+        min_stay: entry.remaining_ms,
     })
 }
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -156,7 +156,7 @@
     };
     assert!(worker.leaving);
     assert_eq!(
-        (&*worker.rack, worker.stays, worker.capacity.cpu),
+        (&*worker.rack, worker.min_stay, worker.capacity.cpu),
         ("r1-3", 900, 16_000)
     );
 }
--- a/src/sched/breaches.rs
+++ b/src/sched/breaches.rs
@@ -153,7 +153,7 @@
 
     /// Sets the gauge of the longest spell that goes on.
     pub(super) fn export_longest_breach(&self) {
-        let breaches = self.workers.values().filter_map(|w| w.over_since);
+        let breaches = self.workers.values().filter_map(|w| w.over_target_since);
         let longest = breaches.min().map_or(0, |since| self.now.steady - since);
         metrics::get().over.set(longest as i64);
     }
--- a/src/sched/choice.rs
+++ b/src/sched/choice.rs
@@ -126,7 +126,7 @@
 /// Returns true when a worker could hold a task of a step, were it empty and had the most
 /// room that it has had.
 pub fn might_hold(worker: &Worker, step: &StepSpec) -> bool {
-    step.reserved().within(worker.most) && labelled(worker, step)
+    step.reserved().within(worker.max_capacity) && labelled(worker, step)
 }
 
 /// Returns true when a worker has the label that a step asks for.
@@ -168,10 +168,12 @@
         (true, _) => packing(
             worker,
             wish.image,
-            load(worker.used.cpu + step.resources.cpu),
+            load(worker.allocated.cpu + step.resources.cpu),
         ),
-        (_, true) => crowding(load(worker.taken() + worker.soft + step.resources.cpu)),
-        _ => load(worker.used.cpu + worker.soft + step.resources.cpu),
+        (_, true) => crowding(load(
+            worker.taken() + worker.wanted_cpu + step.resources.cpu,
+        )),
+        _ => load(worker.allocated.cpu + worker.wanted_cpu + step.resources.cpu),
     };
     if (step.target > 0 || step.best_effort)
         && let Some(interference) = wish.interference
@@ -188,7 +190,7 @@
         score += FAR;
     }
     if wish.suspect {
-        score += load(worker.used.cpu) * AT_RISK;
+        score += load(worker.allocated.cpu) * AT_RISK;
     }
     score
 }
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -23,16 +23,16 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if end.number <= worker.top {
+        if end.number <= worker.last_completion {
             // One whose commit is on its way is listed with each report.
-            if !worker.pending.contains(&end.number) {
+            if !worker.pending_completions.contains(&end.number) {
                 let (task, run, how) = (&end.task, end.run, end.how);
-                let (number, top) = (end.number, worker.top);
+                let (number, top) = (end.number, worker.last_completion);
                 log::info!(target: "task", "task={task} run={run} event=end-passed-over how={how:?} worker={name} number={number} taken_in={top}");
             }
             return;
         }
-        worker.top = end.number;
+        worker.last_completion = end.number;
         let Ended { task, run, how, .. } = end;
         let Some(key) = self.find(task) else {
             // Its job was removed: nothing is to be kept before the worker forgets it.
@@ -52,7 +52,7 @@
             self.broken(name, key, end);
         }
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.pending.insert(end.number);
+            worker.pending_completions.insert(end.number);
         }
         self.journal
             .after(key.job, After::Seen(incarnation, end.number));
@@ -134,7 +134,7 @@
         worker.failures += 1;
         if worker.failures >= FAILURES {
             let doubled = (worker.failures - FAILURES).min(3);
-            worker.barred = self.now.steady + (REST << doubled);
+            worker.quarantined_until = self.now.steady + (REST << doubled);
             log::warn!(target: "worker", "worker={name} event=rests failures={}", worker.failures);
         }
     }
@@ -151,8 +151,8 @@
         let Some(worker) = worker else {
             return;
         };
-        worker.pending.remove(&end);
-        if worker.pending.is_empty() && matches!(worker.contact, PollState::Due(_)) {
+        worker.pending_completions.remove(&end);
+        if worker.pending_completions.is_empty() && matches!(worker.poll, PollState::Due(_)) {
             self.schedule(name, now + GATHER);
         }
     }
--- a/src/sched/crashes.rs
+++ b/src/sched/crashes.rs
@@ -136,7 +136,7 @@
 /// Returns the milliseconds for which a worker had known of a run at its last word; 0 when
 /// it never told of it, as its start may have been carried out after that.
 pub(super) fn age(worker: &Worker, run: &Placement) -> Millis {
-    let age = |at| worker.answered.saturating_sub(at);
+    let age = |at| worker.last_answer.saturating_sub(at);
     run.told.map_or(0, age)
 }
 
@@ -204,7 +204,8 @@
             self.crashed_at.pop_front();
         }
         self.provisional.retain(|crash| crash.at >= since);
-        let troubled = |(id, w): &(&Name, &Worker)| *id != name && (w.misses > 0 || w.doubted);
+        let troubled =
+            |(id, w): &(&Name, &Worker)| *id != name && (w.missed_polls > 0 || w.unverified);
         let others = self.crashed_at.len() + self.workers.iter().filter(troubled).count();
         if others >= MANY {
             self.count_again();
@@ -299,7 +300,7 @@
         let isolated = self
             .workers
             .values()
-            .filter(|w| w.isolated.is_some())
+            .filter(|w| w.isolated_job.is_some())
             .count();
         let most = (self.workers.len() / ISOLATED_PART).max(1);
         most.saturating_sub(isolated)
@@ -307,10 +308,14 @@
 
     /// Clears the suspects that a worker has listed for long enough.
     pub(super) fn clear_suspects(&mut self, name: &Name) {
-        let Some(worker) = self.workers.get_mut(name).filter(|w| w.isolated.is_some()) else {
+        let Some(worker) = self
+            .workers
+            .get_mut(name)
+            .filter(|w| w.isolated_job.is_some())
+        else {
             return;
         };
-        let word = worker.answered;
+        let word = worker.last_answer;
         let lasted = |run: &Placement| run.told.is_some_and(|at| word >= at + FRESH);
         let cleared = worker.clear(lasted);
         if !cleared.is_empty() {
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -70,7 +70,7 @@
         let mut worker = Worker::new(listing, now);
         worker.cordoned = cordoned;
         if worker.listing.leaving {
-            worker.leaves = Some(now + worker.listing.stays);
+            worker.leaves_at = Some(now + worker.listing.min_stay);
         }
         self.admit(id.clone(), worker);
         self.adopt(&id);
@@ -87,17 +87,17 @@
         // What an earlier life wrote may come late.
         if news == BootOrder::Earlier && worker.listing.boot != listing.boot {
             let boot = listing.boot;
-            worker.passed_over = Some(listing.into());
+            worker.ignored_listing = Some(listing.into());
             return self.pass_over(&id, boot, known, "entry");
         }
         worker.presence = Presence::Listed;
-        if !listing.leaving && worker.leaves.take().is_some() {
+        if !listing.leaving && worker.leaves_at.take().is_some() {
             log::info!(target: "worker", "worker={id} event=stays reason=listed-again");
         }
-        if listing.leaving && worker.leaves.is_none() {
-            worker.leaves = Some(now + listing.stays);
+        if listing.leaving && worker.leaves_at.is_none() {
+            worker.leaves_at = Some(now + listing.min_stay);
             let tasks = worker.placements.len();
-            log::info!(target: "worker", "worker={id} event=leaving stays_ms={} tasks={tasks}", listing.stays);
+            log::info!(target: "worker", "worker={id} event=leaving stays_ms={} tasks={tasks}", listing.min_stay);
         }
         if worker.listing.address != listing.address {
             let (before, now) = (worker.listing.address, listing.address);
@@ -107,9 +107,9 @@
         }
         if worker.listing.capacity != listing.capacity {
             let (before, resources, used) =
-                (worker.listing.capacity, listing.capacity, worker.used);
+                (worker.listing.capacity, listing.capacity, worker.allocated);
             log::info!(target: "worker", "worker={id} event=room now={resources} before={before} used={used}");
-            worker.most = worker.most.max(resources);
+            worker.max_capacity = worker.max_capacity.max(resources);
         }
         worker.listing = listing;
         worker.cordoned = cordoned;
@@ -191,11 +191,11 @@
         // A listing that lapses does so after three heartbeats of silence. One
         // that goes at once with a worker that said it would leave was removed
         // by the worker at its end.
-        let silent = now - worker.answered.min(now);
-        if worker.leaves.is_some() && worker.misses > 0 && silent < LEFT {
+        let silent = now - worker.last_answer.min(now);
+        if worker.leaves_at.is_some() && worker.missed_polls > 0 && silent < LEFT {
             return self.incarnation_ended(id, IncarnationEnd::Left);
         }
-        worker.leaves.get_or_insert(now + self.bounds.drain);
+        worker.leaves_at.get_or_insert(now + self.bounds.drain);
     }
 
     /// Takes listings that did not come back after trouble of the store as removed.
@@ -208,7 +208,7 @@
             {
                 log::info!(target: "worker", "worker={id} event=removed reason=not-listed-again");
                 worker.presence = Presence::Removed;
-                worker.leaves.get_or_insert(now + drain);
+                worker.leaves_at.get_or_insert(now + drain);
             }
         }
     }
@@ -218,8 +218,8 @@
     pub(super) fn evacuate(&mut self) {
         let now = self.now.steady;
         let mut moved = Vec::new();
-        for worker in self.workers.values().filter(|w| w.misses == 0) {
-            let Some(leaves) = worker.leaves else {
+        for worker in self.workers.values().filter(|w| w.missed_polls == 0) {
+            let Some(leaves) = worker.leaves_at else {
                 continue;
             };
             for (key, placement) in &worker.placements {
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -151,7 +151,7 @@
         let (boot, tasks) = (worker.boot, carried.len());
         log::info!(target: "worker", "worker={name} event=started-again boot={:?} before={boot:?} carried={tasks} doubtful={}", report.boot, doubtful.len());
         crate::metrics::get().lives.inc();
-        let entry = worker.passed_over.take();
+        let entry = worker.ignored_listing.take();
         let lost: Vec<TaskKey> = worker.placements.keys().copied().collect();
         self.forget_permits(name);
         self.break_promise(name);
@@ -208,10 +208,10 @@
 
     /// Has a worker report at once: it may not be the life that is known.
     pub(super) fn doubt_incarnation(&mut self, name: &Name, by: &str) {
-        let Some(worker) = self.workers.get_mut(name).filter(|w| !w.doubted) else {
+        let Some(worker) = self.workers.get_mut(name).filter(|w| !w.unverified) else {
             return;
         };
-        worker.doubted = true;
+        worker.unverified = true;
         log::info!(target: "worker", "worker={name} event=life-doubted by={by} boot={:?} listed_boot={:?}", worker.boot, worker.listing.boot);
         self.schedule(name, self.now.steady);
     }
@@ -220,7 +220,7 @@
     /// another word on when the worker started is believed.
     pub(super) fn contradicted(&self, worker: &Worker) -> bool {
         let leased = worker.lease_end().max(self.inherited);
-        self.now.steady > leased.max(worker.answered + CONTRADICTED)
+        self.now.steady > leased.max(worker.last_answer + CONTRADICTED)
     }
 
     /// Ends the lives that were known at the address at which a worker now answers.
--- a/src/sched/lost_workers.rs
+++ b/src/sched/lost_workers.rs
@@ -47,7 +47,7 @@
             return;
         };
         let (tasks, presence) = (worker.placements.len(), worker.presence);
-        let silent = self.now.steady - worker.answered;
+        let silent = self.now.steady - worker.last_answer;
         let incarnation = worker.incarnation();
         log::info!(target: "worker", "worker={incarnation} event=over reason={} tasks={tasks} presence={presence:?} silent_ms={silent}", ending.word());
         crate::metrics::get().orphaned.inc_by(tasks as u64);
@@ -75,7 +75,7 @@
         let now = self.now.steady;
         let inherited = self.inherited;
         let ended = |w: &Worker| now > w.lease_end().max(inherited);
-        let silent = |w: &&Worker| !w.answering(now) && ended(w) && w.misses > 0;
+        let silent = |w: &&Worker| !w.answering(now) && ended(w) && w.missed_polls > 0;
         let ended: Vec<Name> = self
             .workers
             .values()
@@ -95,7 +95,9 @@
             }
         }
         let drained = |w: &&Worker| {
-            w.presence == Presence::Removed && w.placements.is_empty() && w.pending.is_empty()
+            w.presence == Presence::Removed
+                && w.placements.is_empty()
+                && w.pending_completions.is_empty()
         };
         let drained: Vec<Name> = self
             .workers
--- a/src/sched/poll_schedule.rs
+++ b/src/sched/poll_schedule.rs
@@ -20,7 +20,7 @@
     /// Sets when the next exchange with a worker is due.
     pub(super) fn schedule(&mut self, name: &Name, at: Millis) {
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.contact = PollState::Due(at);
+            worker.poll = PollState::Due(at);
             self.poll_schedule.entries.push(Reverse((at, name.clone())));
         }
     }
@@ -29,7 +29,7 @@
     pub(super) fn due_contacts(&mut self) -> Vec<Name> {
         let mut names = Vec::new();
         while let Some(Reverse((at, name))) = self.poll_schedule.entries.peek() {
-            let holds = self.workers.get(name).map(|w| w.contact) == Some(PollState::Due(*at));
+            let holds = self.workers.get(name).map(|w| w.poll) == Some(PollState::Due(*at));
             if holds && *at > self.now.steady {
                 break;
             }
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -242,7 +242,7 @@
         if self.away.iter().any(long) {
             return false;
         }
-        let all: u32 = self.workers.values().map(|w| w.lasting).sum();
+        let all: u32 = self.workers.values().map(|w| w.lasting_tasks).sum();
         self.away.len() * AWAY_PART < all as usize
     }
 }
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -61,15 +61,15 @@
                 true => worker.grant(span, now),
                 false => None,
             };
-            let known = worker.answered > 0 && worker.certain();
-            let longest = match worker.isolated {
+            let known = worker.last_answer > 0 && worker.certain();
+            let longest = match worker.isolated_job {
                 Some(_) => ISOLATED_WAIT,
                 None => WAIT,
             };
             let mixed = worker.beside.mixed();
             // A breach of a latency target is to end soon, however many workers there are.
             let watch = if worker.over_target() { WATCH } else { watch };
-            worker.contact = PollState::InFlight(now);
+            worker.poll = PollState::InFlight(now);
             self.actions.push(Action::Hold(Hold {
                 incarnation: worker.incarnation(),
                 sent: now,
@@ -93,7 +93,7 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if worker.contact != PollState::InFlight(hold.sent) {
+        if worker.poll != PollState::InFlight(hold.sent) {
             log::debug!(target: "worker", "worker={name} event=overtaken sent={}", hold.sent);
             return;
         }
@@ -109,10 +109,10 @@
                 self.schedule(name, now + MISS_PAUSE);
             }
             Reply::Refused(_) | Reply::NotSent | Reply::Lost => {
-                if worker.misses == 0 {
+                if worker.missed_polls == 0 {
                     log::info!(target: "worker", "worker={} event=silent reply={reply:?}", worker.incarnation());
                 }
-                worker.misses += 1;
+                worker.missed_polls += 1;
                 self.schedule(name, now + MISS_PAUSE);
             }
         }
@@ -130,11 +130,11 @@
         if order == BootOrder::Earlier && !self.contradicted(worker) {
             self.pass_over(name, report.boot, known, "report");
             if let Some(worker) = self.workers.get_mut(name) {
-                worker.misses += 1;
+                worker.missed_polls += 1;
             }
             return self.schedule(name, now + MISS_PAUSE);
         }
-        if worker.answered == 0 {
+        if worker.last_answer == 0 {
             self.end_others(name);
         }
         if order != BootOrder::Same {
@@ -143,16 +143,16 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if worker.misses > 0 || worker.answered == 0 || worker.doubted {
+        if worker.missed_polls > 0 || worker.last_answer == 0 || worker.unverified {
             let (listed, wall) = (worker.listing.boot, self.now.wall);
-            log::info!(target: "worker", "worker={name} event=answers boot={:?} listed_boot={listed:?} misses={}", report.boot, worker.misses);
+            log::info!(target: "worker", "worker={name} event=answers boot={:?} listed_boot={listed:?} misses={}", report.boot, worker.missed_polls);
             if let Some(boot) = report.boot.filter(|b| *b > wall + CLOCKS) {
                 log::warn!(target: "worker", "worker={name} event=started-ahead boot={boot} wall={wall}");
             }
             self.crowded = false;
         }
-        worker.misses = 0;
-        worker.doubted = false;
+        worker.missed_polls = 0;
+        worker.unverified = false;
         worker.boot = worker.boot.or(report.boot);
         if order == BootOrder::Same {
             worker.acknowledged = worker.acknowledged.max(hold.seen);
@@ -173,7 +173,7 @@
         self.clear_suspects(name);
         self.relieve(name, &running);
         let worker = self.workers.get(name);
-        let pause = match worker.is_some_and(|w| !w.pending.is_empty()) {
+        let pause = match worker.is_some_and(|w| !w.pending_completions.is_empty()) {
             true => ENDS_PAUSE,
             false => 0,
         };
@@ -194,7 +194,7 @@
         }
         let address = self.workers.get(name).map(|w| w.listing.address);
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.strangers = !strangers.is_empty();
+            worker.unknown_runs = !strangers.is_empty();
         }
         for (found, run) in strangers {
             log::warn!(target: "task", "task={} run={} event=unknown-run worker={name}", run.task, run.run);
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -201,7 +201,7 @@
     /// Gives a worker nothing new for a while.
     fn bar(&mut self, name: &Name) {
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.barred = self.now.steady + BARRED;
+            worker.quarantined_until = self.now.steady + BARRED;
         }
     }
 
--- a/src/sched/tests/directory.rs
+++ b/src/sched/tests/directory.rs
@@ -8,7 +8,7 @@
 fn leave(world: &mut World, id: &str, stays: u64) {
     let worker = world.workers.get_mut(id).expect("worker");
     worker.listing.leaving = true;
-    worker.listing.stays = stays;
+    worker.listing.min_stay = stays;
     let listing = worker.listing.clone();
     world.step(Event::Listed(vec![(id.into(), Entry::Listed(listing))]));
 }
--- a/src/sched/tests/incarnation.rs
+++ b/src/sched/tests/incarnation.rs
@@ -131,7 +131,7 @@
 fn a_worker_that_was_to_leave_and_starts_again_is_used() {
     let mut world = World::new(1);
     let worker = world.workers.get_mut("w0").expect("worker");
-    (worker.listing.leaving, worker.listing.stays) = (true, 4_000);
+    (worker.listing.leaving, worker.listing.min_stay) = (true, 4_000);
     world.list();
     world.run(500);
     world.restart_as("w0", |l| l.leaving = false);
--- a/src/sched/tests/order.rs
+++ b/src/sched/tests/order.rs
@@ -49,7 +49,7 @@
     let listing = &mut world.workers.get_mut("w9").expect("worker").listing;
     listing.labels.push("nowhere".into());
     listing.leaving = true;
-    listing.stays = 60_000;
+    listing.min_stay = 60_000;
     world.list();
     world.submit("first", job(vec![filler("nowhere")]));
     world.submit("second", job(vec![filler("")]));
--- a/src/sched/tests/throttling.rs
+++ b/src/sched/tests/throttling.rs
@@ -218,9 +218,9 @@
     let mut world = silent_world();
     let begun = world.now;
     report_tails(&mut world, &[97, 90, 97, 90, 97]);
-    assert_eq!(world.owner.workers["w0"].over_since, Some(begun));
+    assert_eq!(world.owner.workers["w0"].over_target_since, Some(begun));
     report_tails(&mut world, &[90, 90, 90]);
-    assert_eq!(world.owner.workers["w0"].over_since, None);
+    assert_eq!(world.owner.workers["w0"].over_target_since, None);
 }
 
 #[test]
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -162,7 +162,7 @@
             gpu: 0,
         },
         leaving: false,
-        stays: 0,
+        min_stay: 0,
     }
 }
 
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -49,7 +49,7 @@
     /// True once it has said that it will leave.
     pub leaving: bool,
     /// Least milliseconds that it stays once it leaves, from when it was listed.
-    pub stays: Millis,
+    pub min_stay: Millis,
 }
 
 /// Processor shares of fillers by image.
@@ -93,94 +93,94 @@
     /// As listed last; its start may be another than that of the life that is known.
     pub listing: Listing,
     /// An entry that was passed over, as it is of an earlier start.
-    pub passed_over: Option<Box<Listing>>,
+    pub ignored_listing: Option<Box<Listing>>,
     /// Start of the life that all else here is known of.
     pub boot: BootTime,
     /// True from news of another life until its next report.
-    pub doubted: bool,
+    pub unverified: bool,
     /// The most room that it has had: what has shrunk may grow again.
-    pub most: Resources,
+    pub max_capacity: Resources,
     /// Whether the directory lists it.
     pub presence: Presence,
     /// When it ends at the earliest, once it is known to leave.
-    pub leaves: Option<Millis>,
+    pub leaves_at: Option<Millis>,
     /// Tasks placed there.
     pub placements: BTreeMap<TaskKey, Placement>,
     /// Room held by them.
-    pub used: Resources,
+    pub allocated: Resources,
     /// Processor share that fillers there would like.
-    pub soft: u64,
+    pub wanted_cpu: u64,
     /// Its serving tasks and fillers, as they count for each other.
     pub beside: Beside,
     /// Lasting tasks there.
-    pub lasting: u32,
+    pub lasting_tasks: u32,
     /// Since when a serving task there is over its target; none while none is.
-    pub over_since: Option<Millis>,
+    pub over_target_since: Option<Millis>,
     /// The exchange with it.
-    pub contact: PollState,
+    pub poll: PollState,
     /// Exchanges without an answer in a row.
-    pub misses: u32,
+    pub missed_polls: u32,
     /// When it answered last; 0 for never.
-    pub answered: Millis,
+    pub last_answer: Millis,
     /// Highest end that was taken in.
-    pub top: u64,
+    pub last_completion: u64,
     /// Ends taken in that the store does not hold yet.
-    pub pending: BTreeSet<u64>,
+    pub pending_completions: BTreeSet<u64>,
     /// Highest end that it was told to forget, in an exchange that it answered.
     pub acknowledged: u64,
     /// Failed runs without a good one between.
     pub failures: u32,
     /// Until when it gets no new tasks.
-    pub barred: Millis,
+    pub quarantined_until: Millis,
     /// True while its hall is cordoned.
     pub cordoned: bool,
     /// True when it runs something that is not known here.
-    pub strangers: bool,
+    pub unknown_runs: bool,
     /// Room that is being made there for a task.
     pub promise: Option<Promise>,
     /// Job of the suspects there, which may crash it: no others are started
     /// meanwhile, as they would go with it and hide whose fault it was.
-    pub isolated: Option<u32>,
+    pub isolated_job: Option<u32>,
     /// Fillers that have just ended there.
     pub recent: Recent,
     /// Its clock as reported last.
-    heard: Option<ClockReading>,
+    clock_reading: Option<ClockReading>,
     /// When every lease given to it here has certainly ended.
-    granted: Millis,
+    leases_end: Millis,
 }
 
 impl Worker {
     /// Returns a worker that was just listed.
     pub fn new(listing: Listing, now: Millis) -> Self {
         Self {
-            most: listing.capacity,
+            max_capacity: listing.capacity,
             boot: listing.boot,
             listing,
-            passed_over: None,
-            doubted: false,
+            ignored_listing: None,
+            unverified: false,
             presence: Presence::Listed,
-            leaves: None,
+            leaves_at: None,
             placements: BTreeMap::new(),
-            used: Resources::default(),
-            soft: 0,
+            allocated: Resources::default(),
+            wanted_cpu: 0,
             beside: Beside::default(),
-            lasting: 0,
-            over_since: None,
-            contact: PollState::Due(now),
-            misses: 0,
-            answered: 0,
-            top: 0,
-            pending: BTreeSet::new(),
+            lasting_tasks: 0,
+            over_target_since: None,
+            poll: PollState::Due(now),
+            missed_polls: 0,
+            last_answer: 0,
+            last_completion: 0,
+            pending_completions: BTreeSet::new(),
             acknowledged: 0,
             failures: 0,
-            barred: 0,
+            quarantined_until: 0,
             cordoned: false,
-            strangers: false,
+            unknown_runs: false,
             promise: None,
-            isolated: None,
+            isolated_job: None,
             recent: Recent::default(),
-            heard: None,
-            granted: 0,
+            clock_reading: None,
+            leases_end: 0,
         }
     }
 
@@ -191,10 +191,10 @@
         let before = std::mem::replace(self, next);
         self.boot = boot;
         self.presence = before.presence;
-        self.leaves = before.leaves;
+        self.leaves_at = before.leaves_at;
         self.cordoned = before.cordoned;
-        self.contact = before.contact;
-        self.granted = granted.max(before.granted);
+        self.poll = before.poll;
+        self.leases_end = granted.max(before.leases_end);
     }
 
     /// Returns the life that is known.
@@ -202,7 +202,7 @@
         Incarnation {
             id: self.listing.id.clone(),
             boot: self.boot,
-            clock: self.heard.map_or(0, |h| h.clock),
+            clock: self.clock_reading.map_or(0, |h| h.clock),
         }
     }
 
@@ -217,17 +217,17 @@
 
     /// Returns true when it is certain that the known life takes the next order.
     pub fn certain(&self) -> bool {
-        self.misses == 0 && !self.doubted
+        self.missed_polls == 0 && !self.unverified
     }
 
     /// Puts a task there.
     pub fn put(&mut self, key: TaskKey, placement: Placement) {
-        self.used = self.used.plus(placement.resources);
-        self.soft += placement.soft;
-        self.lasting += u32::from(placement.lasting);
+        self.allocated = self.allocated.plus(placement.resources);
+        self.wanted_cpu += placement.soft;
+        self.lasting_tasks += u32::from(placement.lasting);
         self.beside.put(key, &placement);
         if placement.suspect {
-            self.isolated = Some(key.job);
+            self.isolated_job = Some(key.job);
         }
         self.placements.insert(key, placement);
     }
@@ -244,9 +244,9 @@
             self.recent
                 .end(&placement.image, share, placement.since, now);
         }
-        self.used = self.used.minus(placement.resources);
-        self.soft -= placement.soft;
-        self.lasting -= u32::from(placement.lasting);
+        self.allocated = self.allocated.minus(placement.resources);
+        self.wanted_cpu -= placement.soft;
+        self.lasting_tasks -= u32::from(placement.lasting);
         if placement.serving {
             self.update_over_since();
         }
@@ -254,9 +254,9 @@
 
     /// Ends the isolation once no suspect is there.
     fn settle_isolation(&mut self) {
-        if self.isolated.is_some() {
+        if self.isolated_job.is_some() {
             let mut suspects = self.placements.iter().filter(|(_, run)| run.suspect);
-            self.isolated = suspects.next().map(|(key, _)| key.job);
+            self.isolated_job = suspects.next().map(|(key, _)| key.job);
         }
     }
 
@@ -275,12 +275,13 @@
 
     /// Returns true when a task, a suspect or not, may start beside the suspects there.
     pub fn admits(&self, key: TaskKey, suspect: bool) -> bool {
-        self.isolated.is_none_or(|job| suspect && job == key.job)
+        self.isolated_job
+            .is_none_or(|job| suspect && job == key.job)
     }
 
     /// Returns true while a serving task there is over its target: it takes no fillers.
     pub fn over_target(&self) -> bool {
-        self.over_since.is_some()
+        self.over_target_since.is_some()
     }
 
     /// Returns the share of the worker's processors that a run there uses.
@@ -303,17 +304,17 @@
         let gauges = self.placements.values().filter_map(|p| p.gauge.as_ref());
         let breaches = gauges.filter_map(|g| g.breach);
         let current = breaches.filter(|s| s.current);
-        self.over_since = current.map(|s| s.since).min();
+        self.over_target_since = current.map(|s| s.since).min();
     }
 
     /// Returns the processor share that work other than fillers takes.
     pub fn taken(&self) -> u64 {
-        self.used.cpu - self.beside.idle
+        self.allocated.cpu - self.beside.idle
     }
 
     /// Returns true when a task of this room fits beside what is there.
     pub fn fits(&self, resources: Resources) -> bool {
-        self.used.plus(resources).within(self.listing.capacity)
+        self.allocated.plus(resources).within(self.listing.capacity)
     }
 
     /// Returns true when it fits beside that and what was promised to another.
@@ -329,7 +330,7 @@
         let both = self.beside.fillers.iter().filter(|f| f.lasting).count();
         match spare {
             true => fillers,
-            false => fillers + self.lasting as usize - both,
+            false => fillers + self.lasting_tasks as usize - both,
         }
     }
 
@@ -341,7 +342,7 @@
     /// Returns true when a task of this room would fit without a run that is
     /// there, and nothing is promised to another.
     pub fn fits_without(&self, run: &Placement, resources: Resources) -> bool {
-        let whole = self.used.plus(resources);
+        let whole = self.allocated.plus(resources);
         self.promise.is_none() && whole.within(self.listing.capacity.plus(run.resources))
     }
 
@@ -352,55 +353,55 @@
             0 => u64::MAX,
             wanted => all.saturating_sub(used) * 1_000 / wanted,
         };
-        part(all.cpu, self.used.cpu, resources.cpu)
-            .min(part(all.memory, self.used.memory, resources.memory))
-            .min(part(all.gpu, self.used.gpu, resources.gpu))
+        part(all.cpu, self.allocated.cpu, resources.cpu)
+            .min(part(all.memory, self.allocated.memory, resources.memory))
+            .min(part(all.gpu, self.allocated.gpu, resources.gpu))
     }
 
     /// Returns true when new tasks may be sent there.
     pub fn open(&self, now: Millis) -> bool {
         let offered = !matches!(self.presence, Presence::Removed | Presence::Unusable);
         offered
-            && self.leaves.is_none()
+            && self.leaves_at.is_none()
             && self.answering(now)
-            && now >= self.barred
-            && !self.strangers
+            && now >= self.quarantined_until
+            && !self.unknown_runs
             && !self.cordoned
-            && !self.doubted
+            && !self.unverified
             && self.listed_itself()
     }
 
     /// Returns true while it answers.
     pub fn answering(&self, now: Millis) -> bool {
-        self.answered > 0 && self.misses == 0 && now < self.answered + SILENT_AFTER
+        self.last_answer > 0 && self.missed_polls == 0 && now < self.last_answer + SILENT_AFTER
     }
 
     /// Takes in a report of its clock.
     pub fn hear(&mut self, clock: Millis, now: Millis) {
-        self.heard = Some(ClockReading { clock, at: now });
-        self.answered = now;
+        self.clock_reading = Some(ClockReading { clock, at: now });
+        self.last_answer = now;
     }
 
     /// Returns the time on its clock at which a lease of `span` ends, and counts it as given.
     pub fn grant(&mut self, span: Millis, now: Millis) -> Option<Millis> {
-        let heard = self.heard?;
+        let heard = self.clock_reading?;
         let clock = heard.clock + (now - heard.at) * CLOCK_RATE / 100;
         let end = clock + span;
         let last = heard.at + max_lease_duration(end - heard.clock);
-        self.granted = self.granted.max(last);
+        self.leases_end = self.leases_end.max(last);
         Some(end)
     }
 
     /// Returns when every lease given to it here has certainly ended.
     pub fn lease_end(&self) -> Millis {
-        self.granted
+        self.leases_end
     }
 
     /// Returns the highest end up to which all are in the store.
     fn stored(&self) -> u64 {
-        match self.pending.first() {
+        match self.pending_completions.first() {
             Some(first) => first - 1,
-            None => self.top,
+            None => self.last_completion,
         }
     }
 
