--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -37,11 +37,11 @@
 use shared::Shared;
 
 /// Time between two looks whether a planned stop was asked for.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time from a planned stop until no connection is accepted any more:
 /// the platform's balancer asks each second and leaves a box out after two
 /// refusals.
-const LEAVE: Duration = Duration::from_millis(2_600);
+const LEAVE_DELAY: Duration = Duration::from_millis(2_600);
 
 /// Runs the daemon until its planned stop is complete.
 pub async fn run(settings: Settings, file: &str) -> eyre::Result<()> {
@@ -49,15 +49,17 @@
     let rpc = listen::bind(settings.rpc)?;
     let admin = listen::bind(settings.admin)?;
     let metrics = settings.metrics.map(listen::bind).transpose()?;
-    let life = clock::wall();
+    let incarnation = clock::wall();
     logs::gather();
     monoio::spawn(flush_logs());
-    log::info!(target: "daemon", "event=start box={} life={life} web={} rpc={}", settings.name, settings.web, settings.rpc);
+    log::info!(target: "daemon", "event=start box={} life={incarnation} web={} rpc={}", settings.name, settings.web, settings.rpc);
     let limits = settings.limits;
-    let rest = settings.stop.saturating_sub(LEAVE.as_millis() as Millis);
+    let rest = settings
+        .stop
+        .saturating_sub(LEAVE_DELAY.as_millis() as Millis);
     let (sender, receiver) = mpsc::unbounded();
     let (nudge, nudged) = mpsc::unbounded();
-    let shared = Rc::new(Shared::new(settings, life, sender, nudge));
+    let shared = Rc::new(Shared::new(settings, incarnation, sender, nudge));
     let (trigger, drain) = Drain::new();
     let callers = shared.clone();
     let handle = move |request| frontend::handle(callers.clone(), request);
@@ -72,16 +74,16 @@
     let mut suspension = Suspension::begin();
     let mut ready = false;
     while !signals::asked() {
-        note_suspension(&mut suspension, &shared);
-        note_ready(&mut ready, &shared);
+        report_suspension(&mut suspension, &shared);
+        report_readiness(&mut ready, &shared);
         if signals::reload_asked() {
             reload(&shared, file);
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     log::info!(target: "daemon", "event=stop box={}", shared.settings.name);
     shared.begin_stop();
-    sleep(LEAVE).await;
+    sleep(LEAVE_DELAY).await;
     let whole = trigger.finish(rest).await;
     log::info!(target: "daemon", "event=stopped box={} whole={whole}", shared.settings.name);
     logs::flush();
@@ -89,7 +91,7 @@
 }
 
 /// Tells when callers begin or cease to be sent here.
-fn note_ready(before: &mut bool, shared: &Shared) {
+fn report_readiness(before: &mut bool, shared: &Shared) {
     let ready = shared.is_ready();
     if ready == *before {
         return;
@@ -103,7 +105,7 @@
 
 /// Tells that the machine was suspended: what comes after it looks like a box that was
 /// frozen, and timers have not counted that time.
-fn note_suspension(suspension: &mut Suspension, shared: &Shared) {
+fn report_suspension(suspension: &mut Suspension, shared: &Shared) {
     let Some(span) = suspension.note(clock::now(), clock::awake()) else {
         return;
     };
@@ -116,7 +118,7 @@
 async fn flush_logs() {
     loop {
         logs::flush();
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -14,13 +14,13 @@
 pub async fn serve(listener: TcpListener, shared: Rc<Shared>) {
     let limits = shared.settings.limits;
     let handle = move |request| {
-        let reply = answer(&shared, &request);
+        let reply = respond(&shared, &request);
         std::future::ready(reply)
     };
     web::server::serve(listener, limits, Drain::never(), handle).await;
 }
 
-fn answer(shared: &Shared, request: &web::Request) -> Reply {
+fn respond(shared: &Shared, request: &web::Request) -> Reply {
     match request.uri.path() {
         "/ready" if shared.is_ready() => Reply::text(StatusCode::OK, "ready\n"),
         "/ready" => Reply::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
--- a/src/daemon/follower.rs
+++ b/src/daemon/follower.rs
@@ -32,7 +32,7 @@
             check_owner(&shared).await;
         }
         let pause = Duration::from_millis(check_interval(&shared));
-        match shared.owner().is_some_and(|s| s.life.pages.is_some()) {
+        match shared.owner().is_some_and(|s| s.progress.pages.is_some()) {
             // Callers that wait nudge each 40 ms, and each ping slows a load.
             true => sleep(pause).await,
             // Time passing is as good a reason to look as a nudge.
@@ -84,14 +84,14 @@
         }
     };
     let (cores, epoch, now) = (shared.settings.cores, seen.row.epoch, clock::now());
-    match failover::assess_owner(cores, epoch, seen.life, pong, now) {
-        Assessment::Follow(life) => shared.set_liveness(epoch, life),
-        Assessment::CheckRow(life) => {
-            shared.set_liveness(epoch, life);
+    match failover::assess_owner(cores, epoch, seen.progress, pong, now) {
+        Assessment::Follow(progress) => shared.set_progress(epoch, progress),
+        Assessment::CheckRow(progress) => {
+            shared.set_progress(epoch, progress);
             take_if_vacant(shared).await;
         }
         Assessment::Replace(cause) => {
-            let quiet = now.saturating_sub(seen.life.at);
+            let quiet = now.saturating_sub(seen.progress.at);
             log::info!(target: "member", "event=owner-suspected owner={} epoch={epoch} cause={cause:?} pong={pong:?} quiet_ms={quiet}", seen.row.name);
             replace_owner(shared, &seen).await;
         }
--- a/src/daemon/frontend.rs
+++ b/src/daemon/frontend.rs
@@ -20,21 +20,21 @@
 
 /// Longest that a request is held before it is given up, in milliseconds: a
 /// takeover, and under half of what callers wait.
-const HELD: Millis = 1_300;
+const HOLD_LIMIT: Millis = 1_300;
 /// Milliseconds without an owner after which a box that the store does not serve either
 /// holds no request: it can neither find the owner nor become it, and another box can.
-const CUT_OFF: Millis = 1_500;
+const CUT_OFF_AFTER: Millis = 1_500;
 /// Time between two tries to reach the owner.
-const PAUSE: Duration = Duration::from_millis(40);
+const RETRY_PAUSE: Duration = Duration::from_millis(40);
 /// Longest that a request waits in all while the owner works on it, in
 /// milliseconds: two commits to a slow store, and under half of what callers wait.
-const ANSWER: Millis = 1_450;
+const ANSWER_LIMIT: Millis = 1_450;
 /// Longest that one try waits for the owner in another box, in milliseconds: the
 /// connection may have fallen silent, and the owner knows the request when it
 /// comes again.
-const TRY: Millis = 700;
-/// Milliseconds of the caller's patience kept for the way back.
-const WAY_BACK: Millis = 100;
+const TRY_TIMEOUT: Millis = 700;
+/// Milliseconds of the caller's caller_timeout kept for the way back.
+const REPLY_RESERVE: Millis = 100;
 
 /// Takes a caller's request to its answer.
 pub async fn handle(shared: Rc<Shared>, request: Request) -> Reply {
@@ -52,9 +52,9 @@
             return *reply;
         }
     };
-    let patience = ingress::deadline(&request).saturating_sub(WAY_BACK);
+    let caller_timeout = ingress::caller_timeout(&request).saturating_sub(REPLY_RESERVE);
     let start = clock::micros();
-    let answer = ask_owner(&shared, &ask, patience).await;
+    let answer = ask_owner(&shared, &ask, caller_timeout).await;
     let took = clock::micros() - start;
     crate::metrics::get().seconds.observe(took as f64 / 1e6);
     if !matches!(ask, JobRequest::Show(_) | JobRequest::Count(_)) {
@@ -76,47 +76,47 @@
 }
 
 /// Asks the owner, and its successor when it is replaced meanwhile.
-async fn ask_owner(shared: &Rc<Shared>, ask: &JobRequest, patience: Millis) -> Answer {
+async fn ask_owner(shared: &Rc<Shared>, ask: &JobRequest, caller_timeout: Millis) -> Answer {
     let start = clock::now();
     // Once a try may have reached an owner, the request may have been done.
     let mut doubt = false;
     let mut tries = 0;
     loop {
         let spent = clock::now() - start;
-        if spent >= patience.min(HELD) {
-            return given_up(ask, doubt, "no-owner", spent);
+        if spent >= caller_timeout.min(HOLD_LIMIT) {
+            return give_up(ask, doubt, "no-owner", spent);
         }
-        if tries > 0 && cut_off(shared) {
-            return given_up(ask, doubt, "cut-off", spent);
+        if tries > 0 && is_cut_off(shared) {
+            return give_up(ask, doubt, "cut-off", spent);
         }
         tries += 1;
-        let left = patience.min(ANSWER) - spent;
-        match one_try(shared, ask, left).await {
-            Ok(Answer::Refused(_) | Answer::Unknown) if doubt && changes(ask) => {
-                return given_up(ask, doubt, "earlier-try-in-doubt", spent);
+        let left = caller_timeout.min(ANSWER_LIMIT) - spent;
+        match try_owner(shared, ask, left).await {
+            Ok(Answer::Refused(_) | Answer::Unknown) if doubt && changes_state(ask) => {
+                return give_up(ask, doubt, "earlier-try-in-doubt", spent);
             }
             Ok(answer) => return answer,
             Err(Failure::Lost) => doubt = true,
             Err(Failure::NotThere) => {}
         }
         shared.check_owner_now();
-        sleep(PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
 /// Returns true while neither an owner nor the store serves this box.
-fn cut_off(shared: &Shared) -> bool {
-    shared.unserved_ms() > CUT_OFF && !shared.store_serves()
+fn is_cut_off(shared: &Shared) -> bool {
+    shared.unserved_ms() > CUT_OFF_AFTER && !shared.store_serves()
 }
 
-fn changes(ask: &JobRequest) -> bool {
+fn changes_state(ask: &JobRequest) -> bool {
     matches!(ask, JobRequest::Submit { .. } | JobRequest::Cancel(_))
 }
 
-fn given_up(ask: &JobRequest, doubt: bool, reason: &str, spent: Millis) -> Answer {
+fn give_up(ask: &JobRequest, doubt: bool, reason: &str, spent: Millis) -> Answer {
     let (what, id) = name(ask);
     log::info!(target: "desk", "job={id} event=given-up ask={what} reason={reason} doubt={doubt} spent_ms={spent}");
-    match doubt && changes(ask) {
+    match doubt && changes_state(ask) {
         true => Answer::InDoubt,
         false => Answer::Refused(COME_BACK),
     }
@@ -130,9 +130,9 @@
     Lost,
 }
 
-async fn one_try(shared: &Rc<Shared>, ask: &JobRequest, left: Millis) -> Result<Answer, Failure> {
+async fn try_owner(shared: &Rc<Shared>, ask: &JobRequest, left: Millis) -> Result<Answer, Failure> {
     if shared.local_epoch().is_some() {
-        return match ask_here(shared, ask.clone(), left).await {
+        return match ask_local_owner(shared, ask.clone(), left).await {
             Some(answer) => Ok(answer),
             None => Err(Failure::Lost),
         };
@@ -143,7 +143,7 @@
     if owner.row.address == shared.settings.rpc {
         return Err(Failure::NotThere);
     }
-    let left = left.min(TRY);
+    let left = left.min(TRY_TIMEOUT);
     let message = AskRequest {
         ask: crate::table::encode(ask),
         left,
@@ -161,7 +161,7 @@
 }
 
 /// Asks the owner in this process; none when it does not answer in time.
-pub async fn ask_here(shared: &Shared, ask: JobRequest, left: Millis) -> Option<Answer> {
+pub async fn ask_local_owner(shared: &Shared, ask: JobRequest, left: Millis) -> Option<Answer> {
     let (reply, answer) = oneshot::channel();
     shared.send_to_owner(Message::Request(ask, reply));
     timeout(Duration::from_millis(left), answer)
--- a/src/daemon/owner_row.rs
+++ b/src/daemon/owner_row.rs
@@ -33,7 +33,7 @@
         Some(KnownOwner {
             row: decode(row)?,
             version: row.version,
-            life: OwnerProgress {
+            progress: OwnerProgress {
                 at: clock::now(),
                 pages: None,
             },
@@ -46,7 +46,7 @@
     if let Some(seen) = &mut seen {
         let before = shared.owner();
         match before.filter(|b| b.row.epoch == seen.row.epoch) {
-            Some(before) => seen.life = before.life,
+            Some(before) => seen.progress = before.progress,
             None => {
                 let row = &seen.row;
                 log::info!(target: "member", "event=owner owner={} epoch={} version={} unserved_ms={}", row.name, row.epoch, seen.version, shared.unserved_ms());
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -23,14 +23,14 @@
 /// its fate is asked for: many times the usual, and that of a slow store.
 const ANSWER_WAIT: std::ops::RangeInclusive<Millis> = 120..=900;
 /// Answers of a commit take at most this many times the last one.
-const COMMIT_SPREAD: Millis = 3;
+const ANSWER_SPREAD: Millis = 3;
 
 /// An owner in this process.
 struct LocalOwner {
     owner: Owner,
     term: Term,
     /// Callers that wait for an answer.
-    tickets: HashMap<Ticket, oneshot::Sender<Answer>>,
+    pending: HashMap<Ticket, oneshot::Sender<Answer>>,
     next_ticket: Ticket,
     answer_wait: Millis,
     commit_sent: Millis,
@@ -47,7 +47,7 @@
         woke = clock::now();
         if let Some(lead) = &mut lead {
             // What the last round took counts as well: a starved owner is starved there.
-            lead.term.late(woke.saturating_sub(due), woke);
+            lead.term.record_lateness(woke.saturating_sub(due), woke);
         }
         let mut next = match message {
             Ok(Some(message)) => Some(message),
@@ -86,7 +86,7 @@
         (Message::Request(ask, reply), Some(lead)) => {
             let ticket = lead.next_ticket;
             lead.next_ticket += 1;
-            lead.tickets.insert(ticket, reply);
+            lead.pending.insert(ticket, reply);
             lead.apply_event(shared, Event::Request(ticket, ask));
         }
         (Message::Event(epoch, event), Some(lead)) if epoch == lead.term.epoch => {
@@ -114,7 +114,7 @@
     LocalOwner {
         term: Term::begin(epoch, load, clock::now()),
         owner,
-        tickets: HashMap::new(),
+        pending: HashMap::new(),
         next_ticket: 1,
         answer_wait: *ANSWER_WAIT.start(),
         commit_sent: 0,
@@ -135,7 +135,7 @@
         return;
     };
     shared.set_confirmed(held.owner.confirmed());
-    held.term.show(&held.owner, clock::now());
+    held.term.update_gauges(&held.owner, clock::now());
     if held.owner.deposed() {
         end_term(shared, lead, "deposed");
     } else if held.owner.released() {
@@ -153,7 +153,7 @@
         let (kind, begun) = (event.kind(), clock::micros());
         let actions = self.owner.step(event, now());
         let ended = clock::micros();
-        self.term.spent(kind, ended - begun, ended / 1_000);
+        self.term.record_spent(kind, ended - begun, ended / 1_000);
         for action in actions {
             self.perform(shared, action);
         }
@@ -177,7 +177,7 @@
         crate::metrics::get().commit_seconds.observe(seconds);
         let wished = match written {
             Written::Unknown => self.answer_wait,
-            _ => took * COMMIT_SPREAD,
+            _ => took * ANSWER_SPREAD,
         };
         self.answer_wait = wished.clamp(*ANSWER_WAIT.start(), *ANSWER_WAIT.end());
     }
@@ -186,7 +186,7 @@
         let epoch = self.term.epoch;
         match action {
             Action::Reply(ticket, answer) => {
-                if let Some(reply) = self.tickets.remove(&ticket) {
+                if let Some(reply) = self.pending.remove(&ticket) {
                     // A caller that has gone away needs no answer.
                     let _ = reply.send(answer);
                 }
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -42,7 +42,7 @@
     if shared.local_epoch().is_none() {
         return Ok(AskReply::default());
     }
-    match frontend::ask_here(&shared, ask, request.left).await {
+    match frontend::ask_local_owner(&shared, ask, request.left).await {
         Some(answer) => Ok(AskReply {
             answer: encode(&answer),
         }),
--- a/src/daemon/pings.rs
+++ b/src/daemon/pings.rs
@@ -105,11 +105,15 @@
         return;
     }
     log::info!(target: "member", "event=owner-told owner={} epoch={} known={known} version={version}", row.name, row.epoch);
-    let life = OwnerProgress {
+    let progress = OwnerProgress {
         at: clock::now(),
         pages: None,
     };
-    shared.set_owner(Some(KnownOwner { row, version, life }));
+    shared.set_owner(Some(KnownOwner {
+        row,
+        version,
+        progress,
+    }));
 }
 
 /// Returns what the answer to a ping tells of the box.
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -47,7 +47,7 @@
     /// Version of its row.
     pub version: u64,
     /// The last sign of life of it.
-    pub life: OwnerProgress,
+    pub progress: OwnerProgress,
 }
 
 /// How far a box that has become the owner is with loading what the store holds.
@@ -64,7 +64,7 @@
     /// Checked settings.
     pub settings: Settings,
     /// Milliseconds since the Unix epoch of the start; tells lives of one box apart.
-    pub life: u64,
+    pub incarnation: u64,
     /// The platform's store.
     pub store: Store,
     /// The workers.
@@ -93,7 +93,7 @@
     /// Returns the shared state of a box that has just started.
     pub fn new(
         settings: Settings,
-        life: u64,
+        incarnation: u64,
         owner_sender: UnboundedSender<Message>,
         check_sender: UnboundedSender<()>,
     ) -> Self {
@@ -103,7 +103,7 @@
             advisor: Advisor::new(settings.advisor),
             bounds: Cell::new(settings.bounds),
             settings,
-            life,
+            incarnation,
             owner_sender,
             check_sender,
             queues: RefCell::default(),
@@ -220,16 +220,16 @@
     }
 
     /// Takes in a sign of life of the owner of an epoch.
-    pub fn set_liveness(&self, epoch: u64, life: OwnerProgress) {
+    pub fn set_progress(&self, epoch: u64, progress: OwnerProgress) {
         let mut owner = self.owner.borrow_mut();
         if let Some(seen) = owner.as_mut().filter(|s| s.row.epoch == epoch) {
-            seen.life = life;
+            seen.progress = progress;
         }
     }
 
     /// Returns true when this life of this box wrote an owner's row.
     pub fn is_own_row(&self, row: &OwnerRow) -> bool {
-        row.name == self.settings.name && row.life == self.life
+        row.name == self.settings.name && row.life == self.incarnation
     }
 
     /// Returns the epoch of the owner in this process.
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -36,11 +36,11 @@
 /// What the store holds of earlier owners' work.
 #[derive(Default)]
 pub(super) struct StoredState {
-    pub kept: Vec<Kept>,
+    pub jobs: Vec<Kept>,
     /// Ids of jobs whose rows can't be read.
     pub unreadable: Vec<Name>,
     /// What they learned of interference between images.
-    pub known: Vec<Known>,
+    pub interference: Vec<Known>,
 }
 
 /// Writes this box into the owner's row, if it is as it was seen.
@@ -48,7 +48,7 @@
     let settings = &shared.settings;
     let row = OwnerRow {
         name: settings.name.clone(),
-        life: shared.life,
+        life: shared.incarnation,
         address: settings.rpc,
         epoch: before.as_ref().map_or(0, |b| b.row.epoch) + 1,
         seq: 0,
@@ -110,11 +110,11 @@
     let legacy = PredecessorState::from_row(before.as_ref().map(|b| &b.row), &row.name);
     let inherited = legacy.lease_end(&bounds, now.steady);
     let took = now.steady - sent;
-    log::info!(target: "owner", "event=owner-begins epoch={epoch} jobs={} unreadable={} load_ms={took}", stored.kept.len(), stored.unreadable.len());
+    log::info!(target: "owner", "event=owner-begins epoch={epoch} jobs={} unreadable={} load_ms={took}", stored.jobs.len(), stored.unreadable.len());
     shared.set_owner(Some(KnownOwner {
         row: row.clone(),
         version,
-        life: OwnerProgress {
+        progress: OwnerProgress {
             at: now.steady,
             pages: None,
         },
@@ -123,9 +123,9 @@
     // cut off from the store as soon as it serves.
     let owner_row = row.clone();
     let journal = Journal::new(row, version, confirmed);
-    let mut owner = Owner::new(bounds, journal, stored.kept, inherited, now);
+    let mut owner = Owner::new(bounds, journal, stored.jobs, inherited, now);
     owner.distrust(stored.unreadable);
-    owner.import_interference(stored.known);
+    owner.import_interference(stored.interference);
     shared.send_to_owner(Message::Begin(Box::new(owner), epoch, took));
     let told = pings::takeover_notice(shared, &owner_row, version);
     let before = before.map(|b| b.row);
@@ -214,7 +214,7 @@
     let beliefs = read_table(shared, epoch, BELIEF_TABLE).await?;
     let known = beliefs.iter().find(|r| &*r.key == PRESSURE_KEY);
     Some(StoredState {
-        known: known.and_then(decode).unwrap_or_default(),
+        interference: known.and_then(decode).unwrap_or_default(),
         ..decode_jobs(&specs, &rows)
     })
 }
@@ -263,7 +263,7 @@
         let state: Option<JobRow> = decode(row);
         let id = row.key.clone();
         match (spec, state) {
-            (Some(spec), Some(row)) => stored.kept.push(Kept { id, spec, row }),
+            (Some(spec), Some(row)) => stored.jobs.push(Kept { id, spec, row }),
             (spec, state) => {
                 let (spec, state) = (spec.is_some(), state.is_some());
                 log::error!(target: "owner", "job={id} event=unreadable spec={spec} state={state}");
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -55,7 +55,7 @@
         row("alone", state),
     ];
     let stored = decode_jobs(&specs, &rows);
-    let ids: Vec<&str> = stored.kept.iter().map(|k| &*k.id).collect();
+    let ids: Vec<&str> = stored.jobs.iter().map(|k| &*k.id).collect();
     assert_eq!(ids, ["good"]);
     assert_eq!(stored.unreadable, ["torn".into(), "alone".into()]);
 }
@@ -108,13 +108,13 @@
 fn the_gauges_of_an_owner_end_with_it() {
     let mut owner = owner(1_000);
     let mut term = Term::begin(7, 300, 1_300);
-    term.late(250, 1_400);
+    term.record_lateness(250, 1_400);
     owner.resign(Now {
         steady: 2_400,
         wall: 2_400,
     });
-    term.show(&owner, 2_500);
-    term.show(&owner, 3_000);
+    term.update_gauges(&owner, 2_500);
+    term.update_gauges(&owner, 3_000);
     let metrics = metrics::get();
     let gauges = || {
         [
@@ -179,7 +179,7 @@
     let seen = |epoch| KnownOwner {
         row: owner_row(epoch),
         version: epoch,
-        life: OwnerProgress { at: 0, pages: None },
+        progress: OwnerProgress { at: 0, pages: None },
     };
     let known = || shared.owner().map(|s| s.row.epoch);
     shared.set_owner(Some(seen(6)));
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -17,18 +17,18 @@
 /// Bytes of the text of a job.
 const MAX_SPEC_BYTES: usize = 4_000;
 /// Milliseconds that a client waits when it does not say.
-const DEFAULT_DEADLINE: Millis = 3_000;
+const DEFAULT_TIMEOUT: Millis = 3_000;
 
 /// Returns how long the client waits for its answer, in milliseconds.
-pub fn deadline(request: &Request) -> Millis {
+pub fn caller_timeout(request: &Request) -> Millis {
     let value = request.headers.get(wire::DEADLINE);
     let Some(value) = value else {
-        return DEFAULT_DEADLINE;
+        return DEFAULT_TIMEOUT;
     };
     let number = value.to_str().ok().and_then(|t| t.parse().ok());
     number.unwrap_or_else(|| {
-        log::warn!(target: "desk", "event=bad-deadline value={value:?} taken_ms={DEFAULT_DEADLINE}");
-        DEFAULT_DEADLINE
+        log::warn!(target: "desk", "event=bad-deadline value={value:?} taken_ms={DEFAULT_TIMEOUT}");
+        DEFAULT_TIMEOUT
     })
 }
 
