--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -413,7 +413,7 @@
 
 fn lasting(place: usize, width: u32) -> JobSpec {
     JobSpec {
-        text: "lasting".into(),
+        payload: "lasting".into(),
         steps: vec![StepSpec {
             count: width,
             resources: Resources {
@@ -424,8 +424,8 @@
             estimate: 400,
             image: format!("s{}", place % 5).into(),
             lasting: true,
-            spread: place as u32 % 2 * 2,
-            target: 50,
+            max_per_worker: place as u32 % 2 * 2,
+            latency_target: 50,
             ..StepSpec::default()
         }],
         schedule: None,
@@ -449,13 +449,13 @@
             "".into()
         },
         best_effort: fills,
-        saves: fills,
+        checkpoints: fills,
         after,
         ..StepSpec::default()
     };
     let image = random.below(9);
     let spec = JobSpec {
-        text: name.into(),
+        payload: name.into(),
         steps: vec![step(Vec::new(), image), step(vec![0], image)],
         schedule: None,
     };
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -6,7 +6,7 @@
 
 use super::wire::{self, Job, Step};
 use crate::queues::Queues;
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::message::{Answer, JobRequest};
 use crate::sched::spec::{JobSpec, Resources, Schedule, StepSpec};
 use crate::utils::clock::Millis;
@@ -73,7 +73,7 @@
         return Err(wrong(format!("a spec has at most {MAX_SPEC_BYTES} bytes")));
     }
     Ok(JobSpec {
-        text: job.spec,
+        payload: job.spec,
         steps: job.steps.into_iter().map(step_spec).collect(),
         schedule: (job.max_runs > 0).then_some(Schedule {
             rounds: job.max_runs,
@@ -96,10 +96,10 @@
         image: step.image,
         label: step.requires,
         rack: step.affinity,
-        spread: step.anti_affinity,
-        target: step.target_ms,
+        max_per_worker: step.anti_affinity,
+        latency_target: step.target_ms,
         disruptions: step.may_miss,
-        saves: step.saves_progress,
+        checkpoints: step.saves_progress,
         gang: step.gang,
         one_rack: step.same_rack,
         speculative: step.speculative,
@@ -130,13 +130,13 @@
     reply
 }
 
-fn state_name(shown: Shown) -> &'static str {
+fn state_name(shown: JobState) -> &'static str {
     match shown {
-        Shown::Queued => "queued",
-        Shown::Running => "running",
-        Shown::Completed => "completed",
-        Shown::Failed => "failed",
-        Shown::Cancelled => "cancelled",
+        JobState::Queued => "queued",
+        JobState::Running => "running",
+        JobState::Completed => "completed",
+        JobState::Failed => "failed",
+        JobState::Cancelled => "cancelled",
     }
 }
 
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -91,12 +91,12 @@
         (4, 500, 256)
     );
     assert_eq!(
-        (&*first.rack, first.spread, &*first.label),
+        (&*first.rack, first.max_per_worker, &*first.label),
         ("r1-3", 2, "a")
     );
-    assert!(second.saves && second.gang && second.one_rack && second.lasting);
+    assert!(second.checkpoints && second.gang && second.one_rack && second.lasting);
     assert!(second.best_effort && second.speculative);
-    assert_eq!((second.target, second.disruptions), (50, Some(0)));
+    assert_eq!((second.latency_target, second.disruptions), (50, Some(0)));
     assert_eq!(second.reserved().cpu, 0, "a filler reserves no processors");
     let schedule = spec.schedule.expect("a schedule");
     assert_eq!(
--- a/src/sched/asks.rs
+++ b/src/sched/asks.rs
@@ -32,7 +32,7 @@
         if self.history.get(&id).is_some() {
             return self.reply(ticket, Answer::Accepted);
         }
-        let findings = spec.findings();
+        let findings = spec.validation_errors();
         if !findings.is_empty() {
             log::warn!(target: "job", "job={id} event=invalid findings={findings:?}");
             return self.reply(ticket, Answer::Invalid(findings.join("; ")));
@@ -57,7 +57,7 @@
     /// Answers once the store holds the job as it is now.
     fn answer_kept(&mut self, ticket: Ticket, number: u32, answer: Answer) {
         let job = &self.jobs[&number];
-        if job.stored && job.kept == job.row.outcome {
+        if job.stored && job.stored_outcome == job.row.outcome {
             return self.reply(ticket, answer);
         }
         self.journal.after(number, After::Reply(ticket, answer));
@@ -70,7 +70,7 @@
                 None => self.not_found(ticket, JobRequest::Cancel(id.clone())),
             };
         };
-        if self.jobs[&number].open() {
+        if self.jobs[&number].is_open() {
             self.finish(number, Outcome::Cancelled);
         }
         self.answer_kept(ticket, number, Answer::Cancelled);
@@ -79,11 +79,11 @@
     fn show(&mut self, ticket: Ticket, id: &Name) {
         let number = self.ids.get(id);
         let answer = match number.map(|n| &self.jobs[n]) {
-            Some(job) if job.stored => Answer::State(job.shown()),
+            Some(job) if job.stored => Answer::State(job.state()),
             // Its acceptance is on its way to the store, so neither word is true yet.
             Some(_) => Answer::InDoubt,
             None => match self.history.get(id) {
-                Some(row) => Answer::State(row.outcome.shown(true)),
+                Some(row) => Answer::State(row.outcome.state(true)),
                 None => return self.not_found(ticket, JobRequest::Show(id.clone())),
             },
         };
@@ -116,7 +116,7 @@
 
     fn count(&mut self, ticket: Ticket, queue: &str) {
         let waits = |job: &&Job| {
-            job.stored && job.open() && !job.row.begun && &*job.row.queue.name == queue
+            job.stored && job.is_open() && !job.row.begun && &*job.row.queue.name == queue
         };
         let count = self.jobs.values().filter(waits).count() as u64;
         self.reply(ticket, Answer::Waiting(count));
--- a/src/sched/backlog.rs
+++ b/src/sched/backlog.rs
@@ -30,7 +30,7 @@
         let mut last: Option<(StepKey, f64)> = None;
         let mut work = 0.0;
         for key in self.ready.keys() {
-            let step = key.of_step();
+            let step = key.step_key();
             let each = match last {
                 Some((known, each)) if known == step => each,
                 _ => self.work_of(step),
--- a/src/sched/choice.rs
+++ b/src/sched/choice.rs
@@ -84,7 +84,7 @@
         let scored = fitting.map(|w| Reverse((score(w, wish), w.listing.id.clone())));
         let scored: Vec<_> = scored.collect();
         Self {
-            step: wish.key.of_step(),
+            step: wish.key.step_key(),
             order: scored.into(),
         }
     }
@@ -156,7 +156,7 @@
         return false;
     }
     let beside = wish.beside.get(&listing.id).copied().unwrap_or(0);
-    step.spread == 0 || beside < step.spread
+    step.max_per_worker == 0 || beside < step.max_per_worker
 }
 
 /// Lower is better: load in thousandths, and what speaks against the worker.
@@ -164,7 +164,7 @@
     let step = wish.step;
     let all = worker.listing.capacity;
     let load = |cpu: u64| cpu * WHOLE / all.cpu.max(1);
-    let mut score = match (step.target > 0, step.best_effort) {
+    let mut score = match (step.latency_target > 0, step.best_effort) {
         (true, _) => packing(
             worker,
             wish.image,
@@ -175,7 +175,7 @@
         )),
         _ => load(worker.allocated.cpu + worker.wanted_cpu + step.resources.cpu),
     };
-    if (step.target > 0 || step.best_effort)
+    if (step.latency_target > 0 || step.best_effort)
         && let Some(interference) = wish.interference
     {
         let excess = interference.excess_with(worker, step, wish.image);
--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -30,7 +30,7 @@
             let Some(job) = jobs.get_mut(&number) else {
                 return Vec::new();
             };
-            job.archived = job.stored && !job.open() && unplaced(placed, number, job);
+            job.archived = job.stored && !job.is_open() && unplaced(placed, number, job);
             rows(job)
         };
         let Some((number, version, mut writes)) = self.journal.build(self.now.steady, rows) else {
@@ -89,8 +89,8 @@
     fn kept(&mut self, number: u32, afters: Vec<After>) {
         if let Some(job) = self.jobs.get_mut(&number) {
             job.stored = true;
-            job.kept = job.sent;
-            let ended = job.kept != Outcome::Open;
+            job.stored_outcome = job.sent_outcome;
+            let ended = job.stored_outcome != Outcome::Open;
             if job.archived {
                 self.archived(number);
             } else if ended {
@@ -109,7 +109,7 @@
     /// Has some jobs archived that are over and of which nothing is placed any more:
     /// those that a release before this one left, and those freed without a change.
     pub(super) fn tidy(&mut self) {
-        let ended = |job: &Job| job.kept != Outcome::Open && !job.archived;
+        let ended = |job: &Job| job.stored_outcome != Outcome::Open && !job.archived;
         let jobs = self.jobs.iter().filter(|(_, job)| ended(job));
         let free = jobs.filter(|(number, job)| unplaced(&self.placed, **number, job));
         let numbers: Vec<u32> = free.map(|(number, _)| *number).take(TIDIED).collect();
@@ -142,7 +142,7 @@
 
 /// Returns the writes that bring the rows of a job up to date.
 fn rows(job: &mut Job) -> Vec<Write> {
-    job.sent = job.row.outcome;
+    job.sent_outcome = job.row.outcome;
     if job.archived {
         let finished = HistoryRow {
             outcome: job.row.outcome,
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -64,7 +64,7 @@
         let Some(job) = self.jobs.get(&key.job) else {
             return;
         };
-        let open = job.open();
+        let open = job.is_open();
         if job.step(key).lasting && open {
             if current {
                 self.free(key);
@@ -118,7 +118,7 @@
         self.save(key, &end.saved);
         let exhausted = !lasting && self.failures(key) >= attempts;
         self.free(key);
-        if exhausted && self.jobs.get(&key.job).is_some_and(|j| j.open()) {
+        if exhausted && self.jobs.get(&key.job).is_some_and(|j| j.is_open()) {
             self.finish(key.job, Outcome::Failed);
         }
     }
--- a/src/sched/crashes.rs
+++ b/src/sched/crashes.rs
@@ -216,7 +216,10 @@
     /// Counts the first of many crashes at once as what they are: an outage.
     fn count_again(&mut self) {
         for crash in std::mem::take(&mut self.provisional) {
-            let job = self.jobs.get_mut(&crash.key.job).filter(|job| job.open());
+            let job = self
+                .jobs
+                .get_mut(&crash.key.job)
+                .filter(|job| job.is_open());
             let Some(task) = job.and_then(|job| job.task_mut(crash.key)) else {
                 continue;
             };
@@ -238,7 +241,7 @@
         let &Attribution {
             key, cause, count, ..
         } = attribution;
-        let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.open()) else {
+        let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.is_open()) else {
             return;
         };
         let Some(task) = job.task_mut(key) else {
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -223,11 +223,11 @@
                 continue;
             };
             for (key, placement) in &worker.placements {
-                let Some(job) = self.jobs.get(&key.job).filter(|j| j.open()) else {
+                let Some(job) = self.jobs.get(&key.job).filter(|j| j.is_open()) else {
                     continue;
                 };
                 let step = job.step(*key);
-                let last = step.saves && now + STOP_TIME >= leaves;
+                let last = step.checkpoints && now + STOP_TIME >= leaves;
                 if placement.running() && (step.lasting || last) {
                     moved.push(*key);
                 }
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -57,7 +57,7 @@
         };
         for peer in peers {
             if let Some(task) = job.task_mut(peer) {
-                task.saved = saved.clone();
+                task.checkpoint = saved.clone();
             }
         }
     }
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -73,7 +73,7 @@
         }
         let busy = busy_share(run.gauge, placement.target);
         let image = placement.image.clone();
-        let step = key.of_step();
+        let step = key.step_key();
         if busy < BUSIEST
             && let Some(others) = self.loads.of_others(step, key.index, now)
         {
--- a/src/sched/history.rs
+++ b/src/sched/history.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::admission::COME_BACK;
-use super::job::{Outcome, TaskKey, parse_task};
+use super::job::{Outcome, TaskKey, parse_task_name};
 use super::message::{Answer, JobRequest, Ticket};
 use super::owner::Owner;
 use crate::utils::Name;
@@ -180,7 +180,7 @@
         self.failed_on.retain(|key, _| key.job != number);
         self.deferred.retain(|key, _| key.job != number);
         let row = HistoryRow {
-            outcome: job.kept,
+            outcome: job.stored_outcome,
             ended: job.row.ended,
         };
         self.history.add(job.id, row);
@@ -188,6 +188,6 @@
 
     /// Returns true when a task, by its name, is of a job that is over.
     pub(super) fn is_finished_task(&self, task: &str) -> bool {
-        parse_task(task).is_some_and(|(id, ..)| self.history.get(id).is_some())
+        parse_task_name(task).is_some_and(|(id, ..)| self.history.get(id).is_some())
     }
 }
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -42,7 +42,7 @@
 
 impl TaskKey {
     /// Returns the step and round that the task belongs to.
-    pub fn of_step(self) -> StepKey {
+    pub fn step_key(self) -> StepKey {
         StepKey {
             job: self.job,
             round: self.round,
@@ -106,7 +106,7 @@
     pub failures: u32,
     /// Last checkpoint; empty for none.
     #[serde(rename = "s", default, skip_serializing_if = "is_empty")]
-    pub saved: Name,
+    pub checkpoint: Name,
     /// Workers that have certainly crashed under it.
     #[serde(rename = "c", default, skip_serializing_if = "is_zero")]
     pub crashes: u32,
@@ -145,13 +145,13 @@
 
 impl Outcome {
     /// Returns what callers are shown; `begun` once a task has.
-    pub fn shown(self, begun: bool) -> Shown {
+    pub fn state(self, begun: bool) -> JobState {
         match self {
-            Self::Completed => Shown::Completed,
-            Self::Failed => Shown::Failed,
-            Self::Cancelled => Shown::Cancelled,
-            Self::Open if begun => Shown::Running,
-            Self::Open => Shown::Queued,
+            Self::Completed => JobState::Completed,
+            Self::Failed => JobState::Failed,
+            Self::Cancelled => JobState::Cancelled,
+            Self::Open if begun => JobState::Running,
+            Self::Open => JobState::Queued,
         }
     }
 }
@@ -176,7 +176,7 @@
 
 /// What callers are shown of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shown {
+pub enum JobState {
     /// No task has begun.
     Queued,
     /// At least one task has begun.
@@ -199,9 +199,9 @@
     /// State as the owner knows it.
     pub row: JobRow,
     /// The outcome that the store is known to hold; callers are shown only this.
-    pub kept: Outcome,
+    pub stored_outcome: Outcome,
     /// The outcome in the commit that was built last.
-    pub sent: Outcome,
+    pub sent_outcome: Outcome,
     /// True once the store is known to hold the job.
     pub stored: bool,
     /// True when the commit that was built last puts its small row in place of these.
@@ -222,8 +222,8 @@
                 begun: false,
                 rounds: Vec::new(),
             },
-            kept: Outcome::Open,
-            sent: Outcome::Open,
+            stored_outcome: Outcome::Open,
+            sent_outcome: Outcome::Open,
             stored: false,
             archived: false,
         };
@@ -234,12 +234,12 @@
     }
 
     /// Returns a job as read from the store.
-    pub fn load(id: Name, spec: JobSpec, row: JobRow) -> Self {
+    pub fn from_stored(id: Name, spec: JobSpec, row: JobRow) -> Self {
         Self {
             id,
             spec: spec.into(),
-            kept: row.outcome,
-            sent: row.outcome,
+            stored_outcome: row.outcome,
+            sent_outcome: row.outcome,
             row,
             stored: true,
             archived: false,
@@ -254,12 +254,12 @@
     }
 
     /// Adds the rounds of a scheduled job that are due; true when there was one.
-    pub fn add_due(&mut self, wall: Millis) -> bool {
+    pub fn add_due_rounds(&mut self, wall: Millis) -> bool {
         let Some(schedule) = self.spec.schedule else {
             return false;
         };
         let before = self.row.rounds.len();
-        while self.open() && self.row.rounds.len() < schedule.rounds as usize {
+        while self.is_open() && self.row.rounds.len() < schedule.rounds as usize {
             let due = schedule.first + schedule.interval * self.row.rounds.len() as u64;
             if due > wall {
                 break;
@@ -270,7 +270,7 @@
     }
 
     /// Returns true while the job goes on.
-    pub fn open(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         self.row.outcome == Outcome::Open
     }
 
@@ -303,12 +303,12 @@
     }
 
     /// Returns the declared milliseconds of its longest chain of steps.
-    pub fn ideal(&self) -> Millis {
-        self.chain(|step| self.spec.steps[step].estimate)
+    pub fn ideal_duration(&self) -> Millis {
+        self.critical_path(|step| self.spec.steps[step].estimate)
     }
 
     /// Returns the longest chain of steps, where `span` gives the time of each.
-    pub fn chain(&self, span: impl Fn(usize) -> Millis) -> Millis {
+    pub fn critical_path(&self, span: impl Fn(usize) -> Millis) -> Millis {
         let mut ends: Vec<Millis> = Vec::with_capacity(self.spec.steps.len());
         for (place, step) in self.spec.steps.iter().enumerate() {
             let start = step.after.iter().filter_map(|a| ends.get(*a)).max();
@@ -318,7 +318,7 @@
     }
 
     /// Returns true when all steps that a step waits for are done.
-    pub fn released(&self, round: usize, step: usize) -> bool {
+    pub fn dependencies_done(&self, round: usize, step: usize) -> bool {
         let steps = &self.row.rounds[round];
         let done = |s: &usize| steps[*s].iter().all(|t| t.phase == Phase::Done);
         self.spec.steps[step].after.iter().all(done)
@@ -350,13 +350,13 @@
     }
 
     /// Returns what callers are shown, which is never ahead of the store.
-    pub fn shown(&self) -> Shown {
-        self.kept.shown(self.row.begun)
+    pub fn state(&self) -> JobState {
+        self.stored_outcome.state(self.row.begun)
     }
 }
 
 /// Splits the name of a task into the job's id, round, step and index.
-pub fn parse_task(name: &str) -> Option<(&str, u32, u32, u32)> {
+pub fn parse_task_name(name: &str) -> Option<(&str, u32, u32, u32)> {
     let mut parts = name.rsplitn(4, '.');
     let index = parts.next()?.parse().ok()?;
     let step = parts.next()?.parse().ok()?;
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -7,7 +7,7 @@
 
 use super::history::HistoryPage;
 use super::incarnation::{BootTime, Incarnation};
-use super::job::{Queue, Shown, StepKey, TaskKey};
+use super::job::{JobState, Queue, StepKey, TaskKey};
 use super::spec::JobSpec;
 use super::worker::Listing;
 use crate::cordons::Halls;
@@ -55,7 +55,7 @@
     /// The cancel is kept.
     Cancelled,
     /// How far the job is.
-    State(Shown),
+    State(JobState),
     /// No such job.
     Unknown,
     /// Jobs of the queue that have not begun.
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -85,7 +85,7 @@
         let mut last = None;
         let mut ranks: Vec<Rank> = Vec::new();
         for (key, since) in &self.ready {
-            let (step, promised) = (key.of_step(), self.promises.contains_key(key));
+            let (step, promised) = (key.step_key(), self.promises.contains_key(key));
             if last == Some(step) && !promised {
                 continue;
             }
@@ -155,7 +155,7 @@
         };
         let from = step.task(0);
         let waiting = self.ready.range(from..).map(|(key, _)| *key);
-        let own = waiting.take_while(|key| key.of_step() == step);
+        let own = waiting.take_while(|key| key.step_key() == step);
         own.filter(|key| !self.promises.contains_key(key)).collect()
     }
 
@@ -201,7 +201,7 @@
         Some(schedule) => schedule.first + schedule.interval * round as u64,
         None => job.row.accepted,
     };
-    let aim = queue.slack + job.ideal() * u64::from(queue.stretch) / 1_000;
+    let aim = queue.slack + job.ideal_duration() * u64::from(queue.stretch) / 1_000;
     let end = wall + remaining(job, round) * DRAWN_OUT / 10;
     let prospect = match end {
         _ if end <= start + aim => Prospect::OnTime,
@@ -218,7 +218,7 @@
             .iter()
             .all(|t| t.phase == Phase::Done)
     };
-    job.chain(|step| {
+    job.critical_path(|step| {
         if done(step) {
             0
         } else {
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -211,7 +211,7 @@
             deposed: false,
         };
         for job in kept {
-            owner.load(Job::load(job.id, job.spec, job.row));
+            owner.load(Job::from_stored(job.id, job.spec, job.row));
         }
         owner
     }
@@ -372,7 +372,7 @@
         let scheduled: Vec<u32> = self
             .jobs
             .iter_mut()
-            .filter_map(|(number, job)| job.add_due(wall).then_some(*number))
+            .filter_map(|(number, job)| job.add_due_rounds(wall).then_some(*number))
             .collect();
         for number in scheduled {
             self.journal.touch(number);
@@ -403,12 +403,12 @@
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
-        if !job.open() {
+        if !job.is_open() {
             return;
         }
         for round in 0..job.row.rounds.len() {
             for step in 0..job.spec.steps.len() {
-                if !job.released(round, step) {
+                if !job.dependencies_done(round, step) {
                     continue;
                 }
                 let tasks = job.row.rounds[round][step].iter().enumerate();
@@ -473,7 +473,7 @@
         };
         if matches!(task.phase, Phase::Placed(_)) {
             task.phase = Phase::Waiting;
-            let open = job.open();
+            let open = job.is_open();
             let (gang, lasting) = (job.step(key).gang, job.step(key).lasting);
             self.journal.touch(key.job);
             if open {
--- a/src/sched/permits.rs
+++ b/src/sched/permits.rs
@@ -64,7 +64,7 @@
         if !self.advised(key) {
             return true;
         }
-        let step = key.of_step();
+        let step = key.step_key();
         let now = self.now.steady;
         if self.permits.entry(step).or_default().any(now) {
             return true;
@@ -81,7 +81,7 @@
     }
 
     fn ask_permits(&mut self, key: TaskKey) {
-        let (step, now) = (key.of_step(), self.now.steady);
+        let (step, now) = (key.step_key(), self.now.steady);
         let open = self.permits.values().filter(|p| p.asked.is_some()).count();
         let known = self.permits.entry(step).or_default();
         if open >= OPEN_QUESTIONS || known.asked.is_some() || now < known.next {
@@ -106,7 +106,7 @@
     /// Returns the workers to ask about: good ones whose permits have ended,
     /// then unknown ones, those with most room first.
     fn questioned(&self, key: TaskKey) -> Vec<Name> {
-        let known = &self.permits[&key.of_step()];
+        let known = &self.permits[&key.step_key()];
         let resources = self.jobs[&key.job].step(key).reserved();
         let now = self.now.steady;
         let open = |name: &Name| !known.bad.contains(name) && !known.allow(name, now);
@@ -158,7 +158,7 @@
             return Some("".into());
         }
         let now = self.now.steady;
-        let permit = self.permits.get(&key.of_step())?.good.get(worker)?;
+        let permit = self.permits.get(&key.step_key())?.good.get(worker)?;
         (now < permit.end).then(|| permit.token.clone())
     }
 
@@ -171,7 +171,7 @@
 
     /// Takes in that a worker did not accept a permit.
     pub(super) fn permit_refused(&mut self, key: TaskKey, worker: &str) {
-        let known = self.permits.get_mut(&key.of_step());
+        let known = self.permits.get_mut(&key.step_key());
         if let Some(permit) = known.and_then(|k| k.good.get_mut(worker)) {
             permit.end = 0;
         }
--- a/src/sched/placing.rs
+++ b/src/sched/placing.rs
@@ -99,7 +99,7 @@
     /// Returns true when a task has no turn any more: its gang had it, or the
     /// like of it failed too often.
     fn skips(&mut self, key: TaskKey, demand: &Demand) -> bool {
-        if demand.gang && !self.gangs.insert(key.of_step()) {
+        if demand.gang && !self.gangs.insert(key.step_key()) {
             return true;
         }
         let family = demand.family();
@@ -209,7 +209,7 @@
 
     /// Returns what a task asks for; tasks of a step ask for the same.
     fn demand(&self, key: TaskKey, pass: &mut Pass) -> Rc<Demand> {
-        let step = key.of_step();
+        let step = key.step_key();
         match &pass.asked {
             Some((asked, demand)) if *asked == step => demand.clone(),
             _ => {
@@ -227,8 +227,8 @@
             resources: step.reserved(),
             service: job.row.queue.service.clone(),
             label: step.label.clone(),
-            spread: step.spread > 0,
-            advised: job.row.queue.advised.then(|| key.of_step()),
+            spread: step.max_per_worker > 0,
+            advised: job.row.queue.advised.then(|| key.step_key()),
             best_effort: step.best_effort,
             gang: step.gang,
         }
@@ -294,7 +294,7 @@
     fn pick(&mut self, key: TaskKey, rack: &str) -> Option<Name> {
         let now = self.now.steady;
         let alike = rack.is_empty() && self.failures(key) == 0 && !self.suspected(key);
-        let known = self.ranking.take_if(|r| alike && r.step == key.of_step());
+        let known = self.ranking.take_if(|r| alike && r.step == key.step_key());
         if known.is_none() {
             self.looked += self.workers.len() as u64;
         }
@@ -309,7 +309,7 @@
 
     /// Scores a worker that took a task anew.
     fn rank_again(&mut self, key: TaskKey, name: &Name) {
-        let Some(mut ranking) = self.ranking.take_if(|r| r.step == key.of_step()) else {
+        let Some(mut ranking) = self.ranking.take_if(|r| r.step == key.step_key()) else {
             return;
         };
         if let Some(worker) = self.workers.get(name) {
@@ -340,7 +340,7 @@
             }
         };
         let mut beside = BTreeMap::new();
-        if step.spread > 0 {
+        if step.max_per_worker > 0 {
             for member in self.members(key) {
                 if let Some(worker) = self.placed.get(&member) {
                     *beside.entry(worker.clone()).or_insert(0) += 1;
@@ -363,7 +363,7 @@
                 .then_some(&self.interference),
             avoid: self.failed_on.get(&key).map_or("", |w| w),
             beside: &beside,
-            permits: self.permits.get(&key.of_step()),
+            permits: self.permits.get(&key.step_key()),
         };
         find(&wish)
     }
@@ -424,12 +424,12 @@
             } else {
                 0
             },
-            serving: step.target > 0,
+            serving: step.latency_target > 0,
             best_effort: step.best_effort,
             lasting: step.lasting,
             image: step.image.clone(),
             image_number,
-            target: step.target,
+            target: step.latency_target,
             cpu: step.resources.cpu,
             speed: FULL_SPEED,
             // The owner before may have ordered another.
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -27,7 +27,7 @@
 
 /// Room on a worker that is being made for a task.
 #[derive(Clone, Debug)]
-pub(super) struct Promise {
+pub(super) struct Reservation {
     /// The task that it is for.
     pub key: TaskKey,
     /// What the task needs.
@@ -104,7 +104,7 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        worker.promise = Some(Promise { key, resources });
+        worker.promise = Some(Reservation { key, resources });
         self.promises.insert(key, name.clone());
     }
 
@@ -136,7 +136,7 @@
         let step = self.jobs[&key.job].step(key);
         let resources = step.reserved();
         let spare = self.spare_lasting() || self.away.contains(&key);
-        let kind = (key.of_step(), spare);
+        let kind = (key.step_key(), spare);
         if search.kind != Some(kind) {
             search.kind = Some(kind);
             search.victims = self.victims(key, resources, spare);
@@ -196,7 +196,7 @@
     ) -> Vec<Victim> {
         let now = self.now.steady;
         let name = &worker.listing.id;
-        let permits = self.permits.get(&key.of_step());
+        let permits = self.permits.get(&key.step_key());
         let able = worker.placements.len() > worker.staying(spare);
         if !able || permits.is_some_and(|p| !p.allow(name, now)) {
             return Vec::new();
@@ -214,7 +214,7 @@
     /// Returns what stopping a run for a task costs; none when it may not be.
     fn cost(&self, key: TaskKey, victim: TaskKey, run: &Placement) -> Option<u64> {
         let own = self.jobs.get(&key.job)?.row.queue.priority;
-        let job = self.jobs.get(&victim.job).filter(|j| j.open())?;
+        let job = self.jobs.get(&victim.job).filter(|j| j.is_open())?;
         let step = job.step(victim);
         if !run.running() || step.gang || step.best_effort {
             return None;
@@ -229,7 +229,11 @@
             return Some(if over { run.cpu / 2 } else { run.cpu });
         }
         let done = (self.now.steady - run.since) * run.cpu / 1_000;
-        Some(if step.saves { run.cpu } else { run.cpu + done })
+        Some(if step.checkpoints {
+            run.cpu
+        } else {
+            run.cpu + done
+        })
     }
 
     /// Returns true when one more lasting task may be away for others: few are,
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -4,7 +4,7 @@
 
 use super::history::NO_TASK;
 use super::incarnation::{BootOrder, compare_boots};
-use super::job::{Outcome, TaskKey, parse_task};
+use super::job::{Outcome, TaskKey, parse_task_name};
 use super::lost_workers::IncarnationEnd;
 use super::message::{Action, Hold, Refusal, Reply, Report, Running};
 use super::owner::Owner;
@@ -219,7 +219,7 @@
     /// Finds a task by its name; none when its job has no such task. Workers may list any
     /// name, and one looked up in vain would end this owner and each that follows it.
     pub(super) fn find(&self, name: &str) -> Option<TaskKey> {
-        let (id, round, step, index) = parse_task(name)?;
+        let (id, round, step, index) = parse_task_name(name)?;
         let number = *self.ids.get(id)?;
         let key = TaskKey {
             job: number,
@@ -234,7 +234,7 @@
     /// Returns true when a name is that of no task that could run: of a job that is over, or
     /// one that its job does not have.
     fn is_stray(&self, task: &str) -> bool {
-        let known = parse_task(task).is_some_and(|(id, ..)| self.ids.contains_key(id));
+        let known = parse_task_name(task).is_some_and(|(id, ..)| self.ids.contains_key(id));
         known || self.is_finished_task(task)
     }
 
@@ -262,8 +262,11 @@
         let Some(job) = self.jobs.get(&key.job) else {
             return true;
         };
-        let ended = job.kept != Outcome::Open;
-        if job.task(key).is_some_and(|task| task.saved != run.saved) {
+        let ended = job.stored_outcome != Outcome::Open;
+        if job
+            .task(key)
+            .is_some_and(|task| task.checkpoint != run.saved)
+        {
             self.save(key, &run.saved);
         }
         if inherited && ended {
--- a/src/sched/spec.rs
+++ b/src/sched/spec.rs
@@ -18,7 +18,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// Opaque text handed to the worker with each task.
-    pub text: Name,
+    #[serde(rename = "text")]
+    pub payload: Name,
     /// Steps, which refer to each other by their place here.
     pub steps: Vec<StepSpec>,
     /// When the steps run; none runs them once, at once.
@@ -58,7 +59,7 @@
 
 impl Resources {
     /// Returns the largest of its parts.
-    fn largest(self) -> u64 {
+    fn largest_component(self) -> u64 {
         self.cpu.max(self.memory).max(self.gpu)
     }
 
@@ -119,17 +120,17 @@
     #[serde(skip_serializing_if = "no_text")]
     pub rack: Name,
     /// Most tasks of the step on one worker; 0 for no bound.
-    #[serde(skip_serializing_if = "is_zero_u32")]
-    pub spread: u32,
+    #[serde(rename = "spread", skip_serializing_if = "is_zero_u32")]
+    pub max_per_worker: u32,
     /// Tail latency that a serving task must stay under, in milliseconds; 0 for none.
-    #[serde(skip_serializing_if = "is_zero")]
-    pub target: Millis,
+    #[serde(rename = "target", skip_serializing_if = "is_zero")]
+    pub latency_target: Millis,
     /// Most tasks that may be away at once through the scheduler's doing.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub disruptions: Option<u32>,
     /// Checkpoints its progress.
-    #[serde(skip_serializing_if = "is_false")]
-    pub saves: bool,
+    #[serde(rename = "saves", skip_serializing_if = "is_false")]
+    pub checkpoints: bool,
     /// All tasks must run at the same time.
     #[serde(skip_serializing_if = "is_false")]
     pub gang: bool,
@@ -162,7 +163,7 @@
 
 impl JobSpec {
     /// Returns all that is wrong with the job, a text for each finding.
-    pub fn findings(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut findings = Vec::new();
         if self.steps.is_empty() {
             findings.push("a job needs at least one step".to_string());
@@ -179,10 +180,10 @@
             if step.after.iter().any(|a| *a >= place) {
                 findings.push(format!("step {place} waits for a step that is not earlier"));
             }
-            if step.resources.largest() > RESOURCE_LIMIT {
+            if step.resources.largest_component() > RESOURCE_LIMIT {
                 findings.push(format!("step {place} asks for more than {RESOURCE_LIMIT}"));
             }
-            if step.estimate > TIME_LIMIT || step.target > TIME_LIMIT {
+            if step.estimate > TIME_LIMIT || step.latency_target > TIME_LIMIT {
                 findings.push(format!("step {place} has a time beyond {TIME_LIMIT} ms"));
             }
         }
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -38,7 +38,7 @@
         let Some(name) = self.placed.get(&key).cloned() else {
             return;
         };
-        let Some(job) = self.jobs.get(&key.job).filter(|j| j.open()) else {
+        let Some(job) = self.jobs.get(&key.job).filter(|j| j.is_open()) else {
             self.free(key);
             return;
         };
@@ -98,10 +98,13 @@
             incarnation,
             address,
             task,
-            text: job.spec.text.clone(),
+            text: job.spec.payload.clone(),
             lease,
             epoch: self.journal.epoch(),
-            saved: job.task(key).map(|t| t.saved.clone()).unwrap_or_default(),
+            saved: job
+                .task(key)
+                .map(|t| t.checkpoint.clone())
+                .unwrap_or_default(),
             permit,
         }));
     }
--- a/src/sched/tests/cordon.rs
+++ b/src/sched/tests/cordon.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::world::{World, job, lasting, queue, step};
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::message::{Answer, How, JobRequest};
 use crate::sched::spec::StepSpec;
 use crate::utils::Name;
@@ -80,7 +80,7 @@
     world.run(3_000);
     assert_eq!(world.running(), before);
     world.run(6_000);
-    assert_eq!(world.shown("a"), Some(Shown::Completed));
+    assert_eq!(world.shown("a"), Some(JobState::Completed));
     let starts = world.starts.iter().filter(|s| s.0.starts_with('a'));
     assert_eq!(starts.count(), 8, "none runs again");
 }
@@ -113,7 +113,7 @@
     let from = world.now + ON_ITS_WAY;
     world.run(8_000);
     assert_eq!(started_in(&world, "h2", from), Vec::<String>::new());
-    assert_eq!(world.shown("f"), Some(Shown::Completed));
+    assert_eq!(world.shown("f"), Some(JobState::Completed));
     assert_eq!(halls_of(&world, "l"), ["h".into()].into());
     assert_eq!(world.running().len(), 4);
 }
@@ -135,8 +135,8 @@
     world.submit("c", job(vec![fill]));
     world.run(4_000);
     assert_eq!(started_in(&world, "h", from), Vec::<String>::new());
-    assert_eq!(world.shown("g"), Some(Shown::Completed));
-    assert_eq!(world.shown("c"), Some(Shown::Completed));
+    assert_eq!(world.shown("g"), Some(JobState::Completed));
+    assert_eq!(world.shown("c"), Some(JobState::Completed));
 }
 
 /// Room was made there at the cost of a run, and is not waited for any more.
@@ -178,11 +178,11 @@
     let ticket = world.submit("b", job(vec![step(4, 1_000)]));
     world.run(4_000);
     assert_eq!(world.answers.get(&ticket), Some(&Answer::Accepted));
-    assert_eq!(world.shown("b"), Some(Shown::Queued));
+    assert_eq!(world.shown("b"), Some(JobState::Queued));
     assert!(world.starts.iter().all(|s| s.3 < from));
     world.cordon(&["h"]);
     world.run(2_000);
-    assert_eq!(world.shown("b"), Some(Shown::Completed));
+    assert_eq!(world.shown("b"), Some(JobState::Completed));
 }
 
 /// The only hall with the label that it needs is cordoned: it may be taken back.
@@ -203,7 +203,7 @@
     assert!(world.starts.is_empty());
     world.cordon(&[]);
     world.run(2_500);
-    assert_eq!(world.shown("a"), Some(Shown::Completed));
+    assert_eq!(world.shown("a"), Some(JobState::Completed));
 }
 
 #[test]
@@ -218,7 +218,7 @@
     world.submit("a", job(vec![step(8, 1_000)]));
     world.run(3_000);
     assert_eq!(started_in(&world, "h2", from), Vec::<String>::new());
-    assert_eq!(world.shown("a"), Some(Shown::Completed));
+    assert_eq!(world.shown("a"), Some(JobState::Completed));
 }
 
 #[test]
@@ -244,7 +244,7 @@
     assert_eq!(world.running().len(), 2, "what runs is kept");
     world.cordon(&["h2"]);
     world.run(3_000);
-    assert_eq!(world.shown("new"), Some(Shown::Completed));
+    assert_eq!(world.shown("new"), Some(JobState::Completed));
     assert_eq!(started_in(&world, "h2", from), Vec::<String>::new());
 }
 
--- a/src/sched/tests/crashes.rs
+++ b/src/sched/tests/crashes.rs
@@ -15,7 +15,7 @@
 //! The four tasks begun beside run 6 were in their sixth run as well, by no fault of theirs.
 
 use super::world::{World, job, lasting, step};
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::message::How;
 use crate::sched::message::{Entry, Event};
 use crate::sched::spec::StepSpec;
@@ -48,8 +48,8 @@
     let mut world = world(AT_ONCE);
     world.run(40_000);
     assert_eq!(starts(&world, "bad.0.0.0"), 2, "{:?}", world.crashes.all);
-    assert_eq!(world.shown("bad"), Some(Shown::Failed));
-    assert_eq!(world.shown("beside"), Some(Shown::Running));
+    assert_eq!(world.shown("bad"), Some(JobState::Failed));
+    assert_eq!(world.shown("beside"), Some(JobState::Running));
     assert_eq!(world.running().len(), 12, "all of the other job is at work");
 }
 
@@ -60,10 +60,10 @@
         world.submit(&format!("good-{number}"), job(vec![step(4, 300)]));
     }
     world.run(40_000);
-    assert_eq!(world.shown("bad"), Some(Shown::Failed));
+    assert_eq!(world.shown("bad"), Some(JobState::Failed));
     for number in 0..6 {
         let id = format!("good-{number}");
-        assert_eq!(world.shown(&id), Some(Shown::Completed), "{id}");
+        assert_eq!(world.shown(&id), Some(JobState::Completed), "{id}");
     }
     assert_eq!(world.running().len(), 12);
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
@@ -79,7 +79,11 @@
         world.run(60_000);
         let crashes = world.crashes.under("bad.0.0.0");
         assert!(crashes <= 4, "one start after the third crash: {crashes}");
-        assert_eq!(world.shown("bad"), Some(Shown::Failed), "back after {back}");
+        assert_eq!(
+            world.shown("bad"),
+            Some(JobState::Failed),
+            "back after {back}"
+        );
     }
 }
 
@@ -99,7 +103,7 @@
     world.run(10_000);
     assert_eq!(
         world.shown("j"),
-        Some(Shown::Completed),
+        Some(JobState::Completed),
         "{:?}",
         world.starts
     );
@@ -113,7 +117,7 @@
     world.run(60_000);
     let crashes = world.crashes.under("bad.0.0.0");
     assert!(crashes <= 5, "two starts after the third crash: {crashes}");
-    assert_eq!(world.shown("bad"), Some(Shown::Failed));
+    assert_eq!(world.shown("bad"), Some(JobState::Failed));
 }
 
 #[test]
@@ -126,8 +130,8 @@
     world.run(20_000);
     let crashes = world.crashes.under("bad.0.0.0");
     assert!(crashes <= 3, "{:?}", world.crashes.all);
-    assert_eq!(world.shown("bad"), Some(Shown::Failed));
-    assert_eq!(world.shown("beside"), Some(Shown::Running));
+    assert_eq!(world.shown("bad"), Some(JobState::Failed));
+    assert_eq!(world.shown("beside"), Some(JobState::Running));
 }
 
 /// Each owner ends while the worker is away, so that none sees it crash.
@@ -135,7 +139,7 @@
 fn crashes_that_no_owner_has_seen_count_as_well() {
     let mut world = world(AT_ONCE);
     let mut owners = 1;
-    while world.shown("bad") != Some(Shown::Failed) {
+    while world.shown("bad") != Some(JobState::Failed) {
         if world.crashes.under("bad.0.0.0") >= owners {
             world.take_over(0);
             owners += 1;
@@ -158,7 +162,7 @@
         world.crash(&worker);
     }
     world.run(8_000);
-    assert_eq!(world.shown("long"), Some(Shown::Running));
+    assert_eq!(world.shown("long"), Some(JobState::Running));
     assert_eq!(world.running().len(), 6);
 }
 
@@ -177,7 +181,7 @@
         world.crash(&on);
         world.run(6_000);
     }
-    assert_eq!(world.shown("j"), Some(Shown::Running));
+    assert_eq!(world.shown("j"), Some(JobState::Running));
 }
 
 /// Each worker that turns a start away as unfit gets nothing for a while, so a task that
@@ -191,10 +195,10 @@
     assert!(world.unfit_starts <= 5, "{} starts", world.unfit_starts);
     world.submit("good", job(vec![step(8, 1_500)]));
     world.run(1_500);
-    assert_eq!(world.shown("good"), Some(Shown::Completed));
+    assert_eq!(world.shown("good"), Some(JobState::Completed));
     world.workers.values_mut().for_each(|w| w.unfit = false);
     world.run(20_000);
-    assert_eq!(world.shown("bad"), Some(Shown::Completed));
+    assert_eq!(world.shown("bad"), Some(JobState::Completed));
 }
 
 /// A worker may list a task that its job does not have: one of an earlier job with the same
@@ -212,7 +216,7 @@
     }
     world.run(20_000);
     assert!(world.running().is_empty(), "{:?}", world.running());
-    assert_eq!(world.shown("j"), Some(Shown::Completed));
+    assert_eq!(world.shown("j"), Some(JobState::Completed));
 }
 
 #[test]
@@ -227,7 +231,7 @@
     world.submit("g", job(vec![gang]));
     world.run(30_000);
     assert_eq!(world.crashes.all.len(), 2, "{:?}", world.crashes.all);
-    assert_eq!(world.shown("g"), Some(Shown::Failed));
+    assert_eq!(world.shown("g"), Some(JobState::Failed));
 }
 
 /// Suspects take a quarter of the workers at most; other work goes on.
@@ -254,7 +258,7 @@
     world.run(5_000);
     for number in 0..8 {
         let id = format!("bad-{number}");
-        assert_eq!(world.shown(&id), Some(Shown::Failed), "{id}");
+        assert_eq!(world.shown(&id), Some(JobState::Failed), "{id}");
     }
 }
 
@@ -290,7 +294,7 @@
     world.run(30_000);
     for wave in 0..12 {
         let id = format!("j{wave}");
-        assert_eq!(world.shown(&id), Some(Shown::Completed), "{id}");
+        assert_eq!(world.shown(&id), Some(JobState::Completed), "{id}");
     }
     assert_eq!(world.running().len(), 6);
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
--- a/src/sched/tests/directory.rs
+++ b/src/sched/tests/directory.rs
@@ -1,7 +1,7 @@
 //! Workers that leave, vanish and come back.
 
 use super::world::{World, job, lasting, step};
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::message::{Entry, Event, How};
 use crate::sched::spec::StepSpec;
 
@@ -31,7 +31,7 @@
     world.script = |_, _| (1_000_000, How::Done);
     let step = StepSpec {
         disruptions: Some(1),
-        spread: 2,
+        max_per_worker: 2,
         ..lasting(4, 1_000)
     };
     world.submit("j1", job(vec![step]));
@@ -95,7 +95,7 @@
     world.step(Event::Listed(vec![("w9".into(), Entry::Listed(listing))]));
     world.run(300);
     assert_eq!(world.running().len(), 2);
-    assert_eq!(world.shown("j1"), Some(Shown::Running));
+    assert_eq!(world.shown("j1"), Some(JobState::Running));
 }
 
 #[test]
--- a/src/sched/tests/gang.rs
+++ b/src/sched/tests/gang.rs
@@ -1,7 +1,7 @@
 //! Gangs: tasks that only work together.
 
 use super::world::{World, job, step};
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::message::How;
 use crate::sched::spec::StepSpec;
 
@@ -53,7 +53,7 @@
     world.run(600);
     world.workers.get_mut("w1").expect("worker").cut = true;
     world.run(12_000);
-    assert_eq!(world.shown("gang"), Some(Shown::Completed));
+    assert_eq!(world.shown("gang"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), 4, "no member runs again");
 }
 
@@ -83,7 +83,7 @@
     };
     world.submit("gang", job(vec![gang(4)]));
     world.run(12_000);
-    assert_eq!(world.shown("gang"), Some(Shown::Failed));
+    assert_eq!(world.shown("gang"), Some(JobState::Failed));
     let last = world.starts.iter().map(|s| s.1).max();
     assert_eq!(last, Some(3), "as often as the queue allows");
 }
--- a/src/sched/tests/history.rs
+++ b/src/sched/tests/history.rs
@@ -2,7 +2,7 @@
 
 use super::world::{BOUNDS, World, job, lasting, queue, step};
 use crate::sched::history::{HistoryPage, HistoryRow};
-use crate::sched::job::{Job, Outcome, Shown};
+use crate::sched::job::{Job, JobState, Outcome};
 use crate::sched::journal::{HISTORY_TABLE, JOB_TABLE, SPEC_TABLE};
 use crate::sched::message::{Answer, Event, How, JobRequest};
 use crate::table::encode;
@@ -33,13 +33,13 @@
     world.take_over(INHERITED);
     assert_eq!(world.owner.sizes().0, 1, "of {MANY} that are over, none");
     world.run(500);
-    assert_eq!(world.shown("over-007"), Some(Shown::Completed));
+    assert_eq!(world.shown("over-007"), Some(JobState::Completed));
     let again = world.submit("over-007", job(vec![step(1, 1_000)]));
     let cancel = world.ask(JobRequest::Cancel("over-008".into()));
     world.run(500);
     assert_eq!(world.answers[&again], Answer::Accepted);
     assert_eq!(world.answers[&cancel], Answer::Cancelled);
-    assert_eq!(world.shown("over-008"), Some(Shown::Completed));
+    assert_eq!(world.shown("over-008"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), started, "nothing runs again");
 }
 
@@ -69,11 +69,11 @@
     for ticket in [again, new, twice] {
         assert_eq!(world.answers[&ticket], Answer::Accepted);
     }
-    assert_eq!(world.answers[&over], Answer::State(Shown::Completed));
+    assert_eq!(world.answers[&over], Answer::State(JobState::Completed));
     for ticket in [nobody, cancel] {
         assert_eq!(world.answers[&ticket], Answer::Unknown);
     }
-    assert_eq!(world.shown("new"), Some(Shown::Completed));
+    assert_eq!(world.shown("new"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), started + 1, "only the new one runs");
     let nobody = world.ask(JobRequest::Show("nobody".into()));
     assert_eq!(world.answers[&nobody], Answer::Unknown);
@@ -191,7 +191,7 @@
     assert!(world.running().is_empty(), "stopped by the next owner");
     assert_eq!(world.ids(HISTORY_TABLE), ["j1".into()]);
     assert!(world.ids(JOB_TABLE).is_empty() && world.ids(SPEC_TABLE).is_empty());
-    assert_eq!(world.shown("j1"), Some(Shown::Cancelled));
+    assert_eq!(world.shown("j1"), Some(JobState::Cancelled));
     assert_eq!(world.starts.len(), 4);
 }
 
@@ -228,7 +228,7 @@
         })
     };
     world.step(page(false));
-    assert_eq!(world.shown("old"), Some(Shown::Completed));
+    assert_eq!(world.shown("old"), Some(JobState::Completed));
     world.run(BOUNDS.remember + 2_000);
     world.step(page(true));
     let shown = world.ask(JobRequest::Show("old".into()));
@@ -275,9 +275,9 @@
         }
     }
     world.take_over(INHERITED);
-    assert_eq!(world.shown("old-7"), Some(Shown::Failed));
+    assert_eq!(world.shown("old-7"), Some(JobState::Failed));
     world.run(2_000);
     assert!(world.ids(JOB_TABLE).is_empty() && world.ids(SPEC_TABLE).is_empty());
     assert_eq!(world.ids(HISTORY_TABLE).len(), 50);
-    assert_eq!(world.shown("old-7"), Some(Shown::Failed));
+    assert_eq!(world.shown("old-7"), Some(JobState::Failed));
 }
--- a/src/sched/tests/incarnation.rs
+++ b/src/sched/tests/incarnation.rs
@@ -3,7 +3,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
 use super::world::{FakeWorker, GIVEN_UP, World, job, lasting, listing, step};
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::message::{Entry, Event, How, Reply, Report};
 use crate::sched::spec::{Resources, StepSpec};
 use crate::sched::worker::Listing;
@@ -26,14 +26,14 @@
     let mut world = World::new(1);
     world.submit("before", job(vec![step(4, 1_000)]));
     world.run(3_000);
-    assert_eq!(world.shown("before"), Some(Shown::Completed));
+    assert_eq!(world.shown("before"), Some(JobState::Completed));
     world.restart("w0");
     world.list();
     world.run(500);
     world.submit("after", job(vec![step(4, 1_000)]));
     world.run(6_000);
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
-    assert_eq!(world.shown("after"), Some(Shown::Completed));
+    assert_eq!(world.shown("after"), Some(JobState::Completed));
     let starts = world.starts.iter().filter(|s| s.0.starts_with("after"));
     assert_eq!(starts.count(), 4);
 }
@@ -73,7 +73,7 @@
         world.run(5_000);
         assert!(world.doubles.is_empty(), "{:?}", world.doubles);
         assert_eq!(world.starts.len(), 8);
-        assert_eq!(world.shown("j"), Some(Shown::Completed));
+        assert_eq!(world.shown("j"), Some(JobState::Completed));
     }
 }
 
@@ -85,7 +85,7 @@
     };
     world.submit(id, job(vec![step(count, 1_000)]));
     world.run(8_000);
-    assert_eq!(world.shown(id), Some(Shown::Completed), "{id}");
+    assert_eq!(world.shown(id), Some(JobState::Completed), "{id}");
     let starts = world.starts.iter().filter(|s| s.0.starts_with(id));
     assert_eq!(starts.count(), count as usize, "{id}");
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
@@ -124,7 +124,7 @@
     world.list();
     world.run(8_000);
     assert!(world.excesses.is_empty(), "{:?}", world.excesses);
-    assert_eq!(world.shown("before"), Some(Shown::Completed));
+    assert_eq!(world.shown("before"), Some(JobState::Completed));
 }
 
 #[test]
@@ -170,7 +170,7 @@
     world.run(3_000);
     assert_eq!(
         world.shown("j1"),
-        Some(Shown::Completed),
+        Some(JobState::Completed),
         "on the other worker"
     );
     world.restart("w0");
@@ -198,7 +198,7 @@
     let (_, late) = world.ordered["w0"].clone();
     leave_room_elsewhere(&mut world);
     world.run(6_000);
-    assert_eq!(world.shown("j1"), Some(Shown::Completed), "elsewhere");
+    assert_eq!(world.shown("j1"), Some(JobState::Completed), "elsewhere");
     world.workers.get_mut("w0").expect("worker").cut = false;
     // Too many for the other worker, so that this one has a lease again.
     world.submit("j2", job(vec![lasting(41, 100)]));
@@ -263,7 +263,7 @@
     }
     world.list();
     world.run(6_000);
-    assert_eq!(world.shown("g"), Some(Shown::Completed));
+    assert_eq!(world.shown("g"), Some(JobState::Completed));
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
@@ -294,7 +294,7 @@
         world.list();
         world.faults.lost = 0.0;
         world.run(12_000);
-        assert_eq!(world.shown("g"), Some(Shown::Completed), "{lost}");
+        assert_eq!(world.shown("g"), Some(JobState::Completed), "{lost}");
         assert!(world.doubles.is_empty(), "{:?}", world.doubles);
         assert!(world.running().is_empty());
     }
@@ -418,7 +418,7 @@
         wrong.append(&mut world.excesses);
         for id in ["before", "done", "failing", "after"] {
             let shown = world.shown(id);
-            if shown != Some(Shown::Completed) {
+            if shown != Some(JobState::Completed) {
                 wrong.push(format!("{id} is {shown:?}"));
             }
         }
--- a/src/sched/tests/jobs.rs
+++ b/src/sched/tests/jobs.rs
@@ -1,7 +1,7 @@
 //! The way of a job from its acceptance to its end.
 
 use super::world::{Faults, World, job, step};
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::message::{Answer, How, JobRequest};
 
 #[test]
@@ -18,9 +18,9 @@
     assert_eq!(world.starts.len(), 3, "the second step waits");
     world.run(200);
     assert_eq!(world.starts.len(), 5);
-    assert_eq!(world.shown("j1"), Some(Shown::Running));
+    assert_eq!(world.shown("j1"), Some(JobState::Running));
     world.run(1_200);
-    assert_eq!(world.shown("j1"), Some(Shown::Completed));
+    assert_eq!(world.shown("j1"), Some(JobState::Completed));
 }
 
 #[test]
@@ -74,7 +74,7 @@
     assert_eq!(world.answers[&ticket], Answer::Accepted);
     world.faults = Faults::default();
     world.run(6_000);
-    assert_eq!(world.shown("j1"), Some(Shown::Completed));
+    assert_eq!(world.shown("j1"), Some(JobState::Completed));
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
@@ -88,7 +88,7 @@
     world.run(300);
     assert_eq!(world.answers[&ticket], Answer::Cancelled);
     assert!(world.running().is_empty());
-    assert_eq!(world.shown("j1"), Some(Shown::Cancelled));
+    assert_eq!(world.shown("j1"), Some(JobState::Cancelled));
     world.run(3_000);
     assert_eq!(world.starts.len(), 4);
 }
@@ -100,7 +100,7 @@
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(3_000);
     assert_eq!(world.starts.len(), 3, "as often as the queue allows");
-    assert_eq!(world.shown("j1"), Some(Shown::Failed));
+    assert_eq!(world.shown("j1"), Some(JobState::Failed));
 }
 
 #[test]
@@ -109,7 +109,7 @@
     world.script = |_, run| (100, if run == 1 { How::Failed } else { How::Done });
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(1_000);
-    assert_eq!(world.shown("j1"), Some(Shown::Completed));
+    assert_eq!(world.shown("j1"), Some(JobState::Completed));
     assert_ne!(world.starts[0].2, world.starts[1].2);
 }
 
@@ -124,7 +124,7 @@
     world.run(300);
     world.faults = Faults::default();
     world.run(20_000);
-    assert_eq!(world.shown("j1"), Some(Shown::Completed));
+    assert_eq!(world.shown("j1"), Some(JobState::Completed));
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
@@ -165,7 +165,7 @@
     world.run(300);
     let count = world.ask(JobRequest::Count("q".into()));
     assert_eq!(world.answers[&count], Answer::Waiting(1));
-    assert_eq!(world.shown("j1"), Some(Shown::Queued));
+    assert_eq!(world.shown("j1"), Some(JobState::Queued));
     world.workers.get_mut("w0").expect("worker").full = false;
     world.run(1_200);
     let count = world.ask(JobRequest::Count("q".into()));
--- a/src/sched/tests/order.rs
+++ b/src/sched/tests/order.rs
@@ -1,7 +1,7 @@
 //! The order of starts.
 
 use super::world::{World, job, lasting, step};
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::message::How;
 use crate::sched::spec::StepSpec;
 
@@ -91,7 +91,7 @@
     assert_eq!(world.running().len(), 16, "they fill all workers");
     world.submit("ends", job(vec![step(1, 1_000)]));
     world.run(1_000);
-    assert_eq!(world.shown("ends"), Some(Shown::Completed));
+    assert_eq!(world.shown("ends"), Some(JobState::Completed));
     world.run(3_000);
     assert_eq!(world.running().len(), 16, "all lasting tasks are back");
 }
@@ -151,10 +151,10 @@
     world.run(4_000);
     world.submit_with_priority("better", job(vec![step(1, 1_000)]), 0);
     world.run(1_500);
-    assert_eq!(world.shown("better"), Some(Shown::Completed));
+    assert_eq!(world.shown("better"), Some(JobState::Completed));
     world.submit_with_priority("equal", job(vec![step(1, 1_000)]), 2);
     world.run(1_500);
-    assert_eq!(world.shown("equal"), Some(Shown::Queued));
+    assert_eq!(world.shown("equal"), Some(JobState::Queued));
 }
 
 #[test]
@@ -221,7 +221,7 @@
     world.run(2_500);
     let done = |world: &mut World, name: &str, count: u32| {
         let ids = (0..count).map(|n| format!("{name}{n}"));
-        ids.filter(|id| world.shown(id) == Some(Shown::Completed))
+        ids.filter(|id| world.shown(id) == Some(JobState::Completed))
             .count()
     };
     let small = done(&mut world, "small", 12);
--- a/src/sched/tests/overload.rs
+++ b/src/sched/tests/overload.rs
@@ -1,7 +1,7 @@
 //! More work than fits: what callers see of a burst.
 
 use super::world::{World, job, serving, step};
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::message::{Answer, How, Running};
 use crate::sched::spec::{RESOURCE_LIMIT, Resources, StepSpec, TIME_LIMIT};
 use crate::utils::clock::Millis;
@@ -124,6 +124,6 @@
     world.submit("sound", job(vec![step(4, 500)]));
     world.run(6_000);
     for id in ["huge", "sound"] {
-        assert_eq!(world.shown(id), Some(Shown::Completed), "{id}");
+        assert_eq!(world.shown(id), Some(JobState::Completed), "{id}");
     }
 }
--- a/src/sched/tests/permits.rs
+++ b/src/sched/tests/permits.rs
@@ -1,7 +1,7 @@
 //! Queues whose steps may run on some workers only, as an advisor tells.
 
 use super::world::{World, job, queue, step};
-use crate::sched::job::{Queue, Shown};
+use crate::sched::job::{JobState, Queue};
 
 fn advised() -> Queue {
     Queue {
@@ -27,7 +27,7 @@
     assert!(world.starts.iter().all(|s| good.contains(&&*s.2)));
     assert_eq!(world.questions, [6], "one question for all tasks of a step");
     world.run(1_500);
-    assert_eq!(world.shown("j1"), Some(Shown::Completed));
+    assert_eq!(world.shown("j1"), Some(JobState::Completed));
 }
 
 #[test]
@@ -35,7 +35,7 @@
     let mut world = World::new(2);
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(1_500);
-    assert_eq!(world.shown("j1"), Some(Shown::Completed));
+    assert_eq!(world.shown("j1"), Some(JobState::Completed));
     assert!(world.questions.is_empty());
 }
 
@@ -45,7 +45,7 @@
     world.submit_to(advised(), "j1", job(vec![step(12, 1_000)]));
     // Four run at a time, each for a second: the last start after the first tickets.
     world.run(4_500);
-    assert_eq!(world.shown("j1"), Some(Shown::Completed));
+    assert_eq!(world.shown("j1"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), 12);
     assert!(world.questions.len() >= 2, "{:?}", world.questions);
     assert!(world.starts.iter().all(|s| &*s.2 == "w1"));
@@ -56,7 +56,7 @@
     let mut world = world(70, &["w69"]);
     world.submit_to(advised(), "j1", job(vec![step(1, 1_000)]));
     world.run(2_000);
-    assert_eq!(world.shown("j1"), Some(Shown::Completed));
+    assert_eq!(world.shown("j1"), Some(JobState::Completed));
     assert!(
         world.questions.iter().all(|n| *n <= 30),
         "{:?}",
--- a/src/sched/tests/random.rs
+++ b/src/sched/tests/random.rs
@@ -1,7 +1,7 @@
 //! Randomised runs with faults; one run of a task at a time is asserted.
 
 use super::world::{Faults, World, job, step};
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::journal::{HISTORY_TABLE, JOB_TABLE, SPEC_TABLE};
 use crate::sched::message::{Answer, How, JobRequest};
 use crate::sched::spec::{JobSpec, Resources, StepSpec};
@@ -35,7 +35,7 @@
     at: u64,
     ticket: u64,
     /// What it was shown to be once it was over.
-    over: Option<Shown>,
+    over: Option<JobState>,
 }
 
 fn hand_in(world: &mut World, id: String, spec: JobSpec) -> Handed {
@@ -57,7 +57,7 @@
     /// True when the job had been accepted by then.
     accepted: bool,
     /// What it had been shown to be by then, if it was over.
-    over: Option<Shown>,
+    over: Option<JobState>,
 }
 
 impl Look {
@@ -92,7 +92,9 @@
         over: job.over,
     };
     let shown = world.answers.get(&look.ticket);
-    if let Some(Answer::State(over @ (Shown::Completed | Shown::Failed | Shown::Cancelled))) = shown
+    if let Some(Answer::State(
+        over @ (JobState::Completed | JobState::Failed | JobState::Cancelled),
+    )) = shown
     {
         job.over = Some(*over);
     }
--- a/src/sched/tests/rooms.rs
+++ b/src/sched/tests/rooms.rs
@@ -1,7 +1,7 @@
 //! Workers whose room shrinks and grows while they run.
 
 use super::world::{World, job, step};
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::message::{Answer, How, JobRequest};
 use crate::sched::spec::{Resources, StepSpec};
 
@@ -31,7 +31,7 @@
     world.submit("b", job(vec![step(4, 500)]));
     world.run(2_000);
     assert_eq!(world.running().len(), 8, "what runs goes on");
-    assert_eq!(world.shown("b"), Some(Shown::Queued));
+    assert_eq!(world.shown("b"), Some(JobState::Queued));
     world.resize("w0", resources(6_000));
     world.run(500);
     assert_eq!(world.running().len(), 12);
--- a/src/sched/tests/suspension.rs
+++ b/src/sched/tests/suspension.rs
@@ -1,7 +1,7 @@
 //! A box whose machine is suspended: its timers stand, and time goes on.
 
 use super::world::{BOUNDS, World, job, lasting, step};
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::message::{Action, Event, How};
 use crate::sched::owner::Now;
 
@@ -34,7 +34,7 @@
     world.run(5_900);
     assert!(world.running().is_empty(), "all leases have ended");
     world.run(13_000);
-    assert_eq!(world.shown("a"), Some(Shown::Completed));
+    assert_eq!(world.shown("a"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), 18);
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
@@ -48,7 +48,7 @@
     world.run(20_000);
     world.workers.get_mut("w0").expect("worker").cut = false;
     world.run(20_000);
-    assert_eq!(world.shown("a"), Some(Shown::Completed));
+    assert_eq!(world.shown("a"), Some(JobState::Completed));
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
--- a/src/sched/tests/swaps.rs
+++ b/src/sched/tests/swaps.rs
@@ -9,7 +9,7 @@
 fn serving(image: &str) -> JobSpec {
     job(vec![StepSpec {
         image: image.into(),
-        target: 100,
+        latency_target: 100,
         ..lasting(1, 1_900)
     }])
 }
--- a/src/sched/tests/takeover.rs
+++ b/src/sched/tests/takeover.rs
@@ -1,7 +1,7 @@
 //! What a new owner may conclude about what runs.
 
 use super::world::{World, job, step};
-use crate::sched::job::Shown;
+use crate::sched::job::JobState;
 use crate::sched::message::{Answer, How, JobRequest};
 use crate::sched::spec::StepSpec;
 
@@ -16,7 +16,7 @@
     world.run(500);
     world.take_over(INHERITED);
     world.run(3_500);
-    assert_eq!(world.shown("j1"), Some(Shown::Completed));
+    assert_eq!(world.shown("j1"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), 4);
 }
 
@@ -35,7 +35,7 @@
     // What ran goes on under the next owner, and the rest is started by it.
     world.take_over(INHERITED);
     world.run(20_000);
-    assert_eq!(world.shown("before"), Some(Shown::Completed));
+    assert_eq!(world.shown("before"), Some(JobState::Completed));
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
@@ -100,7 +100,7 @@
     }
     world.take_over(INHERITED);
     world.run(2_500);
-    assert_eq!(world.shown("j1"), Some(Shown::Completed));
+    assert_eq!(world.shown("j1"), Some(JobState::Completed));
 }
 
 #[test]
--- a/src/sched/tests/throttling.rs
+++ b/src/sched/tests/throttling.rs
@@ -2,7 +2,7 @@
 
 use super::random::seeds;
 use super::world::{Sharing, World, job, lasting, step};
-use crate::sched::job::parse_task;
+use crate::sched::job::parse_task_name;
 use crate::sched::message::{How, Running};
 use crate::sched::spec::StepSpec;
 use crate::utils::clock::Millis;
@@ -40,13 +40,13 @@
 
 /// Returns how long a filler runs: they end one after the other.
 fn filler_time(task: &str) -> Millis {
-    let index = parse_task(task).map_or(0, |(_, _, _, index)| index);
+    let index = parse_task_name(task).map_or(0, |(_, _, _, index)| index);
     600 + u64::from(index * 37 % 7) * 150
 }
 
 fn serving(count: u32) -> StepSpec {
     StepSpec {
-        target: 100,
+        latency_target: 100,
         image: "serving".into(),
         label: LABEL.into(),
         ..lasting(count, 1_000)
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -15,7 +15,7 @@
 pub use self::sharing::Sharing;
 pub use self::workers::FakeWorker;
 use crate::cordons::Halls;
-use crate::sched::job::{JobRow, Queue, Shown};
+use crate::sched::job::{JobRow, JobState, Queue};
 use crate::sched::journal::{JOB_TABLE, Journal, OWNER_KEY, OWNER_TABLE, OwnerRow, SPEC_TABLE};
 use crate::sched::mechanisms::Mechanisms;
 use crate::sched::message::{Action, Answer, Entry, Event, Hold, How, JobRequest, Start};
@@ -133,7 +133,7 @@
 /// Returns a lasting task that serves users under a target of 100 ms.
 pub fn serving() -> StepSpec {
     StepSpec {
-        target: 100,
+        latency_target: 100,
         image: "serving".into(),
         ..lasting(1, 1_000)
     }
@@ -141,7 +141,7 @@
 
 pub fn job(steps: Vec<StepSpec>) -> JobSpec {
     JobSpec {
-        text: "text".into(),
+        payload: "text".into(),
         steps,
         schedule: None,
     }
@@ -292,7 +292,7 @@
         })
     }
 
-    pub fn shown(&mut self, id: &str) -> Option<Shown> {
+    pub fn shown(&mut self, id: &str) -> Option<JobState> {
         let ticket = self.ask(JobRequest::Show(id.into()));
         match self.answers.get(&ticket) {
             Some(Answer::State(shown)) => Some(*shown),
--- a/src/sched/tests/world/sharing.rs
+++ b/src/sched/tests/world/sharing.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{FakeWorker, World};
-use crate::sched::job::parse_task;
+use crate::sched::job::parse_task_name;
 use crate::sched::journal::SPEC_TABLE;
 use crate::sched::message::{Event, Refusal, Reply, Throttle, Word};
 use crate::sched::spec::{JobSpec, StepSpec};
@@ -106,8 +106,8 @@
 impl FakeWorker {
     /// Returns true when a report would show a serving task over its target.
     pub(super) fn shows_over(&self) -> bool {
-        let serving = self.shared.values().filter(|s| s.step.target > 0);
-        let mut over = serving.filter(|s| s.gauge() > s.step.target);
+        let serving = self.shared.values().filter(|s| s.step.latency_target > 0);
+        let mut over = serving.filter(|s| s.gauge() > s.step.latency_target);
         over.next().is_some()
     }
 
@@ -125,13 +125,13 @@
         let tail = |busy: f64, target: f64| IDLE * target / (1.0 - busy.min(BUSIEST));
         let mut longest = 0;
         for shared in self.shared.values_mut() {
-            let target = shared.step.target as f64;
+            let target = shared.step.latency_target as f64;
             let value = match shared.step.best_effort {
                 true => used(shared),
                 false => tail(sharing.own + pressed, target),
             };
             shared.measured.push_back((now, value));
-            let harmed = shared.step.target > 0
+            let harmed = shared.step.latency_target > 0
                 && pressed > 0.0
                 && value > target
                 && tail(sharing.own, target) <= target;
@@ -161,7 +161,7 @@
     }
 
     fn step_of(&self, task: &str) -> Option<StepSpec> {
-        let (id, _, step, _) = parse_task(task)?;
+        let (id, _, step, _) = parse_task_name(task)?;
         let row = self.rows.get(&(SPEC_TABLE, id.into()))?;
         let spec: JobSpec = serde_json::from_slice(row).expect("spec");
         spec.steps.get(step as usize).cloned()
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -4,7 +4,7 @@
 
 use super::sharing::Runs;
 use super::{BOUNDS, World, queue};
-use crate::sched::job::parse_task;
+use crate::sched::job::parse_task_name;
 use crate::sched::journal::SPEC_TABLE;
 use crate::sched::message::{
     Ended, Entry, Event, Hold, How, Refusal, Reply, Report, Running, Start, Stop, Word,
@@ -312,7 +312,7 @@
 
     /// Returns the room that a task takes, by what the store holds of its job.
     fn resources_of(&self, task: &str) -> Option<Resources> {
-        let (id, _, step, _) = parse_task(task)?;
+        let (id, _, step, _) = parse_task_name(task)?;
         let row = self.rows.get(&(SPEC_TABLE, id.into()))?;
         let spec: JobSpec = serde_json::from_slice(row).expect("spec");
         Some(spec.steps[step as usize].reserved())
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -7,7 +7,7 @@
 use super::incarnation::{BootTime, Incarnation};
 use super::job::TaskKey;
 use super::placement::{Gauge, Placement};
-use super::preempt::Promise;
+use super::preempt::Reservation;
 use super::recently_ended::Recent;
 use super::spec::Resources;
 use super::throttling::FULL_SPEED;
@@ -137,7 +137,7 @@
     /// True when it runs something that is not known here.
     pub unknown_runs: bool,
     /// Room that is being made there for a task.
-    pub promise: Option<Promise>,
+    pub promise: Option<Reservation>,
     /// Job of the suspects there, which may crash it: no others are started
     /// meanwhile, as they would go with it and hide whose fault it was.
     pub isolated_job: Option<u32>,
