--- a/src/sched/breaches.rs
+++ b/src/sched/breaches.rs
@@ -3,7 +3,7 @@
 use super::job::TaskKey;
 use super::owner::Owner;
 use super::placement::{Gauge, Placement, Stage};
-use super::recently_ended::SPAN;
+use super::recently_ended::GAUGE_WINDOW;
 use super::reports::ReportedRun;
 use super::worker::Worker;
 use crate::metrics;
@@ -50,7 +50,7 @@
                 ..before.unwrap_or(new)
             }),
             (Some(breach), false)
-                if now < breach.last + SPAN && breach.duration(breach.last) < halt =>
+                if now < breach.last + GAUGE_WINDOW && breach.duration(breach.last) < halt =>
             {
                 Some(Self {
                     current: false,
--- a/src/sched/choice.rs
+++ b/src/sched/choice.rs
@@ -198,8 +198,8 @@
 /// Serving tasks are packed, each image by itself: so fillers find workers
 /// without any, and workers with none that they would slow.
 fn packing(worker: &Worker, image: ImageNumber, load: u64) -> u64 {
-    let mixed = worker.beside.serving.iter().any(|s| s.image != image);
-    let opened = worker.beside.serving.is_empty();
+    let mixed = worker.colocation.serving.iter().any(|s| s.image != image);
+    let opened = worker.colocation.serving.is_empty();
     let mut score = WHOLE.saturating_sub(load);
     if mixed {
         score += MIXED;
--- a/src/sched/colocation.rs
+++ b/src/sched/colocation.rs
@@ -1,62 +1,63 @@
-//! What the serving tasks and fillers of a worker are to each other.
+//! The serving and best-effort tasks of one worker, reduced to what they mean for each other.
 
 use super::interference::ImageNumber;
 use super::job::TaskKey;
 use super::placement::Placement;
 
-/// What a worker's serving tasks and fillers are to each other, apart from the rest of
-/// their placements: scores of all workers look at this alone.
+/// The serving and best-effort tasks that share a worker.
+///
+/// Kept apart from the rest of their placements because scoring examines it for every worker.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Beside {
-    /// Serving tasks.
-    pub serving: Vec<Serving>,
-    /// Fillers.
-    pub fillers: Vec<Filling>,
-    /// Processor share that serving tasks hold and hardly use.
-    pub idle: u64,
+pub(super) struct Colocation {
+    /// Tasks with a latency target.
+    pub serving: Vec<ServingTask>,
+    /// Tasks whose processors are not reserved.
+    pub best_effort: Vec<BestEffortTask>,
+    /// Millicores that serving tasks have reserved and hardly use.
+    pub idle_cpu: u64,
 }
 
-/// A serving task, as it counts for fillers beside it.
+/// The properties of a serving task that matter to best-effort tasks beside it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Serving {
+pub(super) struct ServingTask {
     key: TaskKey,
     /// Number of its image.
     pub image: ImageNumber,
-    /// Its own load as estimated; none before it was measured.
+    /// Estimated busy share of its server without interference; none before the first gauge.
     pub own_load: Option<f64>,
 }
 
-/// A filler, as it counts for serving tasks beside it.
+/// The properties of a best-effort task that matter to serving tasks beside it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Filling {
+pub(super) struct BestEffortTask {
     key: TaskKey,
     /// Number of its image.
     pub image: ImageNumber,
-    /// Processor share at full pace.
+    /// Millicores used at full speed.
     pub cpu: u64,
     /// True when it runs until its job is cancelled.
     pub lasting: bool,
 }
 
-impl Beside {
-    /// Returns true when fillers run beside serving tasks.
-    pub fn mixed(&self) -> bool {
-        !self.serving.is_empty() && !self.fillers.is_empty()
+impl Colocation {
+    /// Returns true when best-effort tasks run beside serving tasks.
+    pub fn is_mixed(&self) -> bool {
+        !self.serving.is_empty() && !self.best_effort.is_empty()
     }
 
-    /// Takes in a task that was placed there.
-    pub fn put(&mut self, key: TaskKey, placement: &Placement) {
+    /// Adds a task that was placed on the worker.
+    pub fn place(&mut self, key: TaskKey, placement: &Placement) {
         let image = placement.image_number;
         if placement.serving {
-            self.idle += idle_part(placement);
-            self.serving.push(Serving {
+            self.idle_cpu += unused_cpu(placement);
+            self.serving.push(ServingTask {
                 key,
                 image,
                 own_load: placement.gauge.as_ref().map(|g| g.own_load),
             });
         }
         if placement.best_effort {
-            self.fillers.push(Filling {
+            self.best_effort.push(BestEffortTask {
                 key,
                 image,
                 cpu: placement.cpu,
@@ -65,24 +66,24 @@
         }
     }
 
-    /// Takes in the own load of a serving task.
-    pub fn measure(&mut self, key: TaskKey, own_load: f64) {
+    /// Updates the estimated own load of a serving task.
+    pub fn set_own_load(&mut self, key: TaskKey, own_load: f64) {
         if let Some(serving) = self.serving.iter_mut().find(|s| s.key == key) {
             serving.own_load = Some(own_load);
         }
     }
 
-    /// Takes in that a task is there no more.
-    pub fn take(&mut self, key: TaskKey, placement: &Placement) {
+    /// Removes a task that is no longer placed on the worker.
+    pub fn release(&mut self, key: TaskKey, placement: &Placement) {
         if placement.serving {
-            self.idle -= idle_part(placement);
+            self.idle_cpu -= unused_cpu(placement);
         }
         self.serving.retain(|s| s.key != key);
-        self.fillers.retain(|f| f.key != key);
+        self.best_effort.retain(|f| f.key != key);
     }
 }
 
-/// Returns the processor share that a serving task leaves to others: about half.
-fn idle_part(placement: &Placement) -> u64 {
+/// Returns the millicores that a serving task leaves unused: about half of those reserved.
+fn unused_cpu(placement: &Placement) -> u64 {
     placement.resources.cpu / 2
 }
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -35,11 +35,11 @@
         let Some(worker) = self
             .workers
             .get_mut(name)
-            .filter(|w| !w.beside.serving.is_empty())
+            .filter(|w| !w.colocation.serving.is_empty())
         else {
             return mix;
         };
-        worker.recent.add_to(&mut mix, self.now.steady);
+        worker.recently_ended.add_shares(&mut mix, self.now.steady);
         let capacity = worker.listing.capacity.cpu.max(1) as f64;
         for ReportedRun { key, run } in running {
             let placement = key.and_then(|k| worker.placements.get_mut(&k));
--- a/src/sched/interference.rs
+++ b/src/sched/interference.rs
@@ -9,7 +9,7 @@
 
 use std::collections::HashMap;
 
-use super::colocation::Filling;
+use super::colocation::BestEffortTask;
 use super::loads::UNMEASURED;
 use super::spec::StepSpec;
 use super::worker::{ImageShares, Worker};
@@ -139,15 +139,15 @@
     /// with one more task of a step there; `number` is that of its image.
     pub fn excess_with(&self, worker: &Worker, step: &StepSpec, number: ImageNumber) -> f64 {
         let capacity = worker.listing.capacity.cpu;
-        let beside = &worker.beside;
+        let colocation = &worker.colocation;
         let parts = |victim: ImageNumber| -> f64 {
-            let load_part = |f: &Filling| self.load_part(victim, f.image, f.cpu, capacity);
-            beside.fillers.iter().map(load_part).sum()
+            let load_part = |f: &BestEffortTask| self.load_part(victim, f.image, f.cpu, capacity);
+            colocation.best_effort.iter().map(load_part).sum()
         };
         if !step.best_effort {
             return (PEAK + parts(number) - BORNE).max(0.0);
         }
-        let over = beside.serving.iter().map(|victim| {
+        let over = colocation.serving.iter().map(|victim| {
             let own = victim.own_load.unwrap_or(UNMEASURED);
             let peak = (own + RISE).min(PEAK.max(own));
             let added = self.load_part(victim.image, number, step.resources.cpu, capacity);
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -66,7 +66,7 @@
                 Some(_) => ISOLATED_WAIT,
                 None => WAIT,
             };
-            let mixed = worker.beside.mixed();
+            let mixed = worker.colocation.is_mixed();
             // A breach of a latency target is to end soon, however many workers there are.
             let watch = if worker.over_target() { WATCH } else { watch };
             worker.poll = PollState::InFlight(now);
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -39,7 +39,7 @@
 }
 
 fn images(worker: &Worker) -> Vec<ImageNumber> {
-    worker.beside.serving.iter().map(|s| s.image).collect()
+    worker.colocation.serving.iter().map(|s| s.image).collect()
 }
 
 /// Returns the sum of the distances of an image to others.
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use super::colocation::Beside;
+use super::colocation::Colocation;
 use super::incarnation::{BootTime, Incarnation};
 use super::job::TaskKey;
 use super::placement::{Gauge, Placement};
 use super::preempt::Reservation;
-use super::recently_ended::Recent;
+use super::recently_ended::RecentlyEnded;
 use super::spec::Resources;
 use super::throttling::FULL_SPEED;
 use crate::utils::Name;
@@ -110,8 +110,8 @@
     pub allocated: Resources,
     /// Processor share that fillers there would like.
     pub wanted_cpu: u64,
-    /// Its serving tasks and fillers, as they count for each other.
-    pub beside: Beside,
+    /// Its serving and best-effort tasks, reduced to what they mean for each other.
+    pub colocation: Colocation,
     /// Lasting tasks there.
     pub lasting_tasks: u32,
     /// Since when a serving task there is over its target; none while none is.
@@ -141,8 +141,8 @@
     /// Job of the suspects there, which may crash it: no others are started
     /// meanwhile, as they would go with it and hide whose fault it was.
     pub isolated_job: Option<u32>,
-    /// Fillers that have just ended there.
-    pub recent: Recent,
+    /// Best-effort tasks that ended within the last gauge window.
+    pub recently_ended: RecentlyEnded,
     /// Its clock as reported last.
     clock_reading: Option<ClockReading>,
     /// When every lease given to it here has certainly ended.
@@ -163,7 +163,7 @@
             placements: BTreeMap::new(),
             allocated: Resources::default(),
             wanted_cpu: 0,
-            beside: Beside::default(),
+            colocation: Colocation::default(),
             lasting_tasks: 0,
             over_target_since: None,
             poll: PollState::Due(now),
@@ -178,7 +178,7 @@
             unknown_runs: false,
             promise: None,
             isolated_job: None,
-            recent: Recent::default(),
+            recently_ended: RecentlyEnded::default(),
             clock_reading: None,
             leases_end: 0,
         }
@@ -225,7 +225,7 @@
         self.allocated = self.allocated.plus(placement.resources);
         self.wanted_cpu += placement.soft;
         self.lasting_tasks += u32::from(placement.lasting);
-        self.beside.put(key, &placement);
+        self.colocation.place(key, &placement);
         if placement.suspect {
             self.isolated_job = Some(key.job);
         }
@@ -237,12 +237,12 @@
         let Some(placement) = self.placements.remove(&key) else {
             return;
         };
-        self.beside.take(key, &placement);
+        self.colocation.release(key, &placement);
         self.settle_isolation();
         if placement.best_effort && placement.has_run() {
             let share = self.share(&placement);
-            self.recent
-                .end(&placement.image, share, placement.since, now);
+            self.recently_ended
+                .record(&placement.image, share, placement.since, now);
         }
         self.allocated = self.allocated.minus(placement.resources);
         self.wanted_cpu -= placement.soft;
@@ -292,7 +292,7 @@
 
     /// Takes in how busy a serving task was.
     pub fn measure(&mut self, key: TaskKey, gauge: Gauge) {
-        self.beside.measure(key, gauge.own_load);
+        self.colocation.set_own_load(key, gauge.own_load);
         if let Some(placement) = self.placements.get_mut(&key) {
             placement.gauge = Some(gauge);
         }
@@ -309,7 +309,7 @@
 
     /// Returns the processor share that work other than fillers takes.
     pub fn taken(&self) -> u64 {
-        self.allocated.cpu - self.beside.idle
+        self.allocated.cpu - self.colocation.idle_cpu
     }
 
     /// Returns true when a task of this room fits beside what is there.
@@ -326,8 +326,13 @@
     /// Returns how many runs there never give way: fillers, and those that last unless
     /// some of these can be spared.
     pub fn staying(&self, spare: bool) -> usize {
-        let fillers = self.beside.fillers.len();
-        let both = self.beside.fillers.iter().filter(|f| f.lasting).count();
+        let fillers = self.colocation.best_effort.len();
+        let both = self
+            .colocation
+            .best_effort
+            .iter()
+            .filter(|f| f.lasting)
+            .count();
         match spare {
             true => fillers,
             false => fillers + self.lasting_tasks as usize - both,
