--- a/src/daemon/commits.rs
+++ b/src/daemon/commits.rs
@@ -1,4 +1,4 @@
-//! Commits to the store, and what became of those without an answer.
+//! Commits to the store, and finding out the outcome of a commit whose answer is late.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 use crate::sched::message::{Write, Written};
 use crate::utils::clock::{self, Millis};
 
-/// Longest wait for a commit's answer, in milliseconds: twice that of a store
-/// 60 times slower than usual.
+/// Timeout of a commit in milliseconds: twice the time that a store 60 times slower than usual
+/// takes.
 const COMMIT_TIMEOUT: Millis = 1_500;
-/// Milliseconds of a read that tell of a store that is not slow; it usually
-/// takes 5.
+/// A read that takes less than this many milliseconds shows that the store is not slow; a read
+/// usually takes 5.
 const FAST_READ: Millis = 60;
-/// Pause before a slow store is asked again.
+/// Milliseconds between two reads of a slow store.
 const READ_PAUSE: Millis = 100;
 
-/// Writes rows on the condition that the owner's row has a version.
+/// Commits the writes if the owner's row has the given version.
 pub async fn commit_if_version(
     shared: &Shared,
     version: u64,
@@ -36,12 +36,11 @@
         .await
 }
 
-/// Writes the commit `number` of the owner in this process.
+/// Makes commit `number` of the owner in this process.
 ///
-/// Without an answer after `answer_wait` milliseconds, the owner's row is read: it
-/// may tell that the commit took effect, or, read quickly, that the answer was
-/// lost. While reads are slow too, the store is slow, and another commit would
-/// only wait behind this one.
+/// If no answer comes within `answer_wait` milliseconds, reads the owner's row. The row may show
+/// that the commit took effect; if not, a fast read shows that the answer was lost. If reads are
+/// slow as well, the store is slow, and a retry would only queue behind the first commit.
 pub async fn commit_as_owner(
     shared: &Shared,
     number: u64,
@@ -54,19 +53,19 @@
     if let Either::Left((written, _)) = select(commit.as_mut(), pause).await {
         return written;
     }
-    // A connection that fell silent tells nothing of the store.
+    // The silence may come from a dead connection rather than from the store.
     shared.store.reconnect();
     loop {
         let asked = clock::now();
-        let seen = match select(commit.as_mut(), pin!(read_owner(shared))).await {
+        let stored = match select(commit.as_mut(), pin!(read_owner(shared))).await {
             Either::Left((written, _)) => return written,
-            Either::Right((seen, _)) => seen,
+            Either::Right((stored, _)) => stored,
         };
         let took = clock::now() - asked;
-        match seen {
-            Ok(Some(seen)) if shared.is_own_row(&seen.row) && seen.row.seq >= number => {
-                log::info!(target: "store", "event=commit-found number={number} version={}", seen.version);
-                return Written::Done(seen.version);
+        match stored {
+            Ok(Some(stored)) if shared.is_own_row(&stored.row) && stored.row.seq >= number => {
+                log::info!(target: "store", "event=commit-found number={number} version={}", stored.version);
+                return Written::Done(stored.version);
             }
             Ok(_) if took < FAST_READ => {
                 log::info!(target: "store", "event=commit-in-doubt number={number} cause=\"no answer\"");
--- a/src/daemon/follower.rs
+++ b/src/daemon/follower.rs
@@ -1,4 +1,5 @@
-//! Follows the owner, and takes its place when it is gone.
+//! Pings the owner from a box that is not the owner, and takes over when the owner fails or
+//! has released the cell.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,110 +20,113 @@
 use crate::utils::clock::{self, Millis};
 use crate::utils::hash::stable;
 
-/// Milliseconds between two pings of a box that has fewer cores than owners should:
-/// others take the owner's place before it, and each ping is work for the owner.
+/// Milliseconds between two pings from a box with fewer cores than the owner's row asks for.
+/// Stronger boxes take over before it does, and each ping costs the owner work.
 const WEAKER_PING_INTERVAL: Millis = 600;
-/// Longest extra wait of a box, in milliseconds, so that not all try at once.
+/// Longest extra delay in milliseconds before a takeover; it differs by box, so that not all
+/// boxes try at once.
 const STAGGER: u64 = 120;
-/// Runs until the process ends.
-pub async fn run(shared: Rc<Shared>, mut nudged: UnboundedReceiver<()>) {
+
+/// Checks the owner again and again while this box is not the owner, until the process ends;
+/// a message on `checks` asks for a check at once.
+pub async fn run(shared: Rc<Shared>, mut checks: UnboundedReceiver<()>) {
     loop {
-        // A box that stops follows the owner for its open connections.
+        // A stopping box still needs the owner, for requests on its open connections.
         if shared.local_epoch().is_none() {
             check_owner(&shared).await;
         }
         let pause = Duration::from_millis(check_interval(&shared));
         match shared.owner().is_some_and(|s| s.progress.pages.is_some()) {
-            // Callers that wait nudge each 40 ms, and each ping slows a load.
+            // While the owner loads, waiting requests ask for a check every 40 ms, and each ping
+            // slows the load.
             true => sleep(pause).await,
-            // Time passing is as good a reason to look as a nudge.
-            false => drop(timeout(pause, nudged.next()).await),
+            // A timeout is handled like a message: both lead to a check.
+            false => drop(timeout(pause, checks.next()).await),
         }
-        while nudged.try_recv().is_ok() {}
+        while checks.try_recv().is_ok() {}
     }
 }
 
-/// Returns the milliseconds until the next look.
+/// Returns the milliseconds until the next check of the owner.
 fn check_interval(shared: &Shared) -> Millis {
     let weaker =
-        |seen: KnownOwner| failover::weaker_box_delay(shared.settings.cores, &seen.row) > 0;
+        |known: KnownOwner| failover::weaker_box_delay(shared.settings.cores, &known.row) > 0;
     match shared.owner().is_some_and(weaker) {
         true => WEAKER_PING_INTERVAL,
         false => PING_INTERVAL,
     }
 }
 
-/// Looks once whether the owner is there; takes its place when it is not.
+/// Checks the owner once: finds it if none is known, else pings it, and takes over if needed.
 async fn check_owner(shared: &Rc<Shared>) {
-    let Some(seen) = shared.owner() else {
+    let Some(known) = shared.owner() else {
         if peers_know_later_owner(shared).await {
             return;
         }
         match read_owner(shared).await {
             Ok(None) if shared.is_stopping() => {}
             Ok(None) => acquire_cell(shared, None).await,
-            Ok(seen) => adopt_owner(shared, seen),
+            Ok(known) => adopt_owner(shared, known),
             Err(e) => pause_after_failure(&e).await,
         }
         return;
     };
-    if is_vacant(shared, &seen.row) {
-        return replace_owner(shared, &seen).await;
+    if is_vacant(shared, &known.row) {
+        return replace_owner(shared, &known).await;
     }
-    let pong = match pings::ping(shared, &seen.row).await {
+    let pong = match pings::ping(shared, &known.row).await {
         Ok(reply) => {
             apply_reply_config(shared, &reply);
             if reply.later_row > 0 {
-                // The one that it follows knows better; it is asked from the next look on.
+                // The pinged box knows a later owner; the next check pings that one.
                 return pings::follow_later_owner(shared, reply.later, reply.later_row);
             }
             Some(pings::to_pong(&reply))
         }
         Err(e) => {
-            log::info!(target: "member", "event=owner-silent owner={} cause=\"{e}\"", seen.row.name);
+            log::info!(target: "member", "event=owner-silent owner={} cause=\"{e}\"", known.row.name);
             None
         }
     };
-    let (cores, epoch, now) = (shared.settings.cores, seen.row.epoch, clock::now());
-    match failover::assess_owner(cores, epoch, seen.progress, pong, now) {
+    let (cores, epoch, now) = (shared.settings.cores, known.row.epoch, clock::now());
+    match failover::assess_owner(cores, epoch, known.progress, pong, now) {
         Assessment::Follow(progress) => shared.set_progress(epoch, progress),
         Assessment::CheckRow(progress) => {
             shared.set_progress(epoch, progress);
             take_if_vacant(shared).await;
         }
         Assessment::Replace(cause) => {
-            let quiet = now.saturating_sub(seen.progress.at);
-            log::info!(target: "member", "event=owner-suspected owner={} epoch={epoch} cause={cause:?} pong={pong:?} quiet_ms={quiet}", seen.row.name);
-            replace_owner(shared, &seen).await;
+            let quiet = now.saturating_sub(known.progress.at);
+            log::info!(target: "member", "event=owner-suspected owner={} epoch={epoch} cause={cause:?} pong={pong:?} quiet_ms={quiet}", known.row.name);
+            replace_owner(shared, &known).await;
         }
     }
 }
 
-/// Returns true when nobody holds the cell by an owner's row: it was given up, or
-/// written by this box, which does not serve.
+/// Returns true when no box holds the cell by this owner's row: the owner has released the
+/// cell, or the row is from this box, which is not serving.
 fn is_vacant(shared: &Shared, row: &OwnerRow) -> bool {
     row.released || row.name == shared.settings.name
 }
 
-/// Reads the row of an owner that does not serve, and takes its place if it has given
-/// the cell up.
+/// Reads the owner's row again, and takes over if the row is vacant.
 async fn take_if_vacant(shared: &Rc<Shared>) {
     if peers_know_later_owner(shared).await || !refresh_owner(shared).await {
         return;
     }
-    if let Some(seen) = shared.owner().filter(|s| is_vacant(shared, &s.row)) {
-        take_cell(shared, seen).await;
+    if let Some(known) = shared.owner().filter(|s| is_vacant(shared, &s.row)) {
+        take_cell(shared, known).await;
     }
 }
 
-/// Asks other boxes for the next owner where the store does not serve this box; true when
-/// one is known now.
+/// Asks other boxes for a later owner if the store does not serve this box; returns true when
+/// one was found.
 async fn peers_know_later_owner(shared: &Shared) -> bool {
-    let epoch = shared.owner().map_or(0, |seen| seen.row.epoch);
+    let epoch = shared.owner().map_or(0, |known| known.row.epoch);
     !shared.store_serves() && pings::query_peers(shared, epoch).await
 }
 
-/// Takes in the configuration that the owner hands on.
+/// Applies the configuration that a ping's reply carries, if any.
 fn apply_reply_config(shared: &Shared, reply: &PingReply) {
     if !reply.config.is_empty() {
         let row = Row {
@@ -134,11 +138,11 @@
     }
 }
 
-/// Reads the owner's row again; false when the store did not answer.
+/// Reads the owner's row from the store; returns false when that failed.
 async fn refresh_owner(shared: &Shared) -> bool {
     match read_owner(shared).await {
-        Ok(seen) => {
-            adopt_owner(shared, seen);
+        Ok(known) => {
+            adopt_owner(shared, known);
             true
         }
         Err(e) => {
@@ -148,35 +152,36 @@
     }
 }
 
-/// Takes the place of an owner, unless another box has done so.
+/// Takes over from the owner `before`, unless another box has done so.
 async fn replace_owner(shared: &Rc<Shared>, before: &KnownOwner) {
     if peers_know_later_owner(shared).await || !refresh_owner(shared).await {
         return;
     }
     let same = |s: &KnownOwner| s.row.epoch == before.row.epoch;
-    if let Some(seen) = shared
+    if let Some(known) = shared
         .owner()
         .filter(|s| is_vacant(shared, &s.row) || same(s))
     {
-        take_cell(shared, seen).await;
+        take_cell(shared, known).await;
     }
 }
 
-/// Takes the place of an owner that has given the cell up, or whose row as just read
-/// stands still.
-async fn take_cell(shared: &Rc<Shared>, seen: KnownOwner) {
+/// Acquires the cell after this box's takeover delay, unless a later owner is known by then. The
+/// commit fails if the owner has written its row since it was read, so only a vacant row or one
+/// that stands still is replaced.
+async fn take_cell(shared: &Rc<Shared>, known: KnownOwner) {
     if shared.is_stopping() {
         return;
     }
     let stagger = stable(&[&shared.settings.name]) % STAGGER;
-    let vacant = is_vacant(shared, &seen.row);
-    let pause = failover::takeover_delay(shared.settings.cores, &seen.row, vacant, stagger);
+    let vacant = is_vacant(shared, &known.row);
+    let pause = failover::takeover_delay(shared.settings.cores, &known.row, vacant, stagger);
     if pause > 0 {
         sleep(Duration::from_millis(pause)).await;
     }
     let current = shared.owner();
-    let same = current.is_some_and(|c| c.row.epoch == seen.row.epoch);
+    let same = current.is_some_and(|c| c.row.epoch == known.row.epoch);
     if same && shared.local_epoch().is_none() && !shared.is_stopping() {
-        acquire_cell(shared, Some(seen)).await;
+        acquire_cell(shared, Some(known)).await;
     }
 }
--- a/src/daemon/message.rs
+++ b/src/daemon/message.rs
@@ -1,4 +1,4 @@
-//! What the task that holds the owner is told.
+//! Messages to the task that runs the owner in this process.
 
 use futures::channel::oneshot;
 
@@ -6,22 +6,23 @@
 use crate::sched::owner::{Bounds, Owner};
 use crate::utils::clock::Millis;
 
-/// What the task is told.
+/// A message to the owner's task.
 pub enum Message {
-    /// A caller asks.
+    /// A caller's request, and where its answer is sent.
     Request(JobRequest, oneshot::Sender<Answer>),
-    /// This box has become the owner of an epoch, in so many milliseconds.
+    /// This box has become the owner: its state, its epoch, and the milliseconds that acquiring
+    /// the cell and loading took.
     Begin(Box<Owner>, u64, Millis),
-    /// Something happened to the owner of an epoch.
+    /// An event for the owner of an epoch; ignored by the owner of another epoch.
     Event(u64, Event),
-    /// The owner before extends no lease any more.
+    /// The predecessor of the owner of this epoch has ended: it extends no lease any more.
     PredecessorEnded(u64),
-    /// A later owner exists.
+    /// An owner of this later epoch exists.
     Superseded(u64),
-    /// The settings have changed.
+    /// New bounds from reloaded settings.
     Bounds(Bounds),
-    /// A box with more cores, in thousandths, could be the owner.
+    /// A box with more cores (this many thousandths) could be the owner.
     StrongerBox(u32),
-    /// Give the cell up.
+    /// Release the cell.
     Resign,
 }
--- a/src/daemon/owner_row.rs
+++ b/src/daemon/owner_row.rs
@@ -1,4 +1,4 @@
-//! The owner's row in the store, as the tasks of a box read it.
+//! Reads the owner's row from the store.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 use crate::table::decode;
 use crate::utils::clock::{self, Millis};
 
-/// Milliseconds for the answer to a read, several times that of a slow store.
+/// Timeout of a read in milliseconds: several times what a slow store takes.
 pub const READ_TIMEOUT: Millis = 1_500;
-/// Milliseconds of the pause after a call to the store that failed.
+/// Pause in milliseconds after a failed call to the store.
 pub const STORE_PAUSE: Millis = 250;
 
-/// Lets some time pass after a failed call to the store.
+/// Logs a failed read of the owner's row, and pauses.
 pub async fn pause_after_failure(e: &StoreError) {
     log::debug!(target: "member", "event=owner-unread cause=\"{e}\"");
     sleep(Duration::from_millis(STORE_PAUSE)).await;
 }
 
-/// Reads the owner's row.
+/// Returns the owner's row; `None` if there is none or if it does not decode.
 pub async fn read_owner(shared: &Shared) -> Result<Option<KnownOwner>, StoreError> {
     let page = shared
         .store
@@ -41,17 +41,18 @@
     }))
 }
 
-/// Follows the owner that the store names.
-pub fn adopt_owner(shared: &Shared, mut seen: Option<KnownOwner>) {
-    if let Some(seen) = &mut seen {
+/// Sets the owner read from the store as the known one; if its epoch was known already, keeps
+/// what is known of its progress.
+pub fn adopt_owner(shared: &Shared, mut known: Option<KnownOwner>) {
+    if let Some(known) = &mut known {
         let before = shared.owner();
-        match before.filter(|b| b.row.epoch == seen.row.epoch) {
-            Some(before) => seen.progress = before.progress,
+        match before.filter(|b| b.row.epoch == known.row.epoch) {
+            Some(before) => known.progress = before.progress,
             None => {
-                let row = &seen.row;
-                log::info!(target: "member", "event=owner owner={} epoch={} version={} unserved_ms={}", row.name, row.epoch, seen.version, shared.unserved_ms());
+                let row = &known.row;
+                log::info!(target: "member", "event=owner owner={} epoch={} version={} unserved_ms={}", row.name, row.epoch, known.version, shared.unserved_ms());
             }
         }
     }
-    shared.set_owner(seen);
+    shared.set_owner(known);
 }
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -43,7 +43,7 @@
     pub interference: Vec<Known>,
 }
 
-/// Writes this box into the owner's row, if it is as it was seen.
+/// Writes this box into the owner's row, if it is as it was known.
 pub async fn acquire_cell(shared: &Rc<Shared>, before: Option<KnownOwner>) {
     let settings = &shared.settings;
     let row = OwnerRow {
@@ -64,11 +64,11 @@
         written => {
             log::info!(target: "member", "event=not-acquired epoch={} outcome={}", row.epoch, outcome_label(&written));
             match read_owner(shared).await {
-                Ok(Some(seen)) if seen.row.same_owner(&row) => {
-                    let (row, version) = (seen.row, seen.version);
+                Ok(Some(known)) if known.row.same_owner(&row) => {
+                    let (row, version) = (known.row, known.version);
                     take_over(shared, row, version, sent, before).await;
                 }
-                Ok(seen) => adopt_owner(shared, seen),
+                Ok(known) => adopt_owner(shared, known),
                 Err(e) => pause_after_failure(&e).await,
             }
         }
@@ -165,13 +165,13 @@
     while clock::now() <= since + LOAD_TIMEOUT {
         let asked = clock::now();
         match read_owner(shared).await {
-            Ok(seen) => {
-                let own = seen.as_ref().is_some_and(|s| s.row.same_owner(row));
+            Ok(known) => {
+                let own = known.as_ref().is_some_and(|s| s.row.same_owner(row));
                 if own && shared.is_loading(row.epoch) {
                     return Some(asked);
                 }
                 log::info!(target: "owner", "event=replaced-loading epoch={}", row.epoch);
-                adopt_owner(shared, seen);
+                adopt_owner(shared, known);
                 return None;
             }
             Err(e) => {
@@ -212,9 +212,9 @@
     let specs = read_table(shared, epoch, SPEC_TABLE).await?;
     let rows = read_table(shared, epoch, JOB_TABLE).await?;
     let beliefs = read_table(shared, epoch, BELIEF_TABLE).await?;
-    let known = beliefs.iter().find(|r| &*r.key == PRESSURE_KEY);
+    let interference = beliefs.iter().find(|r| &*r.key == PRESSURE_KEY);
     Some(StoredState {
-        interference: known.and_then(decode).unwrap_or_default(),
+        interference: interference.and_then(decode).unwrap_or_default(),
         ..decode_jobs(&specs, &rows)
     })
 }
