--- a/src/sched/backlog.rs
+++ b/src/sched/backlog.rs
@@ -21,7 +21,7 @@
         let room: u64 = self.workers.values().map(|w| w.listing.capacity.cpu).sum();
         let waiting = self.waiting_work() / CORE_SECOND;
         let seconds = waiting * 1_000.0 / room.max(1) as f64;
-        self.strain = (seconds / LONG).min(1.0);
+        self.backlog_level = (seconds / LONG).min(1.0);
     }
 
     /// Returns the declared work of fillers that wait and can still earn something, in
--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -101,7 +101,7 @@
             match after {
                 After::Reply(ticket, answer) => self.reply(ticket, answer),
                 After::Start(key, run) => self.start(key, run),
-                After::Seen(worker, end) => self.end_stored(&worker, end),
+                After::Seen(worker, end) => self.acknowledge_completion(&worker, end),
             }
         }
     }
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -19,7 +19,7 @@
 
 impl Owner {
     /// Takes in the end of a run.
-    pub(super) fn end(&mut self, name: &Name, end: &Ended) {
+    pub(super) fn record_completion(&mut self, name: &Name, end: &Ended) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -47,9 +47,9 @@
         let current = self.workers.get(name).and_then(|w| w.placements.get(&key));
         let current = current.is_some_and(|s| s.run == end.run);
         if end.how == How::Done {
-            self.done(key, current);
+            self.complete_task(key, current);
         } else if current {
-            self.broken(name, key, end);
+            self.free_unfinished(name, key, end);
         }
         if let Some(worker) = self.workers.get_mut(name) {
             worker.pending_completions.insert(end.number);
@@ -60,7 +60,7 @@
 
     /// Takes in that a run has done its work; `current` when it is the run that its
     /// task is placed for.
-    fn done(&mut self, key: TaskKey, current: bool) {
+    fn complete_task(&mut self, key: TaskKey, current: bool) {
         let Some(job) = self.jobs.get(&key.job) else {
             return;
         };
@@ -102,7 +102,7 @@
     }
 
     /// Takes in the end of a current run that has not done its work.
-    fn broken(&mut self, name: &Name, key: TaskKey, end: &Ended) {
+    fn free_unfinished(&mut self, name: &Name, key: TaskKey, end: &Ended) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -140,7 +140,7 @@
     }
 
     /// Takes in that the store holds an end, so that the worker may forget it.
-    pub(super) fn end_stored(&mut self, incarnation: &Incarnation, end: u64) {
+    pub(super) fn acknowledge_completion(&mut self, incarnation: &Incarnation, end: u64) {
         let now = self.now.steady;
         let name = &incarnation.id;
         // A later incarnation numbers its ends from 1 again.
--- a/src/sched/crashes.rs
+++ b/src/sched/crashes.rs
@@ -47,7 +47,7 @@
 
 /// How a life of a worker ended without a word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Crash {
+pub(super) enum CrashEvidence {
     /// Another life is there in its place.
     Replaced,
     /// It fell silent until its lease had ended; it may run on somewhere out of reach.
@@ -69,7 +69,7 @@
 
 /// As what a crash counts for a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Count {
+enum CrashCategory {
     /// The worker has certainly crashed, and under this task.
     Crash,
     /// It may have crashed under this task.
@@ -80,30 +80,32 @@
 
 /// A crash that counted for a task, and is an outage if enough others go at once with it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Provisional {
+pub(super) struct ProvisionalCrash {
     at: Millis,
     key: TaskKey,
-    count: Count,
+    count: CrashCategory,
 }
 
 /// The circumstances of a crash.
 #[derive(Clone, Copy)]
 struct Circumstances {
-    crash: Crash,
+    crash: CrashEvidence,
     /// True when many workers have gone at once.
     many: bool,
 }
 
 impl Circumstances {
     /// Returns as what a crash counts for a run.
-    fn count(self, cause: Cause, run: &Placement) -> Count {
-        let proven = self.crash == Crash::Replaced && run.told.is_some();
+    fn count(self, cause: Cause, run: &Placement) -> CrashCategory {
+        let proven = self.crash == CrashEvidence::Replaced && run.told.is_some();
         match (proven, self.many) {
-            (true, true) if cause == Cause::Unlikely => Count::Outage,
-            (true, true) if run.suspect => Count::Loss,
-            (true, _) => Count::Crash,
-            (false, true) if self.crash == Crash::Silent && !run.suspect => Count::Outage,
-            (false, _) => Count::Loss,
+            (true, true) if cause == Cause::Unlikely => CrashCategory::Outage,
+            (true, true) if run.suspect => CrashCategory::Loss,
+            (true, _) => CrashCategory::Crash,
+            (false, true) if self.crash == CrashEvidence::Silent && !run.suspect => {
+                CrashCategory::Outage
+            }
+            (false, _) => CrashCategory::Loss,
         }
     }
 }
@@ -112,7 +114,7 @@
 struct Attribution {
     key: TaskKey,
     cause: Cause,
-    count: Count,
+    count: CrashCategory,
     /// True when it would be an outage if more had gone at once.
     provisional: bool,
 }
@@ -120,7 +122,7 @@
 impl Attribution {
     /// Returns true when its task is given up.
     fn gives_up(&self, task: &Task) -> bool {
-        let found = self.count == Count::Crash && self.cause == Cause::Sole;
+        let found = self.count == CrashCategory::Crash && self.cause == Cause::Sole;
         let counted = task.crashes + task.losses;
         (found && task.crashes >= CRASHES) || counted >= LOSSES || counted + task.outages >= OUTAGES
     }
@@ -135,7 +137,7 @@
 
 /// Returns the milliseconds for which a worker had known of a run at its last word; 0 when
 /// it never told of it, as its start may have been carried out after that.
-pub(super) fn age(worker: &Worker, run: &Placement) -> Millis {
+pub(super) fn listed_for(worker: &Worker, run: &Placement) -> Millis {
     let age = |at| worker.last_answer.saturating_sub(at);
     run.told.map_or(0, age)
 }
@@ -146,7 +148,7 @@
     let runs = || worker.placements.iter().filter(|(_, run)| sent(run));
     let isolated = runs().find(|(_, run)| run.suspect).map(|(key, _)| key.job);
     let fresh = |key: &TaskKey, run: &Placement| {
-        age(worker, run) < FRESH && isolated.is_none_or(|job| job == key.job)
+        listed_for(worker, run) < FRESH && isolated.is_none_or(|job| job == key.job)
     };
     let mut jobs = runs()
         .filter(|(key, run)| fresh(key, run))
@@ -157,18 +159,19 @@
         true if alone => Cause::Sole,
         true => Cause::Shared,
         // What an isolated suspect has done is not laid to others.
-        false if isolated.is_some() || age(worker, run) >= PROVEN => Cause::Excluded,
+        false if isolated.is_some() || listed_for(worker, run) >= PROVEN => Cause::Excluded,
         false => Cause::Unlikely,
     };
     let attribution = |(key, run): (&TaskKey, &Placement)| {
         let cause = cause(key, run);
         let count = circumstances.count(cause, run);
-        let counts = count == Count::Crash || count == Count::Outage || cause.suspects();
+        let counts =
+            count == CrashCategory::Crash || count == CrashCategory::Outage || cause.suspects();
         counts.then_some(Attribution {
             key: *key,
             cause,
             count,
-            provisional: count == Count::Crash && cause == Cause::Unlikely,
+            provisional: count == CrashCategory::Crash && cause == Cause::Unlikely,
         })
     };
     runs().filter_map(attribution).collect()
@@ -177,8 +180,8 @@
 impl Owner {
     /// Lays the crash of a worker to the runs that it took along, and gives up tasks under
     /// which too many have crashed. One that had said that it would leave has not crashed.
-    pub(super) fn crashed(&mut self, name: &Name, crash: Crash) {
-        let others = self.gone_at_once(name);
+    pub(super) fn record_crash(&mut self, name: &Name, crash: CrashEvidence) {
+        let others = self.concurrent_failures(name);
         // One whose tasks were freed when its lease had ended is not counted again.
         let counts = |w: &&Worker| !w.listing.leaving && !w.placements.is_empty();
         let Some(worker) = self.workers.get(name).filter(counts) else {
@@ -190,7 +193,7 @@
         let tasks = worker.placements.len();
         crate::metrics::get().crashes.inc();
         log::info!(target: "worker", "worker={name} event=crashed how={crash:?} tasks={tasks} suspects={suspects} others={others}");
-        self.crashed_at.push_back(self.now.steady);
+        self.crash_times.push_back(self.now.steady);
         for attribution in attributions {
             self.count_crash(&attribution, name);
         }
@@ -198,24 +201,24 @@
 
     /// Returns how many other workers have gone at once with one: that have crashed just
     /// now, don't answer, or may have started again.
-    fn gone_at_once(&mut self, name: &Name) -> usize {
+    fn concurrent_failures(&mut self, name: &Name) -> usize {
         let since = self.now.steady.saturating_sub(AT_ONCE);
-        while self.crashed_at.front().is_some_and(|at| *at < since) {
-            self.crashed_at.pop_front();
+        while self.crash_times.front().is_some_and(|at| *at < since) {
+            self.crash_times.pop_front();
         }
-        self.provisional.retain(|crash| crash.at >= since);
+        self.provisional_crashes.retain(|crash| crash.at >= since);
         let troubled =
             |(id, w): &(&Name, &Worker)| *id != name && (w.missed_polls > 0 || w.unverified);
-        let others = self.crashed_at.len() + self.workers.iter().filter(troubled).count();
+        let others = self.crash_times.len() + self.workers.iter().filter(troubled).count();
         if others >= MANY {
-            self.count_again();
+            self.reclassify_as_outage();
         }
         others
     }
 
     /// Counts the first of many crashes at once as what they are: an outage.
-    fn count_again(&mut self) {
-        for crash in std::mem::take(&mut self.provisional) {
+    fn reclassify_as_outage(&mut self) {
+        for crash in std::mem::take(&mut self.provisional_crashes) {
             let job = self
                 .jobs
                 .get_mut(&crash.key.job)
@@ -224,9 +227,9 @@
                 continue;
             };
             match crash.count {
-                Count::Crash => task.crashes = task.crashes.saturating_sub(1),
-                Count::Loss => task.losses = task.losses.saturating_sub(1),
-                Count::Outage => continue,
+                CrashCategory::Crash => task.crashes = task.crashes.saturating_sub(1),
+                CrashCategory::Loss => task.losses = task.losses.saturating_sub(1),
+                CrashCategory::Outage => continue,
             }
             task.outages += 1;
             let (crashes, losses, outages) = (task.crashes, task.losses, task.outages);
@@ -253,15 +256,16 @@
                 task.outages = 0;
                 return self.journal.touch(key.job);
             }
-            (_, Count::Crash) => task.crashes += 1,
-            (_, Count::Loss) => task.losses += 1,
-            (_, Count::Outage) => task.outages += 1,
+            (_, CrashCategory::Crash) => task.crashes += 1,
+            (_, CrashCategory::Loss) => task.losses += 1,
+            (_, CrashCategory::Outage) => task.outages += 1,
         }
         let (crashes, losses, outages) = (task.crashes, task.losses, task.outages);
         let (run, over) = (task.run, attribution.gives_up(task));
         if attribution.provisional {
             let at = self.now.steady;
-            self.provisional.push(Provisional { at, key, count });
+            self.provisional_crashes
+                .push(ProvisionalCrash { at, key, count });
         }
         self.journal.touch(key.job);
         let task = self.task_name(key);
@@ -275,17 +279,21 @@
 
     /// Counts a loss for tasks whose worker was gone before this owner knew it: with an owner
     /// lost after each crash, nothing would be counted otherwise.
-    pub(super) fn gone_unseen(&mut self, keys: &[TaskKey], name: &Name) {
+    pub(super) fn record_unseen_crashes(&mut self, keys: &[TaskKey], name: &Name) {
         if keys.is_empty() {
             return;
         }
-        let many = self.gone_at_once(name) >= MANY;
-        self.crashed_at.push_back(self.now.steady);
+        let many = self.concurrent_failures(name) >= MANY;
+        self.crash_times.push_back(self.now.steady);
         for key in keys {
             let attribution = Attribution {
                 key: *key,
                 cause: Cause::Shared,
-                count: if many { Count::Outage } else { Count::Loss },
+                count: if many {
+                    CrashCategory::Outage
+                } else {
+                    CrashCategory::Loss
+                },
                 provisional: !many,
             };
             self.count_crash(&attribution, name);
@@ -293,13 +301,13 @@
     }
 
     /// Returns true when a task may have caused the last crash under it.
-    pub(super) fn suspected(&self, key: TaskKey) -> bool {
+    pub(super) fn is_suspect(&self, key: TaskKey) -> bool {
         let task = self.jobs.get(&key.job).and_then(|job| job.task(key));
         task.is_some_and(|task| task.suspect)
     }
 
     /// Returns for how many more suspects a worker may be isolated.
-    pub(super) fn isolations_left(&self) -> usize {
+    pub(super) fn remaining_isolations(&self) -> usize {
         let isolated = self
             .workers
             .values()
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -30,7 +30,11 @@
 impl Owner {
     /// Takes in what running fillers of a worker use, and returns what fillers have
     /// used there over the last half second.
-    pub(super) fn mix(&mut self, name: &Name, running: &[ReportedRun<'_>]) -> ImageShares {
+    pub(super) fn record_cpu_use(
+        &mut self,
+        name: &Name,
+        running: &[ReportedRun<'_>],
+    ) -> ImageShares {
         let mut mix = ImageShares::new();
         let Some(worker) = self
             .workers
@@ -57,7 +61,7 @@
     }
 
     /// Takes in the gauge of a serving task and returns it with the number of its image.
-    pub(super) fn gauge(
+    pub(super) fn record_tail(
         &mut self,
         name: &Name,
         run: &ReportedRun<'_>,
@@ -75,15 +79,20 @@
         let image = placement.image.clone();
         let step = key.step_key();
         if busy < BUSIEST
-            && let Some(others) = self.loads.of_others(step, key.index, now)
+            && let Some(others) = self.own_loads.estimate_from_others(step, key.index, now)
         {
             let taken = busy - others.load;
             self.interference.learn(&image, mix, taken, others.variance);
         }
         let (mix_load, variance) = self.interference.mix_load(&image, mix);
         let measured = (busy - mix_load).clamp(0.0, busy);
-        self.loads.note(step, key.index, measured, variance, now);
-        let own_load = self.loads.of(step, key.index, now).load.clamp(0.0, busy);
+        self.own_loads
+            .record(step, key.index, measured, variance, now);
+        let own_load = self
+            .own_loads
+            .estimate(step, key.index, now)
+            .load
+            .clamp(0.0, busy);
         let before = placement.gauge.as_ref().and_then(|g| g.breach);
         let over = run.gauge * WHOLE > placement.target * NEAR;
         let gauge = Gauge {
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-use super::crashes::Crash;
+use super::crashes::CrashEvidence;
 use super::job::TaskKey;
 use super::lost_workers::IncarnationEnd;
 use super::message::Report;
@@ -156,7 +156,7 @@
         self.forget_permits(name);
         self.break_promise(name);
         self.tell_over(name, IncarnationEnd::Replaced);
-        self.crashed(name, Crash::Replaced);
+        self.record_crash(name, CrashEvidence::Replaced);
         self.begin_incarnation(name, report.boot, carried);
         // The other members of a gang are stopped with one that is lost, on this life too.
         for key in lost {
--- a/src/sched/loads.rs
+++ b/src/sched/loads.rs
@@ -48,16 +48,16 @@
 
 /// Readings of the tasks of each step.
 #[derive(Debug, Default)]
-pub(super) struct Loads {
+pub(super) struct OwnLoads {
     steps: HashMap<StepKey, StepLoad>,
 }
 
-impl Loads {
+impl OwnLoads {
     /// Takes in what a task of a step was measured to load its server with, less
     /// what fillers are thought to take with this variance.
-    pub fn note(&mut self, step: StepKey, index: u32, load: f64, mix_variance: f64, now: Millis) {
+    pub fn record(&mut self, step: StepKey, index: u32, load: f64, mix_variance: f64, now: Millis) {
         let variance = NOISE + mix_variance;
-        let others = self.of_others(step, index, now);
+        let others = self.estimate_from_others(step, index, now);
         let entry = self.steps.entry(step).or_default();
         if let Some(others) = others {
             let beyond = (load - others.load).powi(2) - variance - others.variance;
@@ -75,7 +75,7 @@
     }
 
     /// Returns what the other tasks of a step tell of the own load of one.
-    pub fn of_others(&self, step: StepKey, index: u32, now: Millis) -> Option<Estimate> {
+    pub fn estimate_from_others(&self, step: StepKey, index: u32, now: Millis) -> Option<Estimate> {
         let entry = self.steps.get(&step)?;
         let others = entry.readings.iter().filter(|r| r.index != index);
         let estimate = mean(others, now)?;
@@ -86,7 +86,7 @@
     }
 
     /// Returns the own load of a task, out of its own readings and the others'.
-    pub fn of(&self, step: StepKey, index: u32, now: Millis) -> Estimate {
+    pub fn estimate(&self, step: StepKey, index: u32, now: Millis) -> Estimate {
         let own = self.steps.get(&step).and_then(|entry| {
             let own = entry.readings.iter().filter(|r| r.index == index);
             mean(own, now)
@@ -95,7 +95,7 @@
             load: UNMEASURED,
             variance: UNKNOWN,
         };
-        match (own, self.of_others(step, index, now)) {
+        match (own, self.estimate_from_others(step, index, now)) {
             (Some(a), Some(b)) => joined(a, b),
             (Some(one), None) | (None, Some(one)) => one,
             (None, None) => unknown,
@@ -103,7 +103,7 @@
     }
 
     /// Forgets steps of which nothing was heard of late.
-    pub fn forget_old(&mut self, now: Millis) {
+    pub fn remove_stale(&mut self, now: Millis) {
         self.steps
             .retain(|_, entry| entry.readings.iter().any(|r| now < r.at + OLD));
     }
--- a/src/sched/lost_workers.rs
+++ b/src/sched/lost_workers.rs
@@ -1,6 +1,6 @@
 //! Workers that have ended or fell silent, and the tasks that they held.
 
-use super::crashes::{Crash, age};
+use super::crashes::{CrashEvidence, listed_for};
 use super::job::TaskKey;
 use super::owner::Owner;
 use super::worker::{Presence, Worker};
@@ -32,7 +32,7 @@
         if ending == IncarnationEnd::Replaced {
             // What runs down with a worker has no end to count: restarted uncounted, one
             // task took a worker each 3 s for as long as its job was open.
-            self.crashed(name, Crash::Replaced);
+            self.record_crash(name, CrashEvidence::Replaced);
         }
         self.clear(name);
         self.forget_permits(name);
@@ -53,7 +53,7 @@
         crate::metrics::get().orphaned.inc_by(tasks as u64);
         for (key, run) in &worker.placements {
             let task = self.task_name(*key);
-            let age = age(worker, run);
+            let age = listed_for(worker, run);
             let (run, stage) = (run.run, run.stage);
             log::info!(target: "task", "task={task} run={run} event=orphaned worker={incarnation} stage={stage:?} age_ms={age}");
         }
@@ -88,7 +88,7 @@
             let (tasks, presence) = (worker.placements.len(), worker.presence);
             log::info!(target: "worker", "worker={name} event=lapsed tasks={tasks} presence={presence:?}");
             self.count_lapsed(tasks);
-            self.crashed(&name, Crash::Silent);
+            self.record_crash(&name, CrashEvidence::Silent);
             self.clear(&name);
             if forgettable(presence) {
                 self.dismiss(&name);
@@ -121,7 +121,7 @@
             let held = |key: &TaskKey| self.placed.get(key) == Some(&name);
             let lost: Vec<TaskKey> = keys.into_iter().filter(held).collect();
             self.count_lapsed(lost.len());
-            self.gone_unseen(&lost, &name);
+            self.record_unseen_crashes(&lost, &name);
             for key in lost {
                 self.free(key);
             }
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -4,13 +4,13 @@
 
 use super::addresses::Addresses;
 use super::choice::Ranking;
-use super::crashes::Provisional;
+use super::crashes::ProvisionalCrash;
 use super::history::History;
 use super::interference::InterferenceModel;
 use super::job::{Job, JobRow, Outcome, Phase, StepKey, TaskKey};
 use super::journal::Journal;
 use super::late_starts::LateStart;
-use super::loads::Loads;
+use super::loads::OwnLoads;
 use super::mechanisms::Mechanisms;
 use super::message::{Action, Answer, Event, Ticket};
 use super::permits::Permits;
@@ -128,18 +128,18 @@
     pub(super) next_place: Millis,
     pub(super) interference: InterferenceModel,
     /// Own loads of serving tasks.
-    pub(super) loads: Loads,
-    /// When workers have crashed, as far back as that matters.
-    pub(super) crashed_at: VecDeque<Millis>,
-    /// Crashes that may still turn out to be of an outage.
-    pub(super) provisional: Vec<Provisional>,
+    pub(super) own_loads: OwnLoads,
+    /// When workers crashed within the outage window.
+    pub(super) crash_times: VecDeque<Millis>,
+    /// Counted crashes that become an outage if enough others follow at once.
+    pub(super) provisional_crashes: Vec<ProvisionalCrash>,
     /// When the store was last away, slow or silent.
     pub(super) store_trouble: Millis,
     /// Declared work that is typical of a job, by queue.
     pub(super) typical: HashMap<Name, f64>,
-    /// How far serving tasks make way for fillers that wait, from 0 to 1.
-    pub(super) strain: f64,
-    /// When swaps of places are looked for next.
+    /// Backlog of best-effort work, from 0 to 1; serving tasks run at a higher load by it.
+    pub(super) backlog_level: f64,
+    /// When swaps of serving tasks are next considered.
     pub(super) next_swap: Millis,
     /// Number of the next job.
     next_job: u32,
@@ -196,13 +196,13 @@
             crowded: false,
             next_place: 0,
             interference: InterferenceModel::default(),
-            loads: Loads::default(),
-            crashed_at: VecDeque::new(),
-            provisional: Vec::new(),
+            own_loads: OwnLoads::default(),
+            crash_times: VecDeque::new(),
+            provisional_crashes: Vec::new(),
             store_trouble: 0,
             typical: HashMap::new(),
             late_starts: Vec::new(),
-            strain: 0.0,
+            backlog_level: 0.0,
             next_swap: 0,
             next_job: 0,
             next_sweep: 0,
@@ -324,7 +324,7 @@
                 self.stopped(key, run, &incarnation, reply)
             }
             Event::Throttled(key, run, percent, incarnation, reply) => {
-                self.throttled(key, run, percent, &incarnation, reply);
+                self.throttle_answered(key, run, percent, &incarnation, reply);
             }
             Event::Advised(step, asked, reply) => self.advice(step, asked, reply),
             Event::Written(number, written) => {
@@ -342,7 +342,7 @@
         if !self.deposed && !self.gives_up() {
             if self.cordoned.is_some() {
                 self.place();
-                self.swap_places();
+                self.swap_serving_tasks();
             }
             self.contact();
         }
@@ -382,7 +382,7 @@
         self.export_longest_breach();
         self.tidy();
         self.refuse_parked();
-        self.loads.forget_old(self.now.steady);
+        self.own_loads.remove_stale(self.now.steady);
         self.crowded = false;
     }
 
--- a/src/sched/placing.rs
+++ b/src/sched/placing.rs
@@ -181,8 +181,8 @@
             return Attempt::Failed;
         }
         // A gang needs all its places at once, so it does not wait for that.
-        let suspect = self.suspected(key) && !demand.gang;
-        if suspect && !pass.isolates(|| self.isolations_left()) {
+        let suspect = self.is_suspect(key) && !demand.gang;
+        if suspect && !pass.isolates(|| self.remaining_isolations()) {
             return Attempt::Failed;
         }
         let placed = match demand.gang {
@@ -293,7 +293,7 @@
     /// Returns the worker for a task, on `rack` unless that is empty.
     fn pick(&mut self, key: TaskKey, rack: &str) -> Option<Name> {
         let now = self.now.steady;
-        let alike = rack.is_empty() && self.failures(key) == 0 && !self.suspected(key);
+        let alike = rack.is_empty() && self.failures(key) == 0 && !self.is_suspect(key);
         let known = self.ranking.take_if(|r| alike && r.step == key.step_key());
         if known.is_none() {
             self.looked += self.workers.len() as u64;
@@ -351,7 +351,7 @@
         let wish = Wish {
             key,
             waited: self.now.steady - since,
-            suspect: self.suspected(key),
+            suspect: self.is_suspect(key),
             service: &job.row.queue.service,
             step,
             last_try: !step.lasting && self.failures(key) + 1 >= job.row.queue.attempts,
@@ -408,7 +408,7 @@
 
     /// Returns what a run of a task takes on its worker.
     pub(super) fn placement(&mut self, key: TaskKey, run: u32, stage: Stage) -> Placement {
-        let suspect = self.suspected(key);
+        let suspect = self.is_suspect(key);
         let job = &self.jobs[&key.job];
         let boot = job.task(key).and_then(|t| t.boot);
         let step = job.step(key);
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -165,13 +165,13 @@
     fn report(&mut self, name: &Name, sent: Millis, report: Report) {
         let whole = report.ended.len() < REPORT_LIMIT;
         for end in &report.ended {
-            self.end(name, end);
+            self.record_completion(name, end);
         }
         let running: Vec<ReportedRun<'_>> =
             report.running.iter().map(|r| self.resolve_run(r)).collect();
         self.runs(name, sent, &running, whole);
         self.clear_suspects(name);
-        self.relieve(name, &running);
+        self.adjust_speeds(name, &running);
         let worker = self.workers.get(name);
         let pause = match worker.is_some_and(|w| !w.pending_completions.is_empty()) {
             true => ENDS_PAUSE,
@@ -305,7 +305,7 @@
             log::info!(target: "task", "task={task} run={run} event=missing worker={name} age_ms={age}");
             self.stop(key);
         }
-        self.gone_unseen(&unseen, name);
+        self.record_unseen_crashes(&unseen, name);
         for key in free.into_iter().chain(unseen) {
             self.free(key);
         }
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -132,7 +132,7 @@
             Reply::Ok(_) => {
                 placement.confirm(now);
                 self.begun(key);
-                self.halt_one(name, key);
+                self.halt_run(name, key);
             }
             Reply::Lost if placement.stage == Stage::Starting => {
                 // It may be carried out seconds later, unless a stop of it is answered first.
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -62,7 +62,7 @@
 
 impl Owner {
     /// Begins swaps that make more room for waiting fillers.
-    pub(super) fn swap_places(&mut self) {
+    pub(super) fn swap_serving_tasks(&mut self) {
         let now = self.now.steady;
         if now < self.next_swap || !self.bounds.mechanisms.swap {
             return;
--- a/src/sched/tests/interference.rs
+++ b/src/sched/tests/interference.rs
@@ -76,7 +76,7 @@
     for _ in 0..5 {
         let name = "w0".into();
         let run = world.owner.resolve_run(&run);
-        world.owner.relieve(&name, &[run]);
+        world.owner.adjust_speeds(&name, &[run]);
         world.run(400);
     }
     assert!(
--- a/src/sched/tests/loads.rs
+++ b/src/sched/tests/loads.rs
@@ -1,7 +1,7 @@
 //! Own loads of serving tasks.
 
 use crate::sched::job::StepKey;
-use crate::sched::loads::Loads;
+use crate::sched::loads::OwnLoads;
 
 const STEP: StepKey = StepKey {
     job: 1,
@@ -11,33 +11,35 @@
 
 #[test]
 fn tasks_without_fillers_tell_the_load_of_their_step() {
-    let mut loads = Loads::default();
+    let mut loads = OwnLoads::default();
     for index in 0..3 {
-        loads.note(STEP, index, 0.4, 0.0, 1_000);
+        loads.record(STEP, index, 0.4, 0.0, 1_000);
     }
     // One beside fillers whose pressure is guessed far too high.
-    loads.note(STEP, 3, 0.1, 0.1, 1_000);
-    let others = loads.of_others(STEP, 3, 1_100).expect("readings");
+    loads.record(STEP, 3, 0.1, 0.1, 1_000);
+    let others = loads
+        .estimate_from_others(STEP, 3, 1_100)
+        .expect("readings");
     assert!((others.load - 0.4).abs() < 0.001);
-    let own = loads.of(STEP, 3, 1_100);
+    let own = loads.estimate(STEP, 3, 1_100);
     assert!((own.load - 0.4).abs() < 0.02, "{own:?}");
 }
 
 #[test]
 fn tasks_that_differ_from_their_step_are_told_by_their_own_readings() {
-    let mut loads = Loads::default();
+    let mut loads = OwnLoads::default();
     for round in 0..100 {
         let now = 1_000 + round * 100;
-        loads.note(STEP, 0, 0.7, 0.0, now);
-        loads.note(STEP, 1, 0.3, 0.0, now);
+        loads.record(STEP, 0, 0.7, 0.0, now);
+        loads.record(STEP, 1, 0.3, 0.0, now);
     }
-    let own = loads.of(STEP, 0, 11_000);
+    let own = loads.estimate(STEP, 0, 11_000);
     assert!(own.load > 0.65, "{own:?}");
 }
 
 #[test]
 fn old_readings_say_nothing() {
-    let mut loads = Loads::default();
-    loads.note(STEP, 0, 0.4, 0.0, 1_000);
-    assert!(loads.of_others(STEP, 1, 10_000).is_none());
+    let mut loads = OwnLoads::default();
+    loads.record(STEP, 0, 0.4, 0.0, 1_000);
+    assert!(loads.estimate_from_others(STEP, 1, 10_000).is_none());
 }
--- a/src/sched/tests/overload.rs
+++ b/src/sched/tests/overload.rs
@@ -71,7 +71,7 @@
     world.ordered_speeds.clear();
     for _ in 0..8 {
         let run = world.owner.resolve_run(&run);
-        world.owner.relieve(&"w0".into(), &[run]);
+        world.owner.adjust_speeds(&"w0".into(), &[run]);
         world.run(200);
     }
     world.ordered_speeds.iter().copied().min().unwrap_or(100)
@@ -80,7 +80,10 @@
 #[test]
 fn serving_tasks_make_way_a_little_while_fillers_wait_and_never_beyond_their_target() {
     let (mut calm, mut strained) = (beside_serving(0), beside_serving(40));
-    assert_eq!((calm.owner.strain, strained.owner.strain), (0.0, 1.0));
+    assert_eq!(
+        (calm.owner.backlog_level, strained.owner.backlog_level),
+        (0.0, 1.0)
+    );
     let tails = [25, 30, 35, 40, 45, 50, 55, 60, 65, 70, 75, 80];
     let calm: u32 = tails.iter().map(|t| pace_at(&mut calm, *t)).sum();
     let held: u32 = tails.iter().map(|t| pace_at(&mut strained, *t)).sum();
@@ -94,7 +97,7 @@
     // Three times the aim of 500 ms beyond twice the run time has passed.
     world.run(9_000);
     assert!(!world.owner.ready.is_empty());
-    assert_eq!(world.owner.strain, 0.0);
+    assert_eq!(world.owner.backlog_level, 0.0);
 }
 
 /// Callers may declare any run time and size: what is absurd is told so, and what is only
--- a/src/sched/tests/throttling.rs
+++ b/src/sched/tests/throttling.rs
@@ -195,7 +195,7 @@
         };
         let name = "w0".into();
         let run = world.owner.resolve_run(&run);
-        world.owner.relieve(&name, &[run]);
+        world.owner.adjust_speeds(&name, &[run]);
         world.run(300);
     }
 }
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -116,13 +116,13 @@
 
 impl Owner {
     /// Takes in the gauges of a worker's tasks, and slows or speeds up its fillers.
-    pub(super) fn relieve(&mut self, name: &Name, running: &[ReportedRun<'_>]) {
-        let mix = self.mix(name, running);
+    pub(super) fn adjust_speeds(&mut self, name: &Name, running: &[ReportedRun<'_>]) {
+        let mix = self.record_cpu_use(name, running);
         let Some(worker) = self.workers.get(name) else {
             return;
         };
         let mut fillers = fillers(worker);
-        let stretch = self.strain * STRETCH;
+        let stretch = self.backlog_level * STRETCH;
         let (halt, now) = (self.bounds.halt(), self.now.steady);
         let mut high = false;
         for run in running {
@@ -130,7 +130,7 @@
                 self.record_missing_tail(name, run);
                 continue;
             }
-            let Some((victim, gauge)) = self.gauge(name, run, &mix) else {
+            let Some((victim, gauge)) = self.record_tail(name, run, &mix) else {
                 continue;
             };
             let part = |f: &Filler| self.interference.factor(victim, f.image) * f.share * f.speed;
@@ -159,7 +159,7 @@
     }
 
     /// Halts a filler beside a task over its target without waiting for the next report.
-    pub(super) fn halt_one(&mut self, name: &Name, key: TaskKey) {
+    pub(super) fn halt_run(&mut self, name: &Name, key: TaskKey) {
         let Some(worker) = self.workers.get(name).filter(|w| w.over_target()) else {
             return;
         };
@@ -209,7 +209,7 @@
     }
 
     /// Takes in how a change of pace went.
-    pub(super) fn throttled(
+    pub(super) fn throttle_answered(
         &mut self,
         key: TaskKey,
         run: u32,
@@ -238,7 +238,7 @@
                 log::info!(target: "task", "task={} run={run} event=pace-missed percent={percent} worker={name} reply={reply:?}", self.task_name(key));
                 // The next report asks for it again; a halt does not wait for that.
                 if reply == Reply::Lost && percent == 0 {
-                    self.halt_one(name, key);
+                    self.halt_run(name, key);
                 }
             }
         }
