--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -1,4 +1,5 @@
-//! The task that holds the owner while this box is it.
+//! Runs the owner in this process while this box is the owner: feeds it messages and makes the
+//! calls that it asks for.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -19,61 +20,66 @@
 use crate::sched::owner::Owner;
 use crate::utils::clock::{self, Millis};
 
-/// Shortest and longest wait for a commit's answer, in milliseconds, before
-/// its fate is asked for: many times the usual, and that of a slow store.
+/// Bounds of the wait for a commit's answer, in milliseconds, before its outcome is looked up:
+/// many times the usual answer time, and the answer time of a slow store.
 const ANSWER_WAIT: std::ops::RangeInclusive<Millis> = 120..=900;
-/// Answers of a commit take at most this many times the last one.
+/// The next commit is expected to take at most this many times as long as the last one.
 const ANSWER_SPREAD: Millis = 3;
 
-/// An owner in this process.
+/// The owner in this process, its term and its pending requests and commit.
 struct LocalOwner {
     owner: Owner,
     term: Term,
-    /// Callers that wait for an answer.
+    /// Where the answers to pending requests are sent.
     pending: HashMap<Ticket, oneshot::Sender<Answer>>,
     next_ticket: Ticket,
+    /// Milliseconds after which the outcome of an unanswered commit is looked up.
     answer_wait: Millis,
+    /// When the last commit was sent.
     commit_sent: Millis,
 }
 
-/// Runs until the process ends.
+/// Handles messages and timeouts until the process ends.
 pub async fn run(shared: Rc<Shared>, mut receiver: mpsc::UnboundedReceiver<Message>) {
-    let mut lead: Option<LocalOwner> = None;
+    let mut local: Option<LocalOwner> = None;
     let mut woke = clock::now();
     loop {
-        let wait = lead.as_ref().map_or(1_000, |l| l.owner.wait(now()));
+        let wait = local.as_ref().map_or(1_000, |l| l.owner.wait(now()));
         let message = timeout(Duration::from_millis(wait), receiver.next()).await;
         let due = woke + wait;
         woke = clock::now();
-        if let Some(lead) = &mut lead {
-            // What the last round took counts as well: a starved owner is starved there.
-            lead.term.record_lateness(woke.saturating_sub(due), woke);
+        if let Some(local) = &mut local {
+            // The time that handling the last messages took counts as well: an owner that gets
+            // too little processor time loses it there.
+            local.term.record_lateness(woke.saturating_sub(due), woke);
         }
         let mut next = match message {
             Ok(Some(message)) => Some(message),
             Ok(None) => return,
-            Err(_) => Some(tick_message(&lead)),
+            Err(_) => Some(tick_message(&local)),
         };
         while let Some(message) = next {
-            handle_message(&shared, &mut lead, message);
+            handle_message(&shared, &mut local, message);
             next = receiver.try_recv().ok();
         }
-        end_if_over(&shared, &mut lead);
+        end_if_over(&shared, &mut local);
     }
 }
 
-fn tick_message(lead: &Option<LocalOwner>) -> Message {
-    Message::Event(lead.as_ref().map_or(0, |l| l.term.epoch), Event::Tick)
+/// Returns the message for a wait that ended without any.
+fn tick_message(local: &Option<LocalOwner>) -> Message {
+    Message::Event(local.as_ref().map_or(0, |l| l.term.epoch), Event::Tick)
 }
 
-fn handle_message(shared: &Rc<Shared>, lead: &mut Option<LocalOwner>, message: Message) {
-    match (message, lead.as_mut()) {
-        // One whose load was ended meanwhile, by word of a later owner, never acts.
-        (Message::Begin(owner, epoch, load), _) if shared.is_loading(epoch) => {
-            *lead = Some(begin_term(*owner, epoch, load));
+/// Handles one message; a message for another epoch is dropped.
+fn handle_message(shared: &Rc<Shared>, local: &mut Option<LocalOwner>, message: Message) {
+    match (message, local.as_mut()) {
+        // An owner whose load was aborted because a later owner became known never begins.
+        (Message::Begin(owner, epoch, load_ms), _) if shared.is_loading(epoch) => {
+            *local = Some(begin_term(*owner, epoch, load_ms));
             shared.set_local_epoch(Some(epoch));
             shared.set_loading(None);
-            // Nothing is started before: another owner may have known of a cordon.
+            // Cordons come before the first start: the predecessor may have known of them.
             if let Some(halls) = shared.cordoned() {
                 shared.send_to_owner(Message::Event(epoch, Event::Cordoned(halls)));
             }
@@ -83,36 +89,37 @@
                 shared.send_to_owner(Message::Resign);
             }
         }
-        (Message::Request(ask, reply), Some(lead)) => {
-            let ticket = lead.next_ticket;
-            lead.next_ticket += 1;
-            lead.pending.insert(ticket, reply);
-            lead.apply_event(shared, Event::Request(ticket, ask));
+        (Message::Request(request, reply), Some(local)) => {
+            let ticket = local.next_ticket;
+            local.next_ticket += 1;
+            local.pending.insert(ticket, reply);
+            local.apply_event(shared, Event::Request(ticket, request));
         }
-        (Message::Event(epoch, event), Some(lead)) if epoch == lead.term.epoch => {
-            lead.apply_event(shared, event);
+        (Message::Event(epoch, event), Some(local)) if epoch == local.term.epoch => {
+            local.apply_event(shared, event);
         }
-        (Message::PredecessorEnded(epoch), Some(lead)) if epoch == lead.term.epoch => {
-            lead.owner.predecessor_ended(now());
+        (Message::PredecessorEnded(epoch), Some(local)) if epoch == local.term.epoch => {
+            local.owner.predecessor_ended(now());
         }
-        (Message::Superseded(epoch), Some(held)) if epoch > held.term.epoch => {
-            end_term(shared, lead, "superseded");
+        (Message::Superseded(epoch), Some(current)) if epoch > current.term.epoch => {
+            end_term(shared, local, "superseded");
         }
-        (Message::Bounds(bounds), Some(lead)) => lead.owner.rebound(bounds),
-        (Message::StrongerBox(cores), Some(lead)) => {
-            lead.yield_to_stronger(shared.settings.cores, cores)
+        (Message::Bounds(bounds), Some(local)) => local.owner.rebound(bounds),
+        (Message::StrongerBox(cores), Some(local)) => {
+            local.yield_to_stronger(shared.settings.cores, cores)
         }
-        (Message::Resign, Some(lead)) => {
-            lead.owner.resign(now());
+        (Message::Resign, Some(local)) => {
+            local.owner.resign(now());
         }
-        // Dropping a caller's side tells it that nobody will answer.
+        // Dropping a request's sender tells the receiver that no answer will come.
         _ => {}
     }
 }
 
-fn begin_term(owner: Owner, epoch: u64, load: Millis) -> LocalOwner {
+/// Returns the local owner at the beginning of its term.
+fn begin_term(owner: Owner, epoch: u64, load_ms: Millis) -> LocalOwner {
     LocalOwner {
-        term: Term::begin(epoch, load, clock::now()),
+        term: Term::begin(epoch, load_ms, clock::now()),
         owner,
         pending: HashMap::new(),
         next_ticket: 1,
@@ -121,31 +128,33 @@
     }
 }
 
-fn end_term(shared: &Shared, lead: &mut Option<LocalOwner>, reason: &'static str) {
-    if let Some(LocalOwner { owner, term, .. }) = lead.take() {
+/// Ends the term of the local owner, and has the follower look for the next owner.
+fn end_term(shared: &Shared, local: &mut Option<LocalOwner>, reason: &'static str) {
+    if let Some(LocalOwner { owner, term, .. }) = local.take() {
         term.end(&owner, reason, clock::now());
     }
     shared.set_local_epoch(None);
     shared.check_owner_now();
 }
 
-/// Ends an owner that was replaced or has given the cell up.
-fn end_if_over(shared: &Shared, lead: &mut Option<LocalOwner>) {
-    let Some(held) = lead else {
+/// Updates the gauges, and ends the term of an owner that was replaced or released the cell.
+fn end_if_over(shared: &Shared, local: &mut Option<LocalOwner>) {
+    let Some(current) = local else {
         return;
     };
-    shared.set_confirmed(held.owner.confirmed());
-    held.term.update_gauges(&held.owner, clock::now());
-    if held.owner.deposed() {
-        end_term(shared, lead, "deposed");
-    } else if held.owner.released() {
-        end_term(shared, lead, "released");
-    } else if shared.local_epoch() != Some(held.term.epoch) {
-        end_term(shared, lead, "superseded");
+    shared.set_confirmed(current.owner.confirmed());
+    current.term.update_gauges(&current.owner, clock::now());
+    if current.owner.deposed() {
+        end_term(shared, local, "deposed");
+    } else if current.owner.released() {
+        end_term(shared, local, "released");
+    } else if shared.local_epoch() != Some(current.term.epoch) {
+        end_term(shared, local, "superseded");
     }
 }
 
 impl LocalOwner {
+    /// Passes an event to the owner and performs the actions that it returns.
     fn apply_event(&mut self, shared: &Rc<Shared>, event: Event) {
         if let Event::Written(_, written) = &event {
             self.adapt_answer_wait(written);
@@ -159,7 +168,7 @@
         }
     }
 
-    /// Makes way for a box with more cores, once this owner has settled.
+    /// Makes way for a box with more cores, unless this owner began only recently.
     fn yield_to_stronger(&mut self, own: u32, other: u32) {
         if self.owner.gives_up()
             || !failover::should_make_way(own, other, self.term.began, clock::now())
@@ -170,24 +179,26 @@
         self.owner.make_way(other, now());
     }
 
-    /// Waits longer for the next commit while the store is slow.
+    /// Records how long the last commit took, and waits longer for the next one while the store
+    /// is slow.
     fn adapt_answer_wait(&mut self, written: &Written) {
         let took = clock::now() - self.commit_sent;
         let seconds = took as f64 / 1_000.0;
         crate::metrics::get().commit_seconds.observe(seconds);
-        let wished = match written {
+        let wanted = match written {
             Written::Unknown => self.answer_wait,
             _ => took * ANSWER_SPREAD,
         };
-        self.answer_wait = wished.clamp(*ANSWER_WAIT.start(), *ANSWER_WAIT.end());
+        self.answer_wait = wanted.clamp(*ANSWER_WAIT.start(), *ANSWER_WAIT.end());
     }
 
+    /// Performs an action; a call's result comes back as an event.
     fn perform(&mut self, shared: &Rc<Shared>, action: Action) {
         let epoch = self.term.epoch;
         match action {
             Action::Reply(ticket, answer) => {
                 if let Some(reply) = self.pending.remove(&ticket) {
-                    // A caller that has gone away needs no answer.
+                    // Sending fails only if the caller is gone and needs no answer.
                     let _ = reply.send(answer);
                 }
             }
@@ -244,7 +255,7 @@
     }
 }
 
-/// Makes a call in a task of its own, and tells the owner of `epoch` how it went.
+/// Makes a call in a task of its own, and sends the resulting event to the owner of `epoch`.
 fn spawn_call<C: AsyncFnOnce(Rc<Shared>) -> Event + 'static>(
     shared: &Rc<Shared>,
     epoch: u64,
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -1,4 +1,5 @@
-//! Becoming the owner: the commit, the load and the word to the owner before.
+//! Makes this box the owner: commits its row, loads the stored state, and notifies the
+//! predecessor.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -27,23 +28,25 @@
 use crate::utils::Name;
 use crate::utils::clock::{self, Millis};
 
-/// Milliseconds for the commit that makes a box the owner.
+/// Timeout in milliseconds of the commit that makes a box the owner.
 const ACQUIRE_TIMEOUT: Millis = 600;
-/// Milliseconds without a page of the store after which a box that has become the owner
-/// gives up: others that the store serves have taken its place by then.
+/// Milliseconds without an answer of the store after which a loading owner gives up: boxes that
+/// the store serves have taken its place by then.
 const LOAD_TIMEOUT: Millis = 4_000;
 
-/// What the store holds of earlier owners' work.
+/// The state that earlier owners left in the store.
 #[derive(Default)]
 pub(super) struct StoredState {
+    /// Jobs with their specifications and states.
     pub jobs: Vec<Kept>,
-    /// Ids of jobs whose rows can't be read.
+    /// Ids of jobs whose rows do not decode.
     pub unreadable: Vec<Name>,
-    /// What they learned of interference between images.
+    /// Learned interference between images.
     pub interference: Vec<Known>,
 }
 
-/// Writes this box into the owner's row, if it is as it was known.
+/// Writes this box into the owner's row if that row is still `before`, and takes over if the
+/// write took effect.
 pub async fn acquire_cell(shared: &Rc<Shared>, before: Option<KnownOwner>) {
     let settings = &shared.settings;
     let row = OwnerRow {
@@ -75,6 +78,7 @@
     }
 }
 
+/// Returns the outcome as logged.
 fn outcome_label(written: &Written) -> &'static str {
     match written {
         Written::Done(_) => "done",
@@ -84,8 +88,8 @@
     }
 }
 
-/// Loads what the store holds and goes on with it; `sent` is when the commit
-/// that made this box the owner was sent.
+/// Loads the stored state and starts the owner with it; `sent` is when the commit that made
+/// this box the owner was sent.
 async fn take_over(
     shared: &Rc<Shared>,
     row: OwnerRow,
@@ -100,15 +104,15 @@
             release_cell(shared, row, version).await;
         }
         shared.set_loading(None);
-        // Somebody else may be the owner by now.
+        // Another box may be the owner by now.
         return shared.forget_owner(epoch);
     };
     let Some(confirmed) = confirm_ownership(shared, &row).await else {
         return shared.set_loading(None);
     };
     let (bounds, now) = (shared.bounds(), now());
-    let legacy = PredecessorState::from_row(before.as_ref().map(|b| &b.row), &row.name);
-    let inherited = legacy.lease_end(&bounds, now.steady);
+    let predecessor = PredecessorState::from_row(before.as_ref().map(|b| &b.row), &row.name);
+    let inherited = predecessor.lease_end(&bounds, now.steady);
     let took = now.steady - sent;
     log::info!(target: "owner", "event=owner-begins epoch={epoch} jobs={} unreadable={} load_ms={took}", stored.jobs.len(), stored.unreadable.len());
     shared.set_owner(Some(KnownOwner {
@@ -119,24 +123,25 @@
             pages: None,
         },
     }));
-    // By the commit that made it the owner, one that loaded for long would be taken for
-    // cut off from the store as soon as it serves.
+    // The journal starts from `confirmed`, not from the commit that made this box the owner:
+    // after a long load, that commit is so old that the owner would count as cut off from the
+    // store as soon as it serves.
     let owner_row = row.clone();
     let journal = Journal::new(row, version, confirmed);
     let mut owner = Owner::new(bounds, journal, stored.jobs, inherited, now);
     owner.distrust(stored.unreadable);
     owner.import_interference(stored.interference);
     shared.send_to_owner(Message::Begin(Box::new(owner), epoch, took));
-    let told = pings::takeover_notice(shared, &owner_row, version);
+    let notice = pings::takeover_notice(shared, &owner_row, version);
     let before = before.map(|b| b.row);
     for (row, last) in predecessors(before, shared.last_followed(), &owner_row) {
-        let tell = notify_predecessor(shared.clone(), row, told.clone(), last);
-        monoio::spawn(tell);
+        let call = notify_predecessor(shared.clone(), row, notice.clone(), last);
+        monoio::spawn(call);
     }
 }
 
-/// Gives the cell up without having served, so that others need not wait for a load
-/// that is in vain.
+/// Releases the cell before the load is complete, so that other boxes need not wait for an owner
+/// that will never serve.
 async fn release_cell(shared: &Shared, row: OwnerRow, version: u64) {
     let released = OwnerRow {
         released: true,
@@ -147,7 +152,7 @@
     log::info!(target: "owner", "event=stops-loading epoch={} outcome={}", released.epoch, outcome_label(&written));
 }
 
-/// Returns the write of an owner's row.
+/// Returns the write that stores an owner's row.
 fn owner_write(row: &OwnerRow) -> Write {
     Write {
         table: OWNER_TABLE,
@@ -156,10 +161,11 @@
     }
 }
 
-/// Returns when the store confirmed that this box still is the owner; none if another
-/// became it while this one loaded, or that can't be read.
+/// Returns the time at which the store confirmed that this box still is the owner, or `None` if
+/// another box became the owner during the load, or the row could not be read.
 ///
-/// What was read may be torn by the other's writes, jobs without a specification, and a box that was told of a later owner must not extend leases.
+/// Writes of another owner may have made the loaded state inconsistent, such as jobs without a
+/// specification; and a box that knows of a later owner must not extend leases.
 async fn confirm_ownership(shared: &Shared, row: &OwnerRow) -> Option<Millis> {
     let since = clock::now();
     while clock::now() <= since + LOAD_TIMEOUT {
@@ -184,16 +190,16 @@
     None
 }
 
-/// Tells the owner before that it has ended, until it has answered so; no owner before
-/// `epoch` acts any more then if it was the `last` that could.
+/// Sends `notice` to the predecessor until it answers that its term has ended. If it was the
+/// `last` owner that could still act, no owner before the notice's epoch acts from then on.
 ///
-/// It is told who the owner is as well: where the store has turned it away, so have its
-/// followers been perhaps, and these ask it alone: they would find no owner and refuse jobs
-/// for as long as that lasts.
-async fn notify_predecessor(shared: Rc<Shared>, before: OwnerRow, told: PingRequest, last: bool) {
-    let epoch = told.epoch;
+/// The notice names the new owner. If the store refuses the predecessor, it may refuse the
+/// predecessor's followers as well, and these ask nobody else: without the notice they would
+/// find no owner and refuse jobs for as long as the store refuses them.
+async fn notify_predecessor(shared: Rc<Shared>, before: OwnerRow, notice: PingRequest, last: bool) {
+    let epoch = notice.epoch;
     while shared.local_epoch().is_none_or(|e| e == epoch) {
-        if let Ok(reply) = pings::send_ping(&shared, before.address, told.clone()).await
+        if let Ok(reply) = pings::send_ping(&shared, before.address, notice.clone()).await
             && (!reply.owner || reply.epoch >= epoch)
         {
             log::info!(target: "owner", "event=predecessor-ended epoch={epoch} owner={} last={last}", before.name);
@@ -206,8 +212,8 @@
     }
 }
 
-/// Reads the jobs and what owners learned; none when the store does not serve this box,
-/// it stops, or a later owner is known.
+/// Reads the jobs and the learned interference. Returns `None` when the store does not serve
+/// this box, the box stops, or a later owner is known.
 async fn load_state(shared: &Shared, epoch: u64) -> Option<StoredState> {
     let specs = read_table(shared, epoch, SPEC_TABLE).await?;
     let rows = read_table(shared, epoch, JOB_TABLE).await?;
@@ -219,8 +225,8 @@
     })
 }
 
-/// Reads a table. Each page is tried again by itself, so that a load comes closer to
-/// its end with each answer of the store.
+/// Reads a table. Each page is retried by itself, so that every answer of the store brings the
+/// load forward.
 async fn read_table(shared: &Shared, epoch: u64, table: &str) -> Option<Vec<Row>> {
     let mut rows = Vec::new();
     let mut next = Some(String::new());
@@ -234,7 +240,7 @@
     Some(rows)
 }
 
-/// Reads a page of a table; none once tries have failed for [`LOAD_TIMEOUT`].
+/// Reads a page of a table, with retries; returns `None` after [`LOAD_TIMEOUT`] without success.
 async fn read_page(shared: &Shared, epoch: u64, table: &str, from: &str) -> Option<Page> {
     let since = clock::now();
     while clock::now() <= since + LOAD_TIMEOUT && shared.is_loading(epoch) && !shared.is_stopping()
@@ -254,7 +260,7 @@
     None
 }
 
-/// Returns the jobs out of their rows, and the ids of those that can't be read.
+/// Returns the jobs decoded from their rows, and the ids of those that do not decode.
 pub(super) fn decode_jobs(specs: &[Row], rows: &[Row]) -> StoredState {
     let specs: HashMap<&Name, &Row> = specs.iter().map(|row| (&row.key, row)).collect();
     let mut stored = StoredState::default();
--- a/src/daemon/term.rs
+++ b/src/daemon/term.rs
@@ -1,8 +1,7 @@
-//! What is told of an owner in this process: gauges while it lasts, a summary in
-//! the log when it ends.
+//! Metrics and the final log line of an owner's term in this process.
 //!
-//! Of a box that ran for long, only the last lines are kept: the one of an owner's
-//! end has to tell what the one of its beginning did.
+//! The log of a long-running box keeps only its last lines, so the line at a term's end repeats
+//! what the line at its beginning said.
 
 use std::collections::BTreeMap;
 
@@ -11,28 +10,29 @@
 use crate::utils::clock::{self, Millis};
 use crate::utils::peak::Peak;
 
-/// Milliseconds between two additions to the counters of time.
+/// Milliseconds between two updates of the counters of time spent.
 const FLUSH_INTERVAL: Millis = 1_000;
 
-/// The time of an owner in this process.
+/// The time in which one owner serves, with its measurements.
 pub struct Term {
     /// Epoch of the owner.
     pub epoch: u64,
-    /// When it began to serve.
+    /// When the owner began to serve.
     pub began: Millis,
-    /// Milliseconds from the commit that made it the owner until it served.
+    /// Milliseconds from the commit that made this box the owner until it served.
     load_ms: Millis,
+    /// Milliseconds by which the owner's loop was late.
     lateness: Peak,
-    /// Microseconds of decisions by kind of event that the counters do not have yet.
+    /// Microseconds spent on decisions by kind of event, not yet added to the counters.
     spent: BTreeMap<&'static str, u64>,
-    /// When the counters had all.
+    /// When the counters were last updated.
     flushed: Millis,
-    /// When it was first seen to give the cell up.
+    /// When the owner was first seen to give the cell up.
     leaving_since: Option<Millis>,
 }
 
 impl Term {
-    /// Begins the time of an owner that took so long to load.
+    /// Begins the term of an owner that took `load_ms` to load.
     pub fn begin(epoch: u64, load_ms: Millis, now: Millis) -> Self {
         let metrics = metrics::get();
         metrics.takeovers.inc();
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Takes in by how many milliseconds the owner's loop was late.
+    /// Records by how many milliseconds the owner's loop was late.
     pub fn record_lateness(&mut self, by: Millis, now: Millis) {
         self.lateness.note(by, now);
     }
 
-    /// Takes in how many microseconds the decisions about an event took. The counters have
-    /// them once a second, as there are thousands of events in one.
+    /// Records how many microseconds the decisions about an event took. The counters are
+    /// updated once a second, as there are thousands of events per second.
     pub fn record_spent(&mut self, event: &'static str, micros: u64, now: Millis) {
         *self.spent.entry(event).or_default() += micros;
         if now < self.flushed + FLUSH_INTERVAL {
@@ -68,13 +68,13 @@
         }
     }
 
-    /// Returns for how long it has been giving the cell up: it starts and extends
-    /// nothing meanwhile, and no other box may.
+    /// Returns for how many milliseconds the owner has been giving the cell up. Meanwhile it
+    /// starts no run and extends no lease, and no other box may do so.
     fn leaving_ms(&self, now: Millis) -> Millis {
         self.leaving_since.map_or(0, |at| now.saturating_sub(at))
     }
 
-    /// Sets the gauges of the owner.
+    /// Updates the owner's gauges.
     pub fn update_gauges(&mut self, owner: &Owner, now: Millis) {
         if owner.gives_up() {
             self.leaving_since.get_or_insert(now);
@@ -90,7 +90,8 @@
         metrics.leaving.set(self.leaving_ms(now) as i64);
     }
 
-    /// Ends it, and leaves no gauge that would make this box look like the owner.
+    /// Ends the term: logs its summary, and clears the gauges that would make this box look like
+    /// the owner.
     pub fn end(self, owner: &Owner, reason: &'static str, now: Millis) {
         let metrics = metrics::get();
         metrics.ends.get_or_create(&End { reason }).inc();
