--- a/src/sched/breaches.rs
+++ b/src/sched/breaches.rs
@@ -114,7 +114,7 @@
         };
         let before = gauge.breach;
         let breach = Breach::after_report(before, false, self.bounds.halt(), now);
-        worker.measure(key, Gauge { breach, ..gauge });
+        worker.update_gauge(key, Gauge { breach, ..gauge });
         self.report_breach(name, key, before);
     }
 
--- a/src/sched/choice.rs
+++ b/src/sched/choice.rs
@@ -140,8 +140,8 @@
     let permitted = wish.permits.is_none_or(|p| p.allow(id, now));
     permitted
         && worker.admits(wish.key, wish.suspect)
-        && worker.spares(wish.key, wish.step.reserved())
-        && !(wish.step.best_effort && worker.over_target())
+        && worker.fits_beside_reservation(wish.key, wish.step.reserved())
+        && !(wish.step.best_effort && worker.is_over_target())
         && suits(worker, wish, now)
 }
 
@@ -149,7 +149,7 @@
 fn suits(worker: &Worker, wish: &Wish<'_>, now: Millis) -> bool {
     let listing = &worker.listing;
     let step = wish.step;
-    if &*listing.service != wish.service || !worker.open(now) {
+    if &*listing.service != wish.service || !worker.accepts_tasks(now) {
         return false;
     }
     if !labelled(worker, step) {
@@ -171,7 +171,7 @@
             load(worker.allocated.cpu + step.resources.cpu),
         ),
         (_, true) => crowding(load(
-            worker.taken() + worker.wanted_cpu + step.resources.cpu,
+            worker.busy_cpu() + worker.wanted_cpu + step.resources.cpu,
         )),
         _ => load(worker.allocated.cpu + worker.wanted_cpu + step.resources.cpu),
     };
--- a/src/sched/crashes.rs
+++ b/src/sched/crashes.rs
@@ -328,7 +328,7 @@
         };
         let word = worker.last_answer;
         let lasted = |run: &Placement| run.told.is_some_and(|at| word >= at + FRESH);
-        let cleared = worker.clear(lasted);
+        let cleared = worker.clear_suspects(lasted);
         if !cleared.is_empty() {
             self.crowded = false;
         }
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -270,7 +270,7 @@
                 ..self.placement(key, run, Stage::Inherited)
             };
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.put(key, placement);
+                worker.insert(key, placement);
             }
         }
     }
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -102,7 +102,7 @@
             own_load,
         };
         let number = placement.image_number;
-        worker.measure(key, gauge.clone());
+        worker.update_gauge(key, gauge.clone());
         if before.is_some() || gauge.breach.is_some() {
             self.report_breach(name, key, before);
         }
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -132,7 +132,7 @@
         }
     }
     for (key, _) in &carried {
-        worker.take(*key, now);
+        worker.remove(*key, now);
     }
     carried
 }
@@ -196,7 +196,7 @@
         // as far as leases go.
         worker.begin_incarnation(boot, now + max_lease_duration(span));
         for (key, run) in carried {
-            worker.put(key, run);
+            worker.insert(key, run);
         }
     }
 
--- a/src/sched/late_starts.rs
+++ b/src/sched/late_starts.rs
@@ -68,7 +68,7 @@
             // A run that is known there is stopped with its task, if at all.
             let known = worker.placements.get(&start.key);
             let known = known.is_some_and(|p| p.run == start.run);
-            if settled || known || !worker.answering(now) || now < start.asked + STOP_AGAIN {
+            if settled || known || !worker.is_answering(now) || now < start.asked + STOP_AGAIN {
                 continue;
             }
             start.asked = now;
--- a/src/sched/lost_workers.rs
+++ b/src/sched/lost_workers.rs
@@ -75,7 +75,7 @@
         let now = self.now.steady;
         let inherited = self.inherited;
         let ended = |w: &Worker| now > w.lease_end().max(inherited);
-        let silent = |w: &&Worker| !w.answering(now) && ended(w) && w.missed_polls > 0;
+        let silent = |w: &&Worker| !w.is_answering(now) && ended(w) && w.missed_polls > 0;
         let ended: Vec<Name> = self
             .workers
             .values()
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -462,7 +462,7 @@
             return;
         };
         if let Some(worker) = self.workers.get_mut(&name) {
-            worker.take(key, self.now.steady);
+            worker.remove(key, self.now.steady);
         }
         self.crowded = false;
         let Some(job) = self.jobs.get_mut(&key.job) else {
--- a/src/sched/permits.rs
+++ b/src/sched/permits.rs
@@ -113,7 +113,7 @@
         let able = self.able(key).into_iter().filter(open);
         let mut able: Vec<Name> = able.collect();
         able.sort_by_key(|name| {
-            let free = self.workers[name].free(resources);
+            let free = self.workers[name].headroom(resources);
             (!known.good.contains_key(name), std::cmp::Reverse(free))
         });
         able.truncate(NAMED);
--- a/src/sched/placing.rs
+++ b/src/sched/placing.rs
@@ -378,7 +378,7 @@
     fn reserve(&mut self, key: TaskKey, run: u32, name: Name) {
         let placement = self.placement(key, run, Stage::Recording);
         if let Some(worker) = self.workers.get_mut(&name) {
-            worker.put(key, placement);
+            worker.insert(key, placement);
         }
         self.placed.insert(key, name.clone());
         self.rank_again(key, &name);
@@ -389,7 +389,7 @@
         self.ranking = None;
         self.placed.remove(&key);
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.take(key, self.now.steady);
+            worker.remove(key, self.now.steady);
         }
     }
 
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -82,7 +82,7 @@
         for (key, name) in settled {
             self.promises.remove(&key);
             let worker = self.workers.get_mut(&name);
-            if let Some(worker) = worker.filter(|w| w.promised() == Some(key)) {
+            if let Some(worker) = worker.filter(|w| w.reserved_task() == Some(key)) {
                 worker.promise = None;
             }
         }
@@ -197,7 +197,7 @@
         let now = self.now.steady;
         let name = &worker.listing.id;
         let permits = self.permits.get(&key.step_key());
-        let able = worker.placements.len() > worker.staying(spare);
+        let able = worker.placements.len() > worker.non_preemptible(spare);
         if !able || permits.is_some_and(|p| !p.allow(name, now)) {
             return Vec::new();
         }
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -56,19 +56,24 @@
             };
             // An order without an answer may be carried out: a silent worker's
             // lease is left to end, so that its tasks can run elsewhere.
-            let extends = confirmed && worker.certain() && !worker.placements.is_empty();
+            let extends =
+                confirmed && worker.is_incarnation_certain() && !worker.placements.is_empty();
             let lease = match extends {
-                true => worker.grant(span, now),
+                true => worker.grant_lease(span, now),
                 false => None,
             };
-            let known = worker.last_answer > 0 && worker.certain();
+            let known = worker.last_answer > 0 && worker.is_incarnation_certain();
             let longest = match worker.isolated_job {
                 Some(_) => ISOLATED_WAIT,
                 None => WAIT,
             };
             let mixed = worker.colocation.is_mixed();
             // A breach of a latency target is to end soon, however many workers there are.
-            let watch = if worker.over_target() { WATCH } else { watch };
+            let watch = if worker.is_over_target() {
+                WATCH
+            } else {
+                watch
+            };
             worker.poll = PollState::InFlight(now);
             self.actions.push(Action::Hold(Hold {
                 incarnation: worker.incarnation(),
@@ -76,7 +81,7 @@
                 address: worker.listing.address,
                 lease,
                 epoch,
-                seen: worker.seen(),
+                seen: worker.next_acknowledgement(),
                 wait: match (known, mixed) {
                     (false, _) => 0,
                     (true, true) => watch.min(longest),
@@ -157,7 +162,7 @@
         if order == BootOrder::Same {
             worker.acknowledged = worker.acknowledged.max(hold.seen);
         }
-        worker.hear(report.clock, now);
+        worker.record_clock(report.clock, now);
         self.report(name, hold.sent, report);
     }
 
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -57,9 +57,9 @@
         let fits = worker.fits(Resources::default());
         let cordoned = worker.cordoned;
         // Begun at full pace, it would keep a tail up that is over its target already.
-        let presses = current.is_some_and(|s| s.best_effort) && worker.over_target();
-        let lease = match worker.open(now) && fits && !presses && !gives_up {
-            true => worker.grant(span, now),
+        let presses = current.is_some_and(|s| s.best_effort) && worker.is_over_target();
+        let lease = match worker.accepts_tasks(now) && fits && !presses && !gives_up {
+            true => worker.grant_lease(span, now),
             false => None,
         };
         let (Some(lease), Some(permit), Some(placement)) =
@@ -243,7 +243,7 @@
         let now = self.now.steady;
         let mut again = Vec::new();
         for (name, worker) in &mut self.workers {
-            if !worker.answering(now) {
+            if !worker.is_answering(now) {
                 continue;
             }
             let address = worker.listing.address;
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -87,7 +87,7 @@
     /// Returns the tasks that are most unlike the others of their workers, for each
     /// worker one of each image at most.
     fn misfits(&self, distances: &ImageDistances) -> Vec<Misfit> {
-        let open = |w: &&Worker| w.promise.is_none() && w.open(self.now.steady);
+        let open = |w: &&Worker| w.promise.is_none() && w.accepts_tasks(self.now.steady);
         let workers = self.workers.values().filter(open);
         let mut misfits: Vec<Misfit> = workers
             .flat_map(|w| self.misfits_of(w, distances))
--- a/src/sched/tests/throttling.rs
+++ b/src/sched/tests/throttling.rs
@@ -227,9 +227,9 @@
 fn a_serving_task_without_a_tail_keeps_no_fillers_away() {
     let mut world = silent_world();
     report_tails(&mut world, &[150, 150]);
-    assert!(world.owner.workers["w0"].over_target());
+    assert!(world.owner.workers["w0"].is_over_target());
     report_tails(&mut world, &[0, 0, 0]);
-    assert!(!world.owner.workers["w0"].over_target());
+    assert!(!world.owner.workers["w0"].is_over_target());
 }
 
 /// Draws how tasks press on each other and how many orders get lost, and returns the longest
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -160,7 +160,7 @@
 
     /// Halts a filler beside a task over its target without waiting for the next report.
     pub(super) fn halt_run(&mut self, name: &Name, key: TaskKey) {
-        let Some(worker) = self.workers.get(name).filter(|w| w.over_target()) else {
+        let Some(worker) = self.workers.get(name).filter(|w| w.is_over_target()) else {
             return;
         };
         let mut begun = fillers(worker);
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -208,7 +208,7 @@
 
     /// Returns true when its entry is of the life that is known, as far as that is told:
     /// room, labels and whether it leaves are those of one life.
-    pub fn listed_itself(&self) -> bool {
+    pub fn listing_is_current(&self) -> bool {
         match (self.listing.boot, self.boot) {
             (Some(listed), Some(known)) => listed == known,
             _ => true,
@@ -216,12 +216,12 @@
     }
 
     /// Returns true when it is certain that the known life takes the next order.
-    pub fn certain(&self) -> bool {
+    pub fn is_incarnation_certain(&self) -> bool {
         self.missed_polls == 0 && !self.unverified
     }
 
     /// Puts a task there.
-    pub fn put(&mut self, key: TaskKey, placement: Placement) {
+    pub fn insert(&mut self, key: TaskKey, placement: Placement) {
         self.allocated = self.allocated.plus(placement.resources);
         self.wanted_cpu += placement.soft;
         self.lasting_tasks += u32::from(placement.lasting);
@@ -233,14 +233,14 @@
     }
 
     /// Takes a task away.
-    pub fn take(&mut self, key: TaskKey, now: Millis) {
+    pub fn remove(&mut self, key: TaskKey, now: Millis) {
         let Some(placement) = self.placements.remove(&key) else {
             return;
         };
         self.colocation.release(key, &placement);
-        self.settle_isolation();
+        self.update_isolation();
         if placement.best_effort && placement.has_run() {
-            let share = self.share(&placement);
+            let share = self.cpu_share(&placement);
             self.recently_ended
                 .record(&placement.image, share, placement.since, now);
         }
@@ -253,7 +253,7 @@
     }
 
     /// Ends the isolation once no suspect is there.
-    fn settle_isolation(&mut self) {
+    fn update_isolation(&mut self) {
         if self.isolated_job.is_some() {
             let mut suspects = self.placements.iter().filter(|(_, run)| run.suspect);
             self.isolated_job = suspects.next().map(|(key, _)| key.job);
@@ -261,7 +261,7 @@
     }
 
     /// Clears the suspects for which `lasted` is true, and returns them.
-    pub fn clear(&mut self, lasted: impl Fn(&Placement) -> bool) -> Vec<TaskKey> {
+    pub fn clear_suspects(&mut self, lasted: impl Fn(&Placement) -> bool) -> Vec<TaskKey> {
         let mut cleared = Vec::new();
         for (key, run) in &mut self.placements {
             if run.suspect && lasted(run) {
@@ -269,7 +269,7 @@
                 cleared.push(*key);
             }
         }
-        self.settle_isolation();
+        self.update_isolation();
         cleared
     }
 
@@ -280,18 +280,18 @@
     }
 
     /// Returns true while a serving task there is over its target: it takes no fillers.
-    pub fn over_target(&self) -> bool {
+    pub fn is_over_target(&self) -> bool {
         self.over_target_since.is_some()
     }
 
     /// Returns the share of the worker's processors that a run there uses.
-    pub fn share(&self, run: &Placement) -> f64 {
+    pub fn cpu_share(&self, run: &Placement) -> f64 {
         let allowed = || run.cpu * u64::from(run.speed) / u64::from(FULL_SPEED);
         run.in_use.unwrap_or_else(allowed) as f64 / self.listing.capacity.cpu.max(1) as f64
     }
 
     /// Takes in how busy a serving task was.
-    pub fn measure(&mut self, key: TaskKey, gauge: Gauge) {
+    pub fn update_gauge(&mut self, key: TaskKey, gauge: Gauge) {
         self.colocation.set_own_load(key, gauge.own_load);
         if let Some(placement) = self.placements.get_mut(&key) {
             placement.gauge = Some(gauge);
@@ -308,7 +308,7 @@
     }
 
     /// Returns the processor share that work other than fillers takes.
-    pub fn taken(&self) -> u64 {
+    pub fn busy_cpu(&self) -> u64 {
         self.allocated.cpu - self.colocation.idle_cpu
     }
 
@@ -318,14 +318,14 @@
     }
 
     /// Returns true when it fits beside that and what was promised to another.
-    pub fn spares(&self, key: TaskKey, resources: Resources) -> bool {
+    pub fn fits_beside_reservation(&self, key: TaskKey, resources: Resources) -> bool {
         let other = self.promise.as_ref().filter(|p| p.key != key);
         self.fits(other.map_or(resources, |p| resources.plus(p.resources)))
     }
 
     /// Returns how many runs there never give way: fillers, and those that last unless
     /// some of these can be spared.
-    pub fn staying(&self, spare: bool) -> usize {
+    pub fn non_preemptible(&self, spare: bool) -> usize {
         let fillers = self.colocation.best_effort.len();
         let both = self
             .colocation
@@ -340,7 +340,7 @@
     }
 
     /// Returns the task for which room is kept there.
-    pub fn promised(&self) -> Option<TaskKey> {
+    pub fn reserved_task(&self) -> Option<TaskKey> {
         self.promise.as_ref().map(|p| p.key)
     }
 
@@ -352,7 +352,7 @@
     }
 
     /// Returns how much of a room is free, in thousandths of its scarcest part.
-    pub fn free(&self, resources: Resources) -> u64 {
+    pub fn headroom(&self, resources: Resources) -> u64 {
         let all = self.listing.capacity;
         let part = |all: u64, used: u64, wanted: u64| match wanted {
             0 => u64::MAX,
@@ -364,31 +364,31 @@
     }
 
     /// Returns true when new tasks may be sent there.
-    pub fn open(&self, now: Millis) -> bool {
+    pub fn accepts_tasks(&self, now: Millis) -> bool {
         let offered = !matches!(self.presence, Presence::Removed | Presence::Unusable);
         offered
             && self.leaves_at.is_none()
-            && self.answering(now)
+            && self.is_answering(now)
             && now >= self.quarantined_until
             && !self.unknown_runs
             && !self.cordoned
             && !self.unverified
-            && self.listed_itself()
+            && self.listing_is_current()
     }
 
     /// Returns true while it answers.
-    pub fn answering(&self, now: Millis) -> bool {
+    pub fn is_answering(&self, now: Millis) -> bool {
         self.last_answer > 0 && self.missed_polls == 0 && now < self.last_answer + SILENT_AFTER
     }
 
     /// Takes in a report of its clock.
-    pub fn hear(&mut self, clock: Millis, now: Millis) {
+    pub fn record_clock(&mut self, clock: Millis, now: Millis) {
         self.clock_reading = Some(ClockReading { clock, at: now });
         self.last_answer = now;
     }
 
     /// Returns the time on its clock at which a lease of `span` ends, and counts it as given.
-    pub fn grant(&mut self, span: Millis, now: Millis) -> Option<Millis> {
+    pub fn grant_lease(&mut self, span: Millis, now: Millis) -> Option<Millis> {
         let heard = self.clock_reading?;
         let clock = heard.clock + (now - heard.at) * CLOCK_RATE / 100;
         let end = clock + span;
@@ -403,7 +403,7 @@
     }
 
     /// Returns the highest end up to which all are in the store.
-    fn stored(&self) -> u64 {
+    fn last_stored_completion(&self) -> u64 {
         match self.pending_completions.first() {
             Some(first) => first - 1,
             None => self.last_completion,
@@ -412,9 +412,9 @@
 
     /// Returns up to which end it may forget now; 0 for none. It is told once, and only
     /// where it is certain which life hears it: a later one would forget ends of its own.
-    pub fn seen(&self) -> u64 {
-        let stored = self.stored();
-        match self.certain() && stored > self.acknowledged {
+    pub fn next_acknowledgement(&self) -> u64 {
+        let stored = self.last_stored_completion();
+        match self.is_incarnation_certain() && stored > self.acknowledged {
             true => stored,
             false => 0,
         }
