--- a/src/sched/breaches.rs
+++ b/src/sched/breaches.rs
@@ -1,4 +1,4 @@
-//! Spells in which serving tasks are over their latency target.
+//! Breaches of the latency targets of serving tasks: detection, log lines and metrics.
 
 use super::job::TaskKey;
 use super::owner::Owner;
@@ -10,27 +10,28 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds after which a spell is logged.
-const LOGGED: Millis = 1_000;
+/// Milliseconds after which a breach is logged.
+const LOG_AFTER: Millis = 1_000;
 
-/// A time in which a serving task is over its target.
+/// A period in which a serving task is over its latency target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Breach {
-    /// When a report showed it first.
+    /// When a report first showed it.
     pub since: Millis,
-    /// When a report showed it last.
+    /// When a report last showed it.
     pub last: Millis,
     /// True when the last report shows it.
     pub current: bool,
-    /// True once it was logged.
+    /// True once it has been logged.
     logged: bool,
 }
 
 impl Breach {
-    /// Returns the spell after a report; `over` when that shows a tail over the target.
+    /// Returns the breach after a report, where `over` tells whether the tail is over the target.
     ///
-    /// Gauges are rough: one below the target ends no spell, unless everything beside the
-    /// task was halted, which is after `halt` milliseconds.
+    /// Gauges are imprecise: a tail below the target ends a breach only a gauge window after the
+    /// last tail above it, or once the breach has lasted `halt` milliseconds, when everything
+    /// beside the serving task is halted.
     pub fn after_report(
         before: Option<Self>,
         over: bool,
@@ -61,14 +62,14 @@
         }
     }
 
-    /// Returns its length so far, in milliseconds.
+    /// Returns the milliseconds from the start of the breach until `now`.
     pub fn duration(self, now: Millis) -> Millis {
         now - self.since
     }
 }
 
 impl Owner {
-    /// Logs a spell that goes on and one that has ended, and counts the latter.
+    /// Logs an ongoing or ended breach of a serving task, and records the length of an ended one.
     pub(super) fn report_breach(&mut self, name: &Name, key: TaskKey, before: Option<Breach>) {
         let now = self.now.steady;
         let Some(worker) = self.workers.get(name) else {
@@ -83,10 +84,10 @@
         let (task, run, target) = (self.task_name(key), placement.run, placement.target);
         let (tail, own) = (gauge.tail, gauge.own_load);
         match (before, gauge.breach) {
-            (_, Some(breach)) if !breach.logged && breach.duration(now) >= LOGGED => {
+            (_, Some(breach)) if !breach.logged && breach.duration(now) >= LOG_AFTER => {
                 let beside = self.best_effort_text(worker);
                 log::info!(target: "task", "task={task} run={run} event=over-target worker={name} tail_ms={tail} target_ms={target} over_ms={} own_load={own:.2} beside={beside}", breach.duration(now));
-                self.mark_logged(name, key);
+                self.mark_breach_logged(name, key);
             }
             (Some(breach), None) => {
                 let seconds = breach.duration(breach.last) as f64 / 1_000.0;
@@ -100,8 +101,9 @@
         }
     }
 
-    /// Takes in that a serving task reports no tail, as it has no users or does not run yet:
-    /// its worker would be kept from fillers for good.
+    /// Handles a report of a serving task without a tail, as when the task has no users or does
+    /// not run yet. Without this its breach would never end, and its worker would never get
+    /// best-effort tasks again.
     pub(super) fn record_missing_tail(&mut self, name: &Name, run: &ReportedRun<'_>) {
         let now = self.now.steady;
         let (Some(key), Some(worker)) = (run.key, self.workers.get_mut(name)) else {
@@ -118,7 +120,7 @@
         self.report_breach(name, key, before);
     }
 
-    fn mark_logged(&mut self, name: &Name, key: TaskKey) {
+    fn mark_breach_logged(&mut self, name: &Name, key: TaskKey) {
         let worker = self.workers.get_mut(name);
         let placement = worker.and_then(|w| w.placements.get_mut(&key));
         let gauge = placement.and_then(|p| p.gauge.as_mut());
@@ -127,10 +129,12 @@
         }
     }
 
-    /// Returns the fillers of a worker for log lines: task, stage, ordered pace in percent
-    /// and its age in milliseconds, processors used by the last report over those wished for.
+    /// Returns the best-effort tasks of a worker for log lines: task, stage, ordered speed in
+    /// percent and milliseconds since that order, millicores used by the last report over those
+    /// used at full speed. After the speed, `+` means that the order has no answer yet, and `?`
+    /// that the run may have another speed.
     fn best_effort_text(&self, worker: &Worker) -> String {
-        let fillers = worker.placements.iter().filter(|(_, p)| p.best_effort);
+        let placements = worker.placements.iter().filter(|(_, p)| p.best_effort);
         let text = |(key, p): (&TaskKey, &Placement)| {
             let used = p.in_use.map_or("?".into(), |used| used.to_string());
             let age = self.now.steady - p.throttled_at;
@@ -142,16 +146,16 @@
             format!(
                 "{}:{}:{}{pending}@{age}:{used}/{}",
                 self.task_name(*key),
-                p.stage.word(),
+                p.stage.label(),
                 p.speed,
                 p.cpu
             )
         };
-        let all: Vec<String> = fillers.map(text).collect();
+        let all: Vec<String> = placements.map(text).collect();
         all.join(",")
     }
 
-    /// Sets the gauge of the longest spell that goes on.
+    /// Sets the metric of the longest ongoing breach.
     pub(super) fn export_longest_breach(&self) {
         let breaches = self.workers.values().filter_map(|w| w.over_target_since);
         let longest = breaches.min().map_or(0, |since| self.now.steady - since);
@@ -160,8 +164,8 @@
 }
 
 impl Stage {
-    /// Returns its word in log lines.
-    fn word(self) -> &'static str {
+    /// Returns the name of the stage in log lines.
+    fn label(self) -> &'static str {
         match self {
             Self::Inherited => "inherited",
             Self::Recording => "recording",
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -1,5 +1,5 @@
-//! What workers report of their load: the tails of serving tasks, and what fillers
-//! use beside them.
+//! Gauges in workers' reports: tail latencies of serving tasks, and the processor use of
+//! best-effort tasks beside them.
 
 use super::breaches::Breach;
 use super::interference::ImageNumber;
@@ -10,26 +10,28 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Tail of an idle server as a part of the target. Targets are set at several
+/// Tail latency of an idle server as a fraction of the latency target. Targets are set at several
 /// times the idle tail.
-const IDLE: f64 = 0.2;
-/// Highest busy share that a tail can tell of; above it the queue only grows.
-const BUSIEST: f64 = 0.98;
-/// Part of its target, of a hundred, from which a serving task counts as over
-/// it: gauges are rough.
-const NEAR: Millis = 95;
-/// Whole of such a part.
-const WHOLE: Millis = 100;
+const IDLE_TAIL: f64 = 0.2;
+/// Highest busy share that a tail indicates; above it the queue only grows.
+const MAX_BUSY: f64 = 0.98;
+/// Percentage of its latency target above which a serving task counts as over the target,
+/// because gauges are imprecise.
+const OVER_PERCENT: Millis = 95;
+/// The whole of a percentage.
+const WHOLE_PERCENT: Millis = 100;
 
-/// Returns the busy share that a measured tail tells of.
+/// Returns the busy share of a server that its measured tail latency indicates.
 fn busy_share(tail: Millis, target: Millis) -> f64 {
-    let idle = IDLE * target as f64;
-    (1.0 - idle / (tail as f64).max(idle)).min(BUSIEST)
+    let idle = IDLE_TAIL * target as f64;
+    (1.0 - idle / (tail as f64).max(idle)).min(MAX_BUSY)
 }
 
 impl Owner {
-    /// Takes in what running fillers of a worker use, and returns what fillers have
-    /// used there over the last half second.
+    /// Records the processor use of the running best-effort tasks of a worker.
+    ///
+    /// Returns the shares that best-effort tasks used there over the last gauge window, by image;
+    /// they are empty for a worker without serving tasks.
     pub(super) fn record_cpu_use(
         &mut self,
         name: &Name,
@@ -50,7 +52,7 @@
             let Some(placement) = placement.filter(|p| p.best_effort && p.run == run.run) else {
                 continue;
             };
-            if placement.use_processors(run.gauge, self.now.steady) {
+            if placement.update_cpu_use(run.gauge, self.now.steady) {
                 let (percent, cpu) = (placement.speed, placement.cpu);
                 log::info!(target: "task", "task={} run={} event=pace-not-kept worker={name} percent={percent} in_use={} cpu={cpu}", run.task, run.run, run.gauge);
             }
@@ -60,7 +62,9 @@
         mix
     }
 
-    /// Takes in the gauge of a serving task and returns it with the number of its image.
+    /// Records the tail of a serving task and learns the interference on it.
+    ///
+    /// Returns the task's gauge with the number of its image.
     pub(super) fn record_tail(
         &mut self,
         name: &Name,
@@ -78,7 +82,7 @@
         let busy = busy_share(run.gauge, placement.target);
         let image = placement.image.clone();
         let step = key.step_key();
-        if busy < BUSIEST
+        if busy < MAX_BUSY
             && let Some(others) = self.own_loads.estimate_from_others(step, key.index, now)
         {
             let taken = busy - others.load;
@@ -94,7 +98,7 @@
             .load
             .clamp(0.0, busy);
         let before = placement.gauge.as_ref().and_then(|g| g.breach);
-        let over = run.gauge * WHOLE > placement.target * NEAR;
+        let over = run.gauge * WHOLE_PERCENT > placement.target * OVER_PERCENT;
         let gauge = Gauge {
             busy,
             tail: run.gauge,
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -1,8 +1,8 @@
-//! The paces of fillers beside serving tasks, out of the tails that workers report.
+//! Throttling of best-effort tasks beside serving tasks, based on reported tail latencies.
 //!
-//! Fillers are slowed until the own load of each serving task and the pressure on
-//! it are at a goal; when a tail stays over its target, they are halted whatever
-//! was learned.
+//! Best-effort tasks are slowed until the own load of each serving task plus the interference on
+//! it is at a goal. When a tail stays over its latency target, they are halted regardless of what
+//! the interference model expects.
 
 use super::incarnation::Incarnation;
 use super::interference::{ImageNumber, InterferenceModel};
@@ -16,72 +16,73 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Pace of a run that is not slowed, in percent.
+/// Speed of a run that is not throttled, in percent.
 pub const FULL_SPEED: u32 = 100;
 
-/// Busy share to which fillers are slowed: just under the target, so that tails do not
-/// settle on it.
-const GOAL: f64 = 0.78;
-/// Busy share above which fillers are slowed at once.
-const HIGH: f64 = 0.80;
-/// Added to both while much waits, as the capacity for fillers changes steeply with the goal.
-/// Tails pass their targets meanwhile, until they are halted.
-const STRETCH: f64 = 0.06;
-/// Part below which a filler is not worth slowing.
-const SLIGHT: f64 = 0.02;
-/// Milliseconds after an order from which reports show the pace: it changes within a tenth of
-/// a second, and gauges span half of one.
-const SETTLED: Millis = 1_000;
-/// Part of what its pace allows that a filler may report beyond that, as gauges are rough.
-const SLACK_PART: u64 = 4;
-/// Part of its processors that a halted filler may report.
-const STILL_PART: u64 = 16;
-/// Paces are ordered in steps of so many percent, to save orders.
-const STEP: u32 = 20;
+/// Busy share to which best-effort tasks are slowed: just under the share at which a tail is at
+/// its target, so that tails do not settle on the target.
+const GOAL_BUSY: f64 = 0.78;
+/// Busy share above which best-effort tasks are slowed at once.
+const HIGH_BUSY: f64 = 0.80;
+/// Added to both shares at a full backlog, because the capacity for best-effort tasks changes
+/// steeply with the goal. Tails exceed their targets meanwhile, until the tasks are halted.
+const BACKLOG_MARGIN: f64 = 0.06;
+/// Busy share caused by a best-effort task below which slowing it is not worthwhile.
+const MIN_LOAD: f64 = 0.02;
+/// Milliseconds after an order from which reports show the new speed: it takes effect within
+/// 100 ms, and gauges span 500 ms.
+const SETTLE_TIME: Millis = 1_000;
+/// A run may report this fraction (1/n) more than its speed allows, because gauges are imprecise.
+const SLACK_DIVISOR: u64 = 4;
+/// A halted run may still report this fraction (1/n) of its processors.
+const HALTED_DIVISOR: u64 = 16;
+/// Speeds are ordered in steps of this many percent, to save orders.
+const SPEED_STEP: u32 = 20;
 
-/// A running filler while its pace is decided.
-struct Filler {
+/// A running best-effort task whose speed is being decided.
+struct BestEffortRun {
     key: TaskKey,
     image: ImageNumber,
-    /// Share of the worker's processors at full pace.
+    /// Share of the worker's processors at full speed.
     share: f64,
-    /// Present pace, as a fraction.
+    /// Current speed, as a fraction.
     speed: f64,
-    /// Pace it should have, as a fraction.
+    /// Wanted speed, as a fraction.
     wanted: f64,
 }
 
-/// Lowers the wished paces until a victim of this own load would be at its
-/// goal, those that press most first.
-fn limit(
+/// Lowers the wanted speeds until a serving task of the image `victim` with this own load is at
+/// its goal, starting with the runs that cause the most interference.
+fn limit_speeds(
     model: &InterferenceModel,
-    fillers: &mut [Filler],
+    runs: &mut [BestEffortRun],
     victim: ImageNumber,
-    own: f64,
+    own_load: f64,
     goal: f64,
 ) {
-    let part = |f: &Filler| model.factor(victim, f.image) * f.share;
-    let wanted: f64 = fillers.iter().map(|f| part(f) * f.wanted).sum();
-    let mut excess = own + wanted - goal;
-    let mut order: Vec<(f64, &mut Filler)> = fillers.iter_mut().map(|f| (part(f), f)).collect();
+    let load = |run: &BestEffortRun| model.factor(victim, run.image) * run.share;
+    let wanted: f64 = runs.iter().map(|run| load(run) * run.wanted).sum();
+    let mut excess = own_load + wanted - goal;
+    let mut order: Vec<(f64, &mut BestEffortRun)> =
+        runs.iter_mut().map(|run| (load(run), run)).collect();
     order.sort_by(|a, b| b.0.total_cmp(&a.0));
-    for (part, filler) in order {
-        if excess <= 0.0 || part < SLIGHT {
+    for (load, run) in order {
+        if excess <= 0.0 || load < MIN_LOAD {
             return;
         }
-        let cut = (excess / part).min(filler.wanted);
-        filler.wanted -= cut;
-        excess -= cut * part;
+        let cut = (excess / load).min(run.wanted);
+        run.wanted -= cut;
+        excess -= cut * load;
     }
 }
 
-/// Returns the running fillers of a worker, all wished at full pace.
-fn fillers(worker: &Worker) -> Vec<Filler> {
+/// Returns the running best-effort tasks of a worker, all wanted at full speed.
+fn best_effort_runs(worker: &Worker) -> Vec<BestEffortRun> {
     let capacity = worker.listing.capacity.cpu.max(1) as f64;
-    let fillers = worker.placements.iter().filter(|(_, s)| s.best_effort);
-    fillers
-        .filter(|(_, s)| s.running())
-        .map(|(key, placement)| Filler {
+    let placements = worker.placements.iter().filter(|(_, p)| p.best_effort);
+    placements
+        .filter(|(_, p)| p.running())
+        .map(|(key, placement)| BestEffortRun {
             key: *key,
             image: placement.image_number,
             share: placement.cpu as f64 / capacity,
@@ -91,124 +92,125 @@
         .collect()
 }
 
-/// Returns true when a run reports a use of processors that its pace does not allow, or uses
-/// hardly any at a pace that would.
-fn deviates(placement: &Placement, in_use: u64, now: Millis) -> bool {
-    let settled = placement.running() && now >= placement.throttled_at + SETTLED;
+/// Returns true when a run reports more processor use than its speed allows, or none at a speed
+/// of more than half.
+fn contradicts_speed(placement: &Placement, in_use: u64, now: Millis) -> bool {
+    let settled = placement.running() && now >= placement.throttled_at + SETTLE_TIME;
     let allowed = placement.cpu * u64::from(placement.speed) / u64::from(FULL_SPEED);
-    let slack = allowed / SLACK_PART + placement.cpu / STILL_PART;
-    let more = in_use > allowed + slack;
-    let stands = allowed > placement.cpu / 2 && in_use == 0;
-    settled && !placement.throttle_pending && (more || stands)
+    let slack = allowed / SLACK_DIVISOR + placement.cpu / HALTED_DIVISOR;
+    let too_fast = in_use > allowed + slack;
+    let idle = allowed > placement.cpu / 2 && in_use == 0;
+    settled && !placement.throttle_pending && (too_fast || idle)
 }
 
 impl Placement {
-    /// Takes in the processors that a filler uses by a report; returns true when that shows
-    /// for the first time that it does not keep its pace, as after an order that came late.
-    pub(super) fn use_processors(&mut self, in_use: u64, now: Millis) -> bool {
+    /// Records the millicores that a best-effort run uses by a report.
+    ///
+    /// Returns true when the report is the first that contradicts the ordered speed, as happens
+    /// after an order that took effect late.
+    pub(super) fn update_cpu_use(&mut self, in_use: u64, now: Millis) -> bool {
         self.in_use = Some(in_use);
-        let deviates = deviates(self, in_use, now);
-        let news = deviates && self.speed_confirmed;
-        self.speed_confirmed &= !deviates;
-        news
+        let contradicts = contradicts_speed(self, in_use, now);
+        let first = contradicts && self.speed_confirmed;
+        self.speed_confirmed &= !contradicts;
+        first
     }
 }
 
 impl Owner {
-    /// Takes in the gauges of a worker's tasks, and slows or speeds up its fillers.
+    /// Records the gauges of a worker's tasks, and slows or speeds up its best-effort tasks.
     pub(super) fn adjust_speeds(&mut self, name: &Name, running: &[ReportedRun<'_>]) {
         let mix = self.record_cpu_use(name, running);
         let Some(worker) = self.workers.get(name) else {
             return;
         };
-        let mut fillers = fillers(worker);
-        let stretch = self.backlog_level * STRETCH;
+        let mut runs = best_effort_runs(worker);
+        let margin = self.backlog_level * BACKLOG_MARGIN;
         let (halt, now) = (self.bounds.halt(), self.now.steady);
         let mut high = false;
-        for run in running {
-            if run.run.gauge == 0 {
-                self.record_missing_tail(name, run);
+        for reported in running {
+            if reported.run.gauge == 0 {
+                self.record_missing_tail(name, reported);
                 continue;
             }
-            let Some((victim, gauge)) = self.record_tail(name, run, &mix) else {
+            let Some((victim, gauge)) = self.record_tail(name, reported, &mix) else {
                 continue;
             };
-            let part = |f: &Filler| self.interference.factor(victim, f.image) * f.share * f.speed;
-            let expected = gauge.own_load + fillers.iter().map(part).sum::<f64>();
-            high |= gauge.busy.max(expected) > HIGH + stretch;
+            let load = |run: &BestEffortRun| {
+                self.interference.factor(victim, run.image) * run.share * run.speed
+            };
+            let expected = gauge.own_load + runs.iter().map(load).sum::<f64>();
+            high |= gauge.busy.max(expected) > HIGH_BUSY + margin;
             if gauge
                 .breach
                 .is_some_and(|breach| breach.current && breach.duration(now) >= halt)
             {
-                fillers.iter_mut().for_each(|f| f.wanted = 0.0);
+                runs.iter_mut().for_each(|run| run.wanted = 0.0);
                 high = true;
             }
             if !self.bounds.mechanisms.throttle {
                 continue;
             }
-            let goal = GOAL + stretch;
-            limit(
-                &self.interference,
-                &mut fillers,
-                victim,
-                gauge.own_load,
-                goal,
-            );
+            let goal = GOAL_BUSY + margin;
+            limit_speeds(&self.interference, &mut runs, victim, gauge.own_load, goal);
         }
-        self.order_speeds(name, &fillers, high);
+        self.order_speeds(name, &runs, high);
     }
 
-    /// Halts a filler beside a task over its target without waiting for the next report.
+    /// Halts a best-effort run without waiting for the next report, if a serving task of its
+    /// worker is over its latency target.
     pub(super) fn halt_run(&mut self, name: &Name, key: TaskKey) {
         let Some(worker) = self.workers.get(name).filter(|w| w.is_over_target()) else {
             return;
         };
-        let mut begun = fillers(worker);
-        begun.retain(|f| f.key == key);
-        begun.iter_mut().for_each(|f| f.wanted = 0.0);
-        self.order_speeds(name, &begun, true);
+        let mut runs = best_effort_runs(worker);
+        runs.retain(|run| run.key == key);
+        runs.iter_mut().for_each(|run| run.wanted = 0.0);
+        self.order_speeds(name, &runs, true);
     }
 
-    /// Orders the paces that fillers of a worker should have.
-    fn order_speeds(&mut self, name: &Name, fillers: &[Filler], high: bool) {
+    /// Orders changes of speed for the runs of a worker that do not have the wanted speed.
+    ///
+    /// `high` is true while a serving task there is too busy or over its target for too long.
+    fn order_speeds(&mut self, name: &Name, runs: &[BestEffortRun], high: bool) {
         let epoch = self.journal.epoch();
-        for filler in fillers {
-            let wanted = (filler.wanted * f64::from(FULL_SPEED)) as u32 / STEP * STEP;
+        for run in runs {
+            let wanted = (run.wanted * f64::from(FULL_SPEED)) as u32 / SPEED_STEP * SPEED_STEP;
             let Some(worker) = self.workers.get_mut(name) else {
                 return;
             };
             let (address, incarnation) = (worker.listing.address, worker.incarnation());
-            let Some(placement) = worker.placements.get_mut(&filler.key) else {
+            let Some(placement) = worker.placements.get_mut(&run.key) else {
                 continue;
             };
-            // A pace is lowered only while a tail is high.
+            // Speeds are lowered only while `high` is true.
             let changes = wanted > placement.speed
                 || (high && wanted < placement.speed)
                 || !placement.speed_confirmed;
             let Some(job) = self
                 .jobs
-                .get(&filler.key.job)
+                .get(&run.key.job)
                 .filter(|_| changes && !placement.throttle_pending)
             else {
                 continue;
             };
             placement.throttle_pending = true;
             placement.throttled_at = self.now.steady;
-            log::debug!(target: "task", "task={} run={} event=pace percent={wanted}", job.task_name(filler.key), placement.run);
+            log::debug!(target: "task", "task={} run={} event=pace percent={wanted}", job.task_name(run.key), placement.run);
             metrics::get().paces.inc();
             self.actions.push(Action::Throttle(Throttle {
-                key: filler.key,
+                key: run.key,
                 run: placement.run,
                 incarnation,
                 address,
-                task: job.task_name(filler.key),
+                task: job.task_name(run.key),
                 epoch,
                 percent: wanted,
             }));
         }
     }
 
-    /// Takes in how a change of pace went.
+    /// Handles the reply to a throttle order, `percent` being the ordered speed.
     pub(super) fn throttle_answered(
         &mut self,
         key: TaskKey,
@@ -232,11 +234,11 @@
                 placement.speed_confirmed = true;
             }
             reply => {
-                // It may be carried out, now or seconds later.
+                // The worker may still apply the order, now or seconds later.
                 placement.speed_confirmed = false;
                 metrics::get().paces_missed.inc();
                 log::info!(target: "task", "task={} run={run} event=pace-missed percent={percent} worker={name} reply={reply:?}", self.task_name(key));
-                // The next report asks for it again; a halt does not wait for that.
+                // The next report orders the speed again; a halt does not wait for that.
                 if reply == Reply::Lost && percent == 0 {
                     self.halt_run(name, key);
                 }
