--- a/benches/orders.rs
+++ b/benches/orders.rs
@@ -9,7 +9,7 @@
 
 use willowpoint::platform::worker::Workers;
 use willowpoint::sched::incarnation::Incarnation;
-use willowpoint::sched::message::{Hold, Reply};
+use willowpoint::sched::message::{Poll, Reply};
 
 const ROUNDS: usize = 20_000;
 const AT_ONCE: usize = 64;
@@ -59,7 +59,7 @@
 async fn exchange(workers: &Workers, address: SocketAddr, count: usize) -> usize {
     let mut whole = 0;
     for seen in 0..count {
-        let hold = Hold {
+        let hold = Poll {
             incarnation: Incarnation {
                 id: "i-0a5d8fc929".into(),
                 boot: None,
--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -13,8 +13,8 @@
 use willowpoint::sched::journal::{Journal, OwnerRow};
 use willowpoint::sched::mechanisms::Mechanisms;
 use willowpoint::sched::message::{
-    Action, Ended, Entry, Event, Hold, How, JobRequest, Reply, Report, Running, Start, Word,
-    Written,
+    Action, ActiveRun, CommitOutcome, DirectoryEntry, EndedRun, Event, JobRequest, OrderAck, Poll,
+    Reply, Report, RunOutcome, Start,
 };
 use willowpoint::sched::owner::{Bounds, Now, Owner};
 use willowpoint::sched::spec::{JobSpec, Resources, StepSpec};
@@ -89,9 +89,9 @@
 #[derive(Default)]
 struct Worker {
     running: BTreeMap<Name, Run>,
-    ended: Vec<Ended>,
+    ended: Vec<EndedRun>,
     last: u64,
-    waiting: Option<Hold>,
+    waiting: Option<Poll>,
 }
 
 struct World {
@@ -178,7 +178,7 @@
             world.at(first, Due::Beat(listing.clone()));
         }
         let entries = listings.into_iter();
-        let entries = entries.map(|l| (l.id.clone(), Entry::Listed(l)));
+        let entries = entries.map(|l| (l.id.clone(), DirectoryEntry::Listed(l)));
         world.at(1, Due::Tell(Event::Directory(entries.collect())));
         let page = HistoryPage {
             last: true,
@@ -258,8 +258,8 @@
 
     fn beat(&mut self, listing: Listing) {
         self.at(self.now + HEARTBEAT, Due::Beat(listing.clone()));
-        let entry = (listing.id.clone(), Entry::Listed(listing));
-        self.step(Event::Listed(vec![entry]));
+        let entry = (listing.id.clone(), DirectoryEntry::Listed(listing));
+        self.step(Event::DirectoryChanged(vec![entry]));
     }
 
     fn step(&mut self, event: Event) {
@@ -283,7 +283,7 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Hold(hold) => {
+            Action::Poll(hold) => {
                 let (worker, sent) = (hold.incarnation.id.clone(), hold.sent);
                 let wait = hold.wait.min(POLL);
                 let ready = match self.workers.get_mut(&worker) {
@@ -317,16 +317,16 @@
                 self.at(self.now + CALL, Due::Tell(event));
             }
             Action::Commit { number, .. } => {
-                let event = Event::Written(number, Written::Done(number));
+                let event = Event::CommitEnded(number, CommitOutcome::Done(number));
                 self.at(self.now + COMMIT, Due::Tell(event));
             }
-            Action::Reply(..) | Action::Advise(_) => {}
+            Action::Reply(..) | Action::RequestAdvice(_) => {}
         }
     }
 
     /// Returns what a worker tells with an answer.
-    fn word(&self) -> Word {
-        Word {
+    fn word(&self) -> OrderAck {
+        OrderAck {
             clock: self.now,
             boot: Some(1),
         }
@@ -372,11 +372,11 @@
         }
         w.running.remove(&task);
         w.last += 1;
-        w.ended.push(Ended {
+        w.ended.push(EndedRun {
             number: w.last,
             task,
             run,
-            how: How::Done,
+            how: RunOutcome::Done,
             saved: "".into(),
         });
         if let Some(sent) = w.waiting.as_ref().map(|h| h.sent) {
@@ -391,7 +391,7 @@
         let Some(hold) = w.waiting.take_if(|h| h.sent == sent) else {
             return;
         };
-        let running = w.running.iter().map(|(task, run)| Running {
+        let running = w.running.iter().map(|(task, run)| ActiveRun {
             task: task.clone(),
             run: run.run,
             saved: "".into(),
@@ -407,7 +407,7 @@
             running: running.collect(),
             ended: w.ended.clone(),
         };
-        self.step(Event::Held(hold, Reply::Ok(report)));
+        self.step(Event::Polled(hold, Reply::Ok(report)));
     }
 }
 
--- a/src/daemon/commits.rs
+++ b/src/daemon/commits.rs
@@ -9,7 +9,7 @@
 use super::owner_row::read_owner;
 use super::shared::{STORE_PART, Shared};
 use crate::sched::journal::{OWNER_KEY, OWNER_TABLE};
-use crate::sched::message::{Write, Written};
+use crate::sched::message::{CommitOutcome, Write};
 use crate::utils::clock::{self, Millis};
 
 /// Timeout of a commit in milliseconds: twice the time that a store 60 times slower than usual
@@ -27,7 +27,7 @@
     version: u64,
     writes: &[Write],
     limit: Millis,
-) -> Written {
+) -> CommitOutcome {
     crate::metrics::get().calls.inc();
     let condition = (OWNER_TABLE, OWNER_KEY.into(), version);
     shared
@@ -47,7 +47,7 @@
     version: u64,
     writes: &[Write],
     answer_wait: Millis,
-) -> Written {
+) -> CommitOutcome {
     let mut commit = pin!(commit_if_version(shared, version, writes, COMMIT_TIMEOUT));
     let pause = pin!(sleep(Duration::from_millis(answer_wait)));
     if let Either::Left((written, _)) = select(commit.as_mut(), pause).await {
@@ -65,11 +65,11 @@
         match stored {
             Ok(Some(stored)) if shared.is_own_row(&stored.row) && stored.row.seq >= number => {
                 log::info!(target: "store", "event=commit-found number={number} version={}", stored.version);
-                return Written::Done(stored.version);
+                return CommitOutcome::Done(stored.version);
             }
             Ok(_) if took < FAST_READ => {
                 log::info!(target: "store", "event=commit-in-doubt number={number} cause=\"no answer\"");
-                return Written::Unknown;
+                return CommitOutcome::Unknown;
             }
             Ok(_) => {}
             Err(e) => log::debug!(target: "store", "event=owner-unread cause=\"{e}\""),
--- a/src/daemon/feeds.rs
+++ b/src/daemon/feeds.rs
@@ -38,7 +38,7 @@
         let entries = directory::decode_entries(page, &shared.queues());
         let event = match whole {
             true => Event::Directory(entries),
-            false => Event::Listed(entries),
+            false => Event::DirectoryChanged(entries),
         };
         shared.send_to_owner(Message::Event(epoch, event));
     };
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -16,7 +16,7 @@
 use super::shared::{Shared, now};
 use super::term::Term;
 use crate::sched::failover;
-use crate::sched::message::{Action, Answer, Event, Ticket, Written};
+use crate::sched::message::{Action, Answer, CommitOutcome, Event, Ticket};
 use crate::sched::owner::Owner;
 use crate::utils::clock::{self, Millis};
 
@@ -156,7 +156,7 @@
 impl LocalOwner {
     /// Passes an event to the owner and performs the actions that it returns.
     fn apply_event(&mut self, shared: &Rc<Shared>, event: Event) {
-        if let Event::Written(_, written) = &event {
+        if let Event::CommitEnded(_, written) = &event {
             self.adapt_answer_wait(written);
         }
         let (kind, begun) = (event.kind(), clock::micros());
@@ -181,12 +181,12 @@
 
     /// Records how long the last commit took, and waits longer for the next one while the store
     /// is slow.
-    fn adapt_answer_wait(&mut self, written: &Written) {
+    fn adapt_answer_wait(&mut self, written: &CommitOutcome) {
         let took = clock::now() - self.commit_sent;
         let seconds = took as f64 / 1_000.0;
         crate::metrics::get().commit_seconds.observe(seconds);
         let wanted = match written {
-            Written::Unknown => self.answer_wait,
+            CommitOutcome::Unknown => self.answer_wait,
             _ => took * ANSWER_SPREAD,
         };
         self.answer_wait = wanted.clamp(*ANSWER_WAIT.start(), *ANSWER_WAIT.end());
@@ -202,10 +202,10 @@
                     let _ = reply.send(answer);
                 }
             }
-            Action::Hold(hold) => {
+            Action::Poll(hold) => {
                 spawn_call(shared, epoch, async move |shared| {
                     let reply = shared.workers.poll(&hold).await;
-                    Event::Held(hold, reply)
+                    Event::Polled(hold, reply)
                 });
             }
             Action::Start(start) => {
@@ -232,7 +232,7 @@
                     )
                 });
             }
-            Action::Advise(question) => {
+            Action::RequestAdvice(question) => {
                 spawn_call(shared, epoch, async move |shared| {
                     let reply = shared.advisor.advise(&question).await;
                     Event::Advised(question.step, question.workers, reply)
@@ -248,7 +248,7 @@
                 spawn_call(shared, epoch, async move |shared| {
                     let written =
                         commit_as_owner(&shared, number, version, &writes, answer_wait).await;
-                    Event::Written(number, written)
+                    Event::CommitEnded(number, written)
                 });
             }
         }
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -20,7 +20,7 @@
 use crate::sched::journal::{
     BELIEF_TABLE, JOB_TABLE, Journal, OWNER_KEY, OWNER_TABLE, OwnerRow, PRESSURE_KEY, SPEC_TABLE,
 };
-use crate::sched::message::{Write, Written};
+use crate::sched::message::{CommitOutcome, Write};
 use crate::sched::owner::{Kept, Owner};
 use crate::sched::predecessors::{PredecessorState, predecessors};
 use crate::sched::spec::JobSpec;
@@ -63,7 +63,7 @@
     let version = before.as_ref().map_or(0, |b| b.version);
     let sent = clock::now();
     match commit_if_version(shared, version, &[owner_write(&row)], ACQUIRE_TIMEOUT).await {
-        Written::Done(version) => take_over(shared, row, version, sent, before).await,
+        CommitOutcome::Done(version) => take_over(shared, row, version, sent, before).await,
         written => {
             log::info!(target: "member", "event=not-acquired epoch={} outcome={}", row.epoch, outcome_label(&written));
             match read_owner(shared).await {
@@ -79,12 +79,12 @@
 }
 
 /// Returns the outcome as logged.
-fn outcome_label(written: &Written) -> &'static str {
+fn outcome_label(written: &CommitOutcome) -> &'static str {
     match written {
-        Written::Done(_) => "done",
-        Written::Conflict(_) => "conflict",
-        Written::NotDone => "not-done",
-        Written::Unknown => "unknown",
+        CommitOutcome::Done(_) => "done",
+        CommitOutcome::Conflict(_) => "conflict",
+        CommitOutcome::NotDone => "not-done",
+        CommitOutcome::Unknown => "unknown",
     }
 }
 
--- a/src/platform/advice.rs
+++ b/src/platform/advice.rs
@@ -5,7 +5,7 @@
 use http::{Method, StatusCode};
 
 use super::wire::{self, AdviceReply};
-use crate::sched::message::{Advice, Advise, Refusal, Reply};
+use crate::sched::message::{Advice, AdviceRequest, Refusal, Reply};
 use crate::table::encode;
 use crate::utils::clock::Millis;
 use crate::web::WebError;
@@ -33,7 +33,7 @@
     }
 
     /// Asks which of some workers may run a step.
-    pub async fn advise(&self, question: &Advise) -> Reply<Advice> {
+    pub async fn advise(&self, question: &AdviceRequest) -> Reply<Advice> {
         let Some(address) = self.address else {
             log::error!(target: "task", "step={} event=no-advisor", question.name);
             return Reply::NotSent;
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -3,7 +3,7 @@
 use super::store::Page;
 use super::wire::WorkerEntry;
 use crate::queues::Queues;
-use crate::sched::message::Entry;
+use crate::sched::message::DirectoryEntry;
 use crate::sched::spec::Resources;
 use crate::sched::worker::Listing;
 use crate::table::{Row, decode};
@@ -31,15 +31,18 @@
 }
 
 /// Returns what the entries of a page say.
-pub fn decode_entries(page: Page, queues: &Queues) -> Vec<(Name, Entry)> {
-    let deleted = page.deleted.into_iter().map(|d| (d.key, Entry::Gone));
+pub fn decode_entries(page: Page, queues: &Queues) -> Vec<(Name, DirectoryEntry)> {
+    let deleted = page
+        .deleted
+        .into_iter()
+        .map(|d| (d.key, DirectoryEntry::Removed));
     let rows = page.rows.iter().map(|row| {
         let id = row.key.clone();
         match decode_listing(row, queues) {
-            Ok(listing) => (id, Entry::Listed(listing)),
+            Ok(listing) => (id, DirectoryEntry::Listed(listing)),
             Err(error) => {
                 log_unusable(&id, &error);
-                (id, Entry::Unusable)
+                (id, DirectoryEntry::Unusable)
             }
         }
     });
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -7,7 +7,7 @@
 use http::{Method, StatusCode};
 
 use super::wire::{self, Row, RowRef, Rows, Transaction};
-use crate::sched::message::{Write, Written};
+use crate::sched::message::{CommitOutcome, Write};
 use crate::table;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -102,7 +102,7 @@
         condition: Condition,
         writes: &[Write],
         limit: Millis,
-    ) -> Written {
+    ) -> CommitOutcome {
         let (table, key, version) = &condition;
         let row = |table, key, ver, value| RowRef {
             table,
@@ -242,42 +242,42 @@
     serde_json::from_slice(&reply.body).map_err(|e| StoreError::Malformed(e.to_string()))
 }
 
-fn commit_outcome(result: Result<Reply, WebError>) -> Written {
+fn commit_outcome(result: Result<Reply, WebError>) -> CommitOutcome {
     let reply = match result {
         Ok(reply) => reply,
-        Err(WebError::NotSent(_) | WebError::Held) => return Written::NotDone,
+        Err(WebError::NotSent(_) | WebError::Held) => return CommitOutcome::NotDone,
         Err(e) => {
             log::info!(target: "store", "event=commit-in-doubt cause=\"{e}\"");
-            return Written::Unknown;
+            return CommitOutcome::Unknown;
         }
     };
     match reply.status {
         StatusCode::OK => match decode_rows(&reply) {
-            Ok(rows) => Written::Done(rows.ver),
+            Ok(rows) => CommitOutcome::Done(rows.ver),
             Err(e) => {
                 log::error!(target: "store", "event=commit-in-doubt cause=\"{e}\"");
-                Written::Unknown
+                CommitOutcome::Unknown
             }
         },
         StatusCode::PRECONDITION_FAILED => conflict_outcome(&reply),
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Written::NotDone,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => CommitOutcome::NotDone,
         status => {
             let text = String::from_utf8_lossy(&reply.body);
             log::error!(target: "store", "event=commit-refused status={status} body=\"{text}\"");
-            Written::NotDone
+            CommitOutcome::NotDone
         }
     }
 }
 
-fn conflict_outcome(reply: &Reply) -> Written {
+fn conflict_outcome(reply: &Reply) -> CommitOutcome {
     let rows = match decode_rows(reply) {
         Ok(rows) => rows,
         Err(e) => {
             log::error!(target: "store", "event=commit-in-doubt cause=\"{e}\"");
-            return Written::Unknown;
+            return CommitOutcome::Unknown;
         }
     };
     let row = rows.rows.into_iter().find(|r| !r.gone && r.ver > 0);
     let row = row.map(decode_row);
-    Written::Conflict(row.map(|r| (r.version, r.value)))
+    CommitOutcome::Conflict(row.map(|r| (r.version, r.value)))
 }
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -5,7 +5,7 @@
 use super::store::{DeletedRow, Page};
 use super::{config, directory, ingress};
 use crate::queues::Queues;
-use crate::sched::message::{Answer, Entry, JobRequest};
+use crate::sched::message::{Answer, DirectoryEntry, JobRequest};
 use crate::table::Row;
 use crate::utils::Name;
 use crate::web::{Reply, Request};
@@ -134,7 +134,7 @@
 
 const ENTRY: &str = r#"{"service":"s1","address":"10.1.0.9:80","zone":"z","version":"v1","slots":8,"state":"draining","remainingMs":900,"capacity":{"cpu":16000,"memMb":100},"labels":["a","r1-3"],"seq":4}"#;
 
-fn entries(rows: Vec<Row>) -> Vec<(Name, Entry)> {
+fn entries(rows: Vec<Row>) -> Vec<(Name, DirectoryEntry)> {
     let page = Page {
         rows,
         deleted: vec![DeletedRow {
@@ -150,8 +150,8 @@
 #[test]
 fn the_directory_is_decoded() {
     let entries = entries(vec![row("i-1", ENTRY)]);
-    assert_eq!(entries[0], ("i-gone".into(), Entry::Gone));
-    let Entry::Listed(worker) = &entries[1].1 else {
+    assert_eq!(entries[0], ("i-gone".into(), DirectoryEntry::Removed));
+    let DirectoryEntry::Listed(worker) = &entries[1].1 else {
         panic!("a worker");
     };
     assert!(worker.leaving);
@@ -198,18 +198,22 @@
             row("i-1", &text),
             row("i-2", ENTRY),
         ]);
-        let sound = |entry: &Entry| matches!(entry, Entry::Listed(_));
+        let sound = |entry: &DirectoryEntry| matches!(entry, DirectoryEntry::Listed(_));
         assert_eq!(entries.len(), 4, "{text}");
         assert!(sound(&entries[1].1) && sound(&entries[3].1), "{text}");
-        assert_eq!(entries[2], ("i-1".into(), Entry::Unusable), "{text}");
+        assert_eq!(
+            entries[2],
+            ("i-1".into(), DirectoryEntry::Unusable),
+            "{text}"
+        );
     }
     let bytes = Row {
         value: vec![0xff, 0xfe, 0x00, b'{'].into(),
         ..row("i-1", "")
     };
     let entries = entries(vec![bytes, row("i-2", ENTRY)]);
-    assert_eq!(entries[1].1, Entry::Unusable);
-    assert!(matches!(entries[2].1, Entry::Listed(_)));
+    assert_eq!(entries[1].1, DirectoryEntry::Unusable);
+    assert!(matches!(entries[2].1, DirectoryEntry::Listed(_)));
 }
 
 #[test]
@@ -221,7 +225,7 @@
     ] {
         let text = ENTRY.replacen('{', &format!("{{{start}"), 1);
         let entries = entries(vec![row("i-0", &text)]);
-        let Entry::Listed(listing) = &entries[1].1 else {
+        let DirectoryEntry::Listed(listing) = &entries[1].1 else {
             panic!("{text}: {entries:?}");
         };
         assert_eq!(listing.boot, born, "{text}");
@@ -242,7 +246,7 @@
         let cut = ENTRY.as_bytes()[..length % ENTRY.len()].to_vec();
         let value = |bytes: Vec<u8>| Row { value: bytes.into(), ..row("i-1", "") };
         let entries = entries(vec![value(bytes), value(cut), row("i-2", ENTRY)]);
-        let flawed = entries[1..3].iter().all(|e| e.1 == Entry::Unusable);
-        flawed && matches!(entries[3].1, Entry::Listed(_))
+        let flawed = entries[1..3].iter().all(|e| e.1 == DirectoryEntry::Unusable);
+        flawed && matches!(entries[3].1, DirectoryEntry::Listed(_))
     }
 }
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -7,7 +7,7 @@
 
 use super::wire::{self, OrderReply, RunStart, RunStop};
 use crate::sched::message::{
-    Ended, Hold, How, Refusal, Reply, Report, Running, Start, Stop, Throttle, Word,
+    ActiveRun, EndedRun, OrderAck, Poll, Refusal, Reply, Report, RunOutcome, Start, Stop, Throttle,
 };
 use crate::table::encode;
 use crate::utils::clock::Millis;
@@ -36,7 +36,7 @@
     }
 
     /// Starts a run; the answer holds the worker's clock and start.
-    pub async fn start(&self, start: &Start) -> Reply<Word> {
+    pub async fn start(&self, start: &Start) -> Reply<OrderAck> {
         let body = encode(&RunStart {
             task: &start.task,
             run: start.run,
@@ -51,7 +51,7 @@
     }
 
     /// Stops a run; the answer holds the worker's clock and start.
-    pub async fn stop(&self, stop: &Stop) -> Reply<Word> {
+    pub async fn stop(&self, stop: &Stop) -> Reply<OrderAck> {
         let body = encode(&RunStop {
             task: &stop.task,
             run: stop.run,
@@ -62,7 +62,7 @@
     }
 
     /// Changes the speed of a run; the answer holds the worker's clock and start.
-    pub async fn throttle(&self, throttle: &Throttle) -> Reply<Word> {
+    pub async fn throttle(&self, throttle: &Throttle) -> Reply<OrderAck> {
         let body = encode(&wire::Throttle {
             task: &throttle.task,
             run: throttle.run,
@@ -74,7 +74,7 @@
     }
 
     /// Extends the lease of a worker and returns its report.
-    pub async fn poll(&self, hold: &Hold) -> Reply<Report> {
+    pub async fn poll(&self, hold: &Poll) -> Reply<Report> {
         let body = encode(&wire::Hold {
             deadline_ms: hold.lease,
             fence: hold.epoch,
@@ -152,8 +152,8 @@
     }
 }
 
-fn word(body: OrderReply) -> Word {
-    Word {
+fn word(body: OrderReply) -> OrderAck {
+    OrderAck {
         clock: body.clock_ms,
         boot: body.born,
     }
@@ -163,7 +163,7 @@
     let running = body
         .running
         .into_iter()
-        .map(|(task, run, saved, progress, gauge)| Running {
+        .map(|(task, run, saved, progress, gauge)| ActiveRun {
             task,
             run,
             saved,
@@ -175,7 +175,7 @@
         .into_iter()
         .filter_map(|(number, task, run, how, saved)| {
             let how = parse_how(&how)?;
-            Some(Ended {
+            Some(EndedRun {
                 number,
                 task,
                 run,
@@ -191,14 +191,14 @@
     }
 }
 
-fn parse_how(how: &str) -> Option<How> {
+fn parse_how(how: &str) -> Option<RunOutcome> {
     Some(match how {
-        "done" => How::Done,
-        "failed" => How::Failed,
-        "stopped" => How::Stopped,
-        "lapsed" => How::Lapsed,
-        "broken" => How::Broken,
-        "alone" => How::Alone,
+        "done" => RunOutcome::Done,
+        "failed" => RunOutcome::Failed,
+        "stopped" => RunOutcome::Stopped,
+        "lapsed" => RunOutcome::Lapsed,
+        "broken" => RunOutcome::Broken,
+        "alone" => RunOutcome::Alone,
         other => {
             log::error!(target: "worker", "event=malformed end=\"{other}\"");
             return None;
--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -9,7 +9,7 @@
 use super::journal::{
     After, BELIEF_TABLE, HISTORY_TABLE, JOB_TABLE, PRESSURE_KEY, SPEC_TABLE, Settled, spare,
 };
-use super::message::{Action, Write, Written};
+use super::message::{Action, CommitOutcome, Write};
 use super::owner::Owner;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -70,7 +70,7 @@
     }
 
     /// Takes in how a commit went.
-    pub(super) fn written(&mut self, number: u64, written: Written) {
+    pub(super) fn written(&mut self, number: u64, written: CommitOutcome) {
         match self.journal.settle(number, written, self.now.steady) {
             Settled::Again => self.history.settle(false),
             Settled::Deposed => {
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -3,7 +3,7 @@
 use super::incarnation::Incarnation;
 use super::job::{Outcome, Phase, TaskKey};
 use super::journal::After;
-use super::message::{Ended, How};
+use super::message::{EndedRun, RunOutcome};
 use super::owner::Owner;
 use super::worker::{PollState, Worker};
 use crate::utils::Name;
@@ -19,7 +19,7 @@
 
 impl Owner {
     /// Takes in the end of a run.
-    pub(super) fn record_completion(&mut self, name: &Name, end: &Ended) {
+    pub(super) fn record_completion(&mut self, name: &Name, end: &EndedRun) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -33,7 +33,7 @@
             return;
         }
         worker.last_completion = end.number;
-        let Ended { task, run, how, .. } = end;
+        let EndedRun { task, run, how, .. } = end;
         let Some(key) = self.find(task) else {
             // Its job was removed: nothing is to be kept before the worker forgets it.
             log::info!(target: "task", "task={task} run={run} event=unknown-end how={how:?} worker={name}");
@@ -46,7 +46,7 @@
         self.begun(key);
         let current = self.workers.get(name).and_then(|w| w.placements.get(&key));
         let current = current.is_some_and(|s| s.run == end.run);
-        if end.how == How::Done {
+        if end.how == RunOutcome::Done {
             self.complete_task(key, current);
         } else if current {
             self.free_unfinished(name, key, end);
@@ -102,13 +102,13 @@
     }
 
     /// Takes in the end of a current run that has not done its work.
-    fn free_unfinished(&mut self, name: &Name, key: TaskKey, end: &Ended) {
+    fn free_unfinished(&mut self, name: &Name, key: TaskKey, end: &EndedRun) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
         let lasting = job.step(key).lasting;
         let attempts = job.row.queue.attempts;
-        if end.how == How::Failed
+        if end.how == RunOutcome::Failed
             && let Some(task) = job.task_mut(key)
         {
             task.failures += 1;
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -6,7 +6,7 @@
 use super::incarnation::{BootOrder, compare_boots};
 use super::job::TaskKey;
 use super::lost_workers::IncarnationEnd;
-use super::message::Entry;
+use super::message::DirectoryEntry;
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
 use super::worker::{Listing, Presence, Worker};
@@ -27,22 +27,22 @@
 
 impl Owner {
     /// Takes in the whole directory.
-    pub(super) fn directory(&mut self, entries: Vec<(Name, Entry)>) {
+    pub(super) fn directory(&mut self, entries: Vec<(Name, DirectoryEntry)>) {
         let named: BTreeSet<&Name> = entries.iter().map(|(id, _)| id).collect();
         let gone = self.workers.keys().filter(|id| !named.contains(id));
-        let gone = gone.map(|id| (id.clone(), Entry::Gone));
+        let gone = gone.map(|id| (id.clone(), DirectoryEntry::Removed));
         let changes = gone.collect::<Vec<_>>().into_iter().chain(entries);
         self.listed(changes.collect());
     }
 
     /// Takes in changes of the directory.
-    pub(super) fn listed(&mut self, changes: Vec<(Name, Entry)>) {
+    pub(super) fn listed(&mut self, changes: Vec<(Name, DirectoryEntry)>) {
         for (id, entry) in changes {
             match entry {
-                Entry::Listed(listing) if self.lists(&id, &listing) => {}
-                Entry::Listed(listing) => self.list(id, listing),
-                Entry::Unusable => self.disuse(&id),
-                Entry::Gone => self.unlist(&id),
+                DirectoryEntry::Listed(listing) if self.lists(&id, &listing) => {}
+                DirectoryEntry::Listed(listing) => self.list(id, listing),
+                DirectoryEntry::Unusable => self.disuse(&id),
+                DirectoryEntry::Removed => self.unlist(&id),
             }
         }
     }
--- a/src/sched/journal.rs
+++ b/src/sched/journal.rs
@@ -12,7 +12,7 @@
 
 use super::incarnation::Incarnation;
 use super::job::TaskKey;
-use super::message::{Answer, Ticket, Write, Written};
+use super::message::{Answer, CommitOutcome, Ticket, Write};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -302,13 +302,13 @@
     }
 
     /// Takes in how a commit ended.
-    pub fn settle(&mut self, number: u64, written: Written, now: Millis) -> Settled {
+    pub fn settle(&mut self, number: u64, written: CommitOutcome, now: Millis) -> Settled {
         let Some(flight) = self.flight.take_if(|f| f.number == number) else {
             return Settled::Again;
         };
-        self.failed = matches!(written, Written::NotDone | Written::Unknown);
+        self.failed = matches!(written, CommitOutcome::NotDone | CommitOutcome::Unknown);
         match written {
-            Written::Done(version) => {
+            CommitOutcome::Done(version) => {
                 self.version = version;
                 self.confirmed = flight.sent;
                 self.idle = flight.sent + CONFIRM;
@@ -318,14 +318,14 @@
                 self.next = now + PAUSE;
                 return Settled::Kept(flight.jobs);
             }
-            Written::Conflict(row) => {
+            CommitOutcome::Conflict(row) => {
                 if !self.adopt(row) {
                     return Settled::Deposed;
                 }
                 self.next = now;
             }
-            Written::NotDone => self.next = now + RETRY,
-            Written::Unknown => {
+            CommitOutcome::NotDone => self.next = now + RETRY,
+            CommitOutcome::Unknown => {
                 self.in_doubt = true;
                 // A store that resets connections would be asked without a pause.
                 self.next = now.max(flight.sent + RETRY);
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -70,7 +70,7 @@
 
 /// A run that a worker lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Running {
+pub struct ActiveRun {
     /// Name of the task.
     pub task: Name,
     /// Number of the run.
@@ -86,7 +86,7 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum RunOutcome {
     /// Its work is done.
     Done,
     /// It failed, by its own fault or the worker's.
@@ -103,7 +103,7 @@
 
 /// An ended run that a worker lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct EndedRun {
     /// Number of the end, counted from the start of the worker's incarnation.
     pub number: u64,
     /// Name of the task.
@@ -111,7 +111,7 @@
     /// Number of the run.
     pub run: u32,
     /// How it ended.
-    pub how: How,
+    pub how: RunOutcome,
     /// Last checkpoint; empty for none.
     pub saved: Name,
 }
@@ -124,14 +124,14 @@
     /// When the worker started.
     pub boot: BootTime,
     /// Runs there.
-    pub running: Vec<Running>,
+    pub running: Vec<ActiveRun>,
     /// Ends that were not acknowledged yet, 500 at most.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<EndedRun>,
 }
 
 /// What a worker tells with its answer to an order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Word {
+pub struct OrderAck {
     /// Time on the worker's clock.
     pub clock: Millis,
     /// When the worker started.
@@ -186,7 +186,7 @@
 
 /// How a commit ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum CommitOutcome {
     /// It took effect; version of its rows.
     Done(u64),
     /// A condition failed; what the owner's row holds now.
@@ -219,7 +219,7 @@
 
 /// A question to the advisor of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Advise {
+pub struct AdviceRequest {
     /// The step.
     pub step: StepKey,
     /// Its name.
@@ -230,13 +230,13 @@
 
 /// What the directory says under the id of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Entry {
+pub enum DirectoryEntry {
     /// A worker that may be used.
     Listed(Listing),
     /// Something that names no worker to use, as another writer may leave it.
     Unusable,
     /// Nothing any more.
-    Gone,
+    Removed,
 }
 
 /// What the owner is told.
@@ -245,23 +245,23 @@
     /// A caller asks.
     Request(Ticket, JobRequest),
     /// The whole directory was read.
-    Directory(Vec<(Name, Entry)>),
+    Directory(Vec<(Name, DirectoryEntry)>),
     /// Entries of the directory changed.
-    Listed(Vec<(Name, Entry)>),
+    DirectoryChanged(Vec<(Name, DirectoryEntry)>),
     /// These halls are cordoned, and no others.
     Cordoned(Halls),
     /// An exchange ended.
-    Held(Hold, Reply<Report>),
+    Polled(Poll, Reply<Report>),
     /// A start ended.
-    Started(TaskKey, u32, Incarnation, Reply<Word>),
+    Started(TaskKey, u32, Incarnation, Reply<OrderAck>),
     /// A stop ended.
-    Stopped(TaskKey, u32, Incarnation, Reply<Word>),
+    Stopped(TaskKey, u32, Incarnation, Reply<OrderAck>),
     /// A change of speed ended.
-    Throttled(TaskKey, u32, u32, Incarnation, Reply<Word>),
+    Throttled(TaskKey, u32, u32, Incarnation, Reply<OrderAck>),
     /// A question about these workers to the advisor ended.
     Advised(StepKey, Vec<Name>, Reply<Advice>),
     /// A commit ended.
-    Written(u64, Written),
+    CommitEnded(u64, CommitOutcome),
     /// Jobs that are over were read.
     History(HistoryPage),
     /// Time passes.
@@ -273,14 +273,14 @@
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Request(..) => "ask",
-            Self::Directory(_) | Self::Listed(_) => "directory",
+            Self::Directory(_) | Self::DirectoryChanged(_) => "directory",
             Self::Cordoned(_) => "cordoned",
-            Self::Held(..) => "held",
+            Self::Polled(..) => "held",
             Self::Started(..) => "started",
             Self::Stopped(..) => "stopped",
             Self::Throttled(..) => "paced",
             Self::Advised(..) => "advised",
-            Self::Written(..) => "written",
+            Self::CommitEnded(..) => "written",
             Self::History(_) => "past",
             Self::Tick => "tick",
         }
@@ -289,7 +289,7 @@
 
 /// An exchange with a worker: extends its lease and asks for its report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Hold {
+pub struct Poll {
     /// The worker, as it is known to have started.
     pub incarnation: Incarnation,
     /// When it was sent, on the clock of this box.
@@ -373,7 +373,7 @@
     /// Answer a caller.
     Reply(Ticket, Answer),
     /// Exchange with a worker.
-    Hold(Hold),
+    Poll(Poll),
     /// Start a run.
     Start(Start),
     /// Stop a run.
@@ -381,7 +381,7 @@
     /// Change the speed of a run.
     Throttle(Throttle),
     /// Ask the advisor.
-    Advise(Advise),
+    RequestAdvice(AdviceRequest),
     /// Write rows, on the condition that the owner's row has this version.
     Commit {
         /// Number of the commit.
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -314,9 +314,9 @@
         match event {
             Event::Request(ticket, ask) => self.ask(ticket, ask),
             Event::Directory(listings) => self.directory(listings),
-            Event::Listed(changes) => self.listed(changes),
+            Event::DirectoryChanged(changes) => self.listed(changes),
             Event::Cordoned(halls) => self.cordon(halls),
-            Event::Held(hold, reply) => self.held(&hold, reply),
+            Event::Polled(hold, reply) => self.held(&hold, reply),
             Event::Started(key, run, incarnation, reply) => {
                 self.started(key, run, &incarnation, reply)
             }
@@ -327,7 +327,7 @@
                 self.throttle_answered(key, run, percent, &incarnation, reply);
             }
             Event::Advised(step, asked, reply) => self.advice(step, asked, reply),
-            Event::Written(number, written) => {
+            Event::CommitEnded(number, written) => {
                 self.written(number, written);
                 self.answer_parked();
             }
--- a/src/sched/permits.rs
+++ b/src/sched/permits.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::job::{StepKey, TaskKey};
-use super::message::{Action, Advice, Advise, Reply};
+use super::message::{Action, Advice, AdviceRequest, Reply};
 use super::owner::Owner;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -96,7 +96,7 @@
         if let Some(known) = self.permits.get_mut(&step) {
             known.asked = Some(now);
         }
-        self.actions.push(Action::Advise(Advise {
+        self.actions.push(Action::RequestAdvice(AdviceRequest {
             step,
             name,
             workers,
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -6,7 +6,7 @@
 use super::incarnation::{BootOrder, compare_boots};
 use super::job::{Outcome, TaskKey, parse_task_name};
 use super::lost_workers::IncarnationEnd;
-use super::message::{Action, Hold, Refusal, Reply, Report, Running};
+use super::message::{Action, ActiveRun, Poll, Refusal, Reply, Report};
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
 use super::throttling::FULL_SPEED;
@@ -40,7 +40,7 @@
     /// Its task; none when no open job has it.
     pub key: Option<TaskKey>,
     /// What the worker tells of it.
-    pub run: &'a Running,
+    pub run: &'a ActiveRun,
 }
 
 impl Owner {
@@ -75,7 +75,7 @@
                 watch
             };
             worker.poll = PollState::InFlight(now);
-            self.actions.push(Action::Hold(Hold {
+            self.actions.push(Action::Poll(Poll {
                 incarnation: worker.incarnation(),
                 sent: now,
                 address: worker.listing.address,
@@ -92,7 +92,7 @@
     }
 
     /// Takes in how an exchange went.
-    pub(super) fn held(&mut self, hold: &Hold, reply: Reply<Report>) {
+    pub(super) fn held(&mut self, hold: &Poll, reply: Reply<Report>) {
         let now = self.now.steady;
         let name = &hold.incarnation.id;
         let Some(worker) = self.workers.get_mut(name) else {
@@ -124,7 +124,7 @@
     }
 
     /// Takes in the answer to an exchange, of whichever life of its worker.
-    fn heard(&mut self, hold: &Hold, report: Report) {
+    fn heard(&mut self, hold: &Poll, report: Report) {
         let now = self.now.steady;
         let name = &hold.incarnation.id;
         let Some(worker) = self.workers.get(name) else {
@@ -216,7 +216,7 @@
     }
 
     /// Returns a run that a worker lists, with its task.
-    pub(super) fn resolve_run<'a>(&self, run: &'a Running) -> ReportedRun<'a> {
+    pub(super) fn resolve_run<'a>(&self, run: &'a ActiveRun) -> ReportedRun<'a> {
         let key = self.find(&run.task);
         ReportedRun { key, run }
     }
@@ -255,7 +255,7 @@
     }
 
     /// Takes in that a run is listed; false when it should not be there.
-    fn confirm(&mut self, name: &Name, key: TaskKey, run: &Running) -> bool {
+    fn confirm(&mut self, name: &Name, key: TaskKey, run: &ActiveRun) -> bool {
         let now = self.now.steady;
         let Some(placement) = self.run_mut(name, key, run.run) else {
             return false;
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -5,7 +5,7 @@
 use super::incarnation::{BootOrder, Incarnation, compare_boots};
 use super::job::TaskKey;
 use super::lost_workers::IncarnationEnd;
-use super::message::{Action, Refusal, Reply, Start, Stop, Word};
+use super::message::{Action, OrderAck, Refusal, Reply, Start, Stop};
 use super::owner::Owner;
 use super::placement::Stage;
 use super::spec::Resources;
@@ -115,7 +115,7 @@
         key: TaskKey,
         run: u32,
         incarnation: &Incarnation,
-        reply: Reply<Word>,
+        reply: Reply<OrderAck>,
     ) {
         let now = self.now.steady;
         let name = &incarnation.id;
@@ -147,7 +147,7 @@
 
     /// Returns true when the answer to an order is that of the life that is known and that
     /// the order was sent to. Word of a later one has it report at once.
-    pub(super) fn answers(&mut self, incarnation: &Incarnation, reply: &Reply<Word>) -> bool {
+    pub(super) fn answers(&mut self, incarnation: &Incarnation, reply: &Reply<OrderAck>) -> bool {
         let Some(worker) = self.workers.get(&incarnation.id) else {
             return false;
         };
@@ -214,7 +214,7 @@
         key: TaskKey,
         run: u32,
         incarnation: &Incarnation,
-        reply: Reply<Word>,
+        reply: Reply<OrderAck>,
     ) {
         let now = self.now.steady;
         let name = &incarnation.id;
--- a/src/sched/tests/cordon.rs
+++ b/src/sched/tests/cordon.rs
@@ -4,7 +4,7 @@
 
 use super::world::{World, job, lasting, queue, step};
 use crate::sched::job::JobState;
-use crate::sched::message::{Answer, How, JobRequest};
+use crate::sched::message::{Answer, JobRequest, RunOutcome};
 use crate::sched::spec::StepSpec;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -71,7 +71,7 @@
 #[test]
 fn what_runs_there_goes_on() {
     let mut world = two_halls(2);
-    world.script = |_, _| (8_000, How::Done);
+    world.script = |_, _| (8_000, RunOutcome::Done);
     world.submit("a", job(vec![step(8, 1_000)]));
     world.submit("l", job(vec![lasting(2, 0)]));
     world.run(1_000);
@@ -89,7 +89,7 @@
 #[test]
 fn a_start_that_was_not_sent_yet_is_withdrawn() {
     let mut world = two_halls(2);
-    world.script = |_, _| (20_000, How::Done);
+    world.script = |_, _| (20_000, RunOutcome::Done);
     world.submit("a", job(vec![step(8, 1_000)]));
     world.cordon(&["h2"]);
     world.run(3_000);
@@ -101,10 +101,10 @@
 fn what_fails_or_ends_there_starts_again_elsewhere() {
     let mut world = two_halls(4);
     world.script = |task, run| match (task.starts_with('l'), run) {
-        (true, 1) => (1_500, How::Done),
-        (true, _) => (60_000, How::Done),
-        (false, 1) => (1_000, How::Failed),
-        (false, _) => (1_000, How::Done),
+        (true, 1) => (1_500, RunOutcome::Done),
+        (true, _) => (60_000, RunOutcome::Done),
+        (false, 1) => (1_000, RunOutcome::Failed),
+        (false, _) => (1_000, RunOutcome::Done),
     };
     world.submit("l", job(vec![lasting(4, 1_000)]));
     world.submit("f", job(vec![step(6, 500), step(4, 500)]));
@@ -143,7 +143,7 @@
 #[test]
 fn room_that_was_made_there_is_made_elsewhere() {
     let mut world = two_halls(2);
-    world.script = |_, _| (60_000, How::Done);
+    world.script = |_, _| (60_000, RunOutcome::Done);
     let (low, high) = (5, 0);
     world.submit_with_priority("low", job(vec![step(2, 4_000)]), low);
     world.run(4_000);
@@ -225,8 +225,8 @@
 fn an_owner_that_does_not_know_starts_nothing() {
     let mut world = two_halls(2);
     world.script = |task, _| match task.starts_with("old") {
-        true => (60_000, How::Done),
-        false => (500, How::Done),
+        true => (60_000, RunOutcome::Done),
+        false => (500, RunOutcome::Done),
     };
     world.submit("old", job(vec![lasting(2, 500)]));
     world.run(500);
--- a/src/sched/tests/crashes.rs
+++ b/src/sched/tests/crashes.rs
@@ -16,8 +16,8 @@
 
 use super::world::{World, job, lasting, step};
 use crate::sched::job::JobState;
-use crate::sched::message::How;
-use crate::sched::message::{Entry, Event};
+use crate::sched::message::RunOutcome;
+use crate::sched::message::{DirectoryEntry, Event};
 use crate::sched::spec::StepSpec;
 use crate::utils::clock::Millis;
 
@@ -29,8 +29,8 @@
 fn world(after: Millis) -> World {
     let mut world = World::new(6);
     world.script = |task, _| match task.starts_with("beside") {
-        true => (600_000, How::Done),
-        false => (1_000, How::Done),
+        true => (600_000, RunOutcome::Done),
+        false => (1_000, RunOutcome::Done),
     };
     world.submit("beside", job(vec![lasting(12, 500)]));
     world.run(3_000);
@@ -92,7 +92,7 @@
 #[test]
 fn workers_out_of_reach_have_not_crashed() {
     let mut world = World::new(6);
-    world.script = |_, _| (4_000, How::Done);
+    world.script = |_, _| (4_000, RunOutcome::Done);
     world.submit("j", job(vec![step(1, 500)]));
     for _ in 0..3 {
         world.run(20);
@@ -113,7 +113,7 @@
 #[test]
 fn a_task_that_crashes_its_workers_after_some_seconds_is_given_up() {
     let mut world = world(5_000);
-    world.script = |_, _| (600_000, How::Done);
+    world.script = |_, _| (600_000, RunOutcome::Done);
     world.run(60_000);
     let crashes = world.crashes.under("bad.0.0.0");
     assert!(crashes <= 5, "two starts after the third crash: {crashes}");
@@ -154,7 +154,7 @@
 #[test]
 fn a_task_is_not_given_up_for_crashes_that_it_has_nothing_to_do_with() {
     let mut world = World::new(3);
-    world.script = |_, _| (600_000, How::Done);
+    world.script = |_, _| (600_000, RunOutcome::Done);
     world.submit("long", job(vec![lasting(6, 500)]));
     for _ in 0..8 {
         world.run(14_000);
@@ -169,15 +169,15 @@
 #[test]
 fn a_worker_that_leaves_as_it_said_has_not_crashed() {
     let mut world = World::new(2);
-    world.script = |_, _| (600_000, How::Done);
+    world.script = |_, _| (600_000, RunOutcome::Done);
     world.submit("j", job(vec![step(2, 500)]));
     world.run(500);
     for _ in 0..5 {
         let on = world.running()[0].1.clone();
         let worker = world.workers.get_mut(&on).expect("worker");
         worker.listing.leaving = true;
-        let entry = Entry::Listed(worker.listing.clone());
-        world.step(Event::Listed(vec![(on.clone(), entry)]));
+        let entry = DirectoryEntry::Listed(worker.listing.clone());
+        world.step(Event::DirectoryChanged(vec![(on.clone(), entry)]));
         world.crash(&on);
         world.run(6_000);
     }
@@ -206,7 +206,7 @@
 #[test]
 fn a_task_that_its_job_does_not_have_ends_no_owner() {
     let mut world = World::new(1);
-    world.script = |_, _| (5_000, How::Done);
+    world.script = |_, _| (5_000, RunOutcome::Done);
     world.submit("j", job(vec![step(1, 500)]));
     world.run(500);
     for task in ["j.0.0.7", "j.0.3.0", "j.4.0.0"] {
@@ -222,7 +222,7 @@
 #[test]
 fn a_gang_one_of_whose_members_crashes_its_workers_is_given_up() {
     let mut world = World::new(6);
-    world.script = |_, _| (60_000, How::Done);
+    world.script = |_, _| (60_000, RunOutcome::Done);
     world.crashes.by_task.insert("g.0.0.1".into(), AT_ONCE);
     let gang = StepSpec {
         gang: true,
@@ -275,8 +275,8 @@
 fn start_many_again(replaced: bool) {
     let mut world = World::new(12);
     world.script = |task, _| match task.starts_with("lasting") {
-        true => (600_000, How::Done),
-        false => (4_000, How::Done),
+        true => (600_000, RunOutcome::Done),
+        false => (4_000, RunOutcome::Done),
     };
     world.submit("lasting", job(vec![lasting(6, 500)]));
     for wave in 0..12 {
--- a/src/sched/tests/directory.rs
+++ b/src/sched/tests/directory.rs
@@ -2,7 +2,7 @@
 
 use super::world::{World, job, lasting, step};
 use crate::sched::job::JobState;
-use crate::sched::message::{Entry, Event, How};
+use crate::sched::message::{DirectoryEntry, Event, RunOutcome};
 use crate::sched::spec::StepSpec;
 
 fn leave(world: &mut World, id: &str, stays: u64) {
@@ -10,13 +10,16 @@
     worker.listing.leaving = true;
     worker.listing.min_stay = stays;
     let listing = worker.listing.clone();
-    world.step(Event::Listed(vec![(id.into(), Entry::Listed(listing))]));
+    world.step(Event::DirectoryChanged(vec![(
+        id.into(),
+        DirectoryEntry::Listed(listing),
+    )]));
 }
 
 #[test]
 fn lasting_tasks_leave_a_draining_worker_at_once() {
     let mut world = World::new(2);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j1", job(vec![lasting(3, 1_000)]));
     world.run(200);
     leave(&mut world, "w0", 5_000);
@@ -28,7 +31,7 @@
 #[test]
 fn no_more_tasks_are_moved_at_once_than_the_step_bears() {
     let mut world = World::new(2);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     let step = StepSpec {
         disruptions: Some(1),
         max_per_worker: 2,
@@ -51,7 +54,7 @@
 #[test]
 fn a_silent_worker_is_left_to_its_lease_and_then_replaced() {
     let mut world = World::new(2);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j1", job(vec![lasting(2, 1_000)]));
     world.run(200);
     let lost = world.running().iter().filter(|(_, w)| &**w == "w0").count();
@@ -70,7 +73,7 @@
 #[test]
 fn a_listing_that_lapses_with_the_store_away_is_no_news_of_a_worker() {
     let mut world = World::new(2);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j1", job(vec![lasting(2, 1_000)]));
     world.run(200);
     world.store_down = true;
@@ -86,13 +89,16 @@
 #[test]
 fn another_life_at_the_same_address_ends_the_one_before() {
     let mut world = World::new(2);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j1", job(vec![lasting(2, 1_000)]));
     world.run(200);
     world.workers.remove("w0");
     world.add_worker("w9", 100);
     let listing = world.workers["w9"].listing.clone();
-    world.step(Event::Listed(vec![("w9".into(), Entry::Listed(listing))]));
+    world.step(Event::DirectoryChanged(vec![(
+        "w9".into(),
+        DirectoryEntry::Listed(listing),
+    )]));
     world.run(300);
     assert_eq!(world.running().len(), 2);
     assert_eq!(world.shown("j1"), Some(JobState::Running));
@@ -101,10 +107,13 @@
 #[test]
 fn a_worker_that_is_listed_again_takes_tasks_again() {
     let mut world = World::new(1);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j0", job(vec![lasting(1, 1_000)]));
     world.run(6_000);
-    world.step(Event::Listed(vec![("w0".into(), Entry::Gone)]));
+    world.step(Event::DirectoryChanged(vec![(
+        "w0".into(),
+        DirectoryEntry::Removed,
+    )]));
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(1_000);
     let begun = world.starts.len();
@@ -121,11 +130,14 @@
 #[test]
 fn an_entry_that_names_no_worker_to_use_takes_nothing_with_it() {
     let mut world = World::new(2);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j0", job(vec![lasting(2, 1_000)]));
     world.run(300);
     let begun = world.starts.len();
-    world.step(Event::Listed(vec![("w0".into(), Entry::Unusable)]));
+    world.step(Event::DirectoryChanged(vec![(
+        "w0".into(),
+        DirectoryEntry::Unusable,
+    )]));
     world.submit("j1", job(vec![step(2, 1_000)]));
     world.run(500);
     let new = &world.starts[begun..];
@@ -145,7 +157,10 @@
 #[test]
 fn an_unusable_entry_of_no_worker_is_passed_over_for_ever() {
     let mut world = World::new(1);
-    world.step(Event::Listed(vec![("w7".into(), Entry::Unusable)]));
+    world.step(Event::DirectoryChanged(vec![(
+        "w7".into(),
+        DirectoryEntry::Unusable,
+    )]));
     world.submit("j0", job(vec![step(2, 1_000)]));
     world.run(500);
     assert!(world.starts.iter().all(|s| &*s.2 == "w0"));
@@ -155,11 +170,14 @@
 #[test]
 fn a_silent_worker_with_an_unusable_entry_is_forgotten_and_its_tasks_run_elsewhere() {
     let mut world = World::new(2);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j1", job(vec![lasting(2, 1_000)]));
     world.run(200);
     world.workers.get_mut("w0").expect("worker").cut = true;
-    world.step(Event::Listed(vec![("w0".into(), Entry::Unusable)]));
+    world.step(Event::DirectoryChanged(vec![(
+        "w0".into(),
+        DirectoryEntry::Unusable,
+    )]));
     world.run(12_000);
     let here = world.running().iter().filter(|(_, w)| &**w == "w1").count();
     assert_eq!(here, 2);
@@ -170,7 +188,7 @@
 #[test]
 fn heartbeats_that_say_nothing_new_have_nothing_placed_anew() {
     let mut world = World::new(2);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j0", job(vec![lasting(2, 1_000)]));
     world.submit("j1", job(vec![step(40, 1_000)]));
     world.run(3_000);
@@ -182,6 +200,9 @@
     assert_eq!(world.owner.next_place, next, "what waits is not looked at");
     let mut grown = world.workers["w0"].listing.clone();
     grown.capacity.cpu *= 2;
-    world.step(Event::Listed(vec![("w0".into(), Entry::Listed(grown))]));
+    world.step(Event::DirectoryChanged(vec![(
+        "w0".into(),
+        DirectoryEntry::Listed(grown),
+    )]));
     assert_ne!(world.owner.next_place, next, "a change has it looked at");
 }
--- a/src/sched/tests/full.rs
+++ b/src/sched/tests/full.rs
@@ -2,7 +2,7 @@
 //! workers spends its processor time on.
 
 use super::world::{World, job, lasting, step};
-use crate::sched::message::How;
+use crate::sched::message::RunOutcome;
 use crate::sched::spec::StepSpec;
 
 const WORKERS: u16 = 40;
@@ -12,7 +12,7 @@
 /// Returns workers that lasting tasks fill, each of which has run for a while.
 fn full() -> World {
     let mut world = World::new(WORKERS);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("last", job(vec![lasting(u32::from(WORKERS) * 4, 1_000)]));
     world.run(5_000);
     assert_eq!(world.running().len(), usize::from(WORKERS) * 4);
--- a/src/sched/tests/gang.rs
+++ b/src/sched/tests/gang.rs
@@ -2,7 +2,7 @@
 
 use super::world::{World, job, step};
 use crate::sched::job::JobState;
-use crate::sched::message::How;
+use crate::sched::message::RunOutcome;
 use crate::sched::spec::StepSpec;
 
 /// A gang of tasks of which two fit on a worker.
@@ -28,7 +28,7 @@
 #[test]
 fn a_gang_that_loses_a_member_at_its_start_is_stopped_and_starts_as_a_whole() {
     let mut world = World::new(2);
-    world.script = |_, _| (5_000, How::Done);
+    world.script = |_, _| (5_000, RunOutcome::Done);
     world.workers.get_mut("w1").expect("worker").full = true;
     world.submit("gang", job(vec![gang(4)]));
     world.run(100);
@@ -61,8 +61,8 @@
 fn members_go_on_from_one_checkpoint() {
     let mut world = World::new(2);
     world.script = |task, run| match (task.ends_with(".0"), run) {
-        (true, 1) => (500, How::Failed),
-        _ => (5_000, How::Done),
+        (true, 1) => (500, RunOutcome::Failed),
+        _ => (5_000, RunOutcome::Done),
     };
     world.workers.values_mut().for_each(|w| w.saves = true);
     world.submit("gang", job(vec![gang(4)]));
@@ -78,8 +78,8 @@
 fn a_gang_fails_its_job_after_as_many_failures_of_any_members() {
     let mut world = World::new(2);
     world.script = |task, run| match task.ends_with(&format!(".{run}")) {
-        true => (300, How::Failed),
-        false => (4_000, How::Done),
+        true => (300, RunOutcome::Failed),
+        false => (4_000, RunOutcome::Done),
     };
     world.submit("gang", job(vec![gang(4)]));
     world.run(12_000);
--- a/src/sched/tests/history.rs
+++ b/src/sched/tests/history.rs
@@ -4,7 +4,7 @@
 use crate::sched::history::{HistoryPage, HistoryRow};
 use crate::sched::job::{Job, JobState, Outcome};
 use crate::sched::journal::{HISTORY_TABLE, JOB_TABLE, SPEC_TABLE};
-use crate::sched::message::{Answer, Event, How, JobRequest};
+use crate::sched::message::{Answer, Event, JobRequest, RunOutcome};
 use crate::table::encode;
 
 /// Milliseconds within which the owner before has certainly ended.
@@ -14,7 +14,7 @@
 
 /// Hands so many jobs of one task in, and lets all come to their end.
 fn run_many(world: &mut World, count: usize) {
-    world.script = |_, _| (20, How::Done);
+    world.script = |_, _| (20, RunOutcome::Done);
     for number in 0..count {
         world.submit(&format!("over-{number:03}"), job(vec![step(1, 1_000)]));
         world.run(10);
@@ -26,7 +26,7 @@
 fn a_takeover_hands_over_open_jobs_only() {
     let mut world = World::new(4);
     run_many(&mut world, MANY);
-    world.script = |_, _| (5_000, How::Done);
+    world.script = |_, _| (5_000, RunOutcome::Done);
     world.submit("open", job(vec![step(1, 1_000)]));
     world.run(200);
     let started = world.starts.len();
--- a/src/sched/tests/incarnation.rs
+++ b/src/sched/tests/incarnation.rs
@@ -4,7 +4,7 @@
 
 use super::world::{FakeWorker, GIVEN_UP, World, job, lasting, listing, step};
 use crate::sched::job::JobState;
-use crate::sched::message::{Entry, Event, How, Reply, Report};
+use crate::sched::message::{DirectoryEntry, Event, Reply, Report, RunOutcome};
 use crate::sched::spec::{Resources, StepSpec};
 use crate::sched::worker::Listing;
 
@@ -68,8 +68,8 @@
         world.submit("j", job(vec![step(8, 1_000)]));
         world.run(100);
         assert_eq!(world.running().len(), 8);
-        let entry = Entry::Listed(before);
-        world.step(Event::Listed(vec![("w0".into(), entry)]));
+        let entry = DirectoryEntry::Listed(before);
+        world.step(Event::DirectoryChanged(vec![("w0".into(), entry)]));
         world.run(5_000);
         assert!(world.doubles.is_empty(), "{:?}", world.doubles);
         assert_eq!(world.starts.len(), 8);
@@ -80,8 +80,8 @@
 /// Hands in a job of so many tasks of 300 ms, and asserts that each runs just once.
 fn assert_runs_once(world: &mut World, id: &str, count: u32) {
     world.script = |task, _| match task.starts_with("lasting") {
-        true => (600_000, How::Done),
-        false => (300, How::Done),
+        true => (600_000, RunOutcome::Done),
+        false => (300, RunOutcome::Done),
     };
     world.submit(id, job(vec![step(count, 1_000)]));
     world.run(8_000);
@@ -115,7 +115,7 @@
 #[test]
 fn a_worker_that_starts_again_with_less_room_gets_what_fits() {
     let mut world = World::new(1);
-    world.script = |_, _| (300, How::Done);
+    world.script = |_, _| (300, RunOutcome::Done);
     world.submit("before", job(vec![step(8, 1_000)]));
     world.run(100);
     world.restart_as("w0", |l| l.capacity.cpu = 1_000);
@@ -158,7 +158,7 @@
 #[test]
 fn a_life_that_begins_after_a_stop_refuses_the_late_start_as_well() {
     let mut world = World::new(1);
-    world.script = |_, _| (300, How::Done);
+    world.script = |_, _| (300, RunOutcome::Done);
     world.run(500);
     world.workers.get_mut("w0").expect("worker").cut = true;
     world.submit("j1", job(vec![step(1, 1_000)]));
@@ -188,8 +188,8 @@
 fn a_worker_that_was_silent_past_its_lease_refuses_the_late_start() {
     let mut world = World::new(1);
     world.script = |task, _| match task.starts_with("j1") {
-        true => (300, How::Done),
-        false => (1_000_000, How::Done),
+        true => (300, RunOutcome::Done),
+        false => (1_000_000, RunOutcome::Done),
     };
     world.run(500);
     world.workers.get_mut("w0").expect("worker").cut = true;
@@ -213,7 +213,7 @@
 #[test]
 fn a_worker_that_tells_an_earlier_start_is_used_in_the_end() {
     let mut world = World::new(2);
-    world.script = |_, _| (600_000, How::Done);
+    world.script = |_, _| (600_000, RunOutcome::Done);
     world.restart("w0");
     world.list();
     world.run(500);
@@ -234,7 +234,7 @@
 #[test]
 fn lasting_tasks_are_back_at_once_after_a_restart() {
     let mut world = World::new(3);
-    world.script = |_, _| (600_000, How::Done);
+    world.script = |_, _| (600_000, RunOutcome::Done);
     world.submit("lasting", job(vec![lasting(9, 1_000)]));
     world.run(1_000);
     for id in ["w0", "w1"] {
@@ -249,7 +249,7 @@
 #[test]
 fn a_gang_whose_workers_all_start_again_runs_again_as_a_whole() {
     let mut world = World::new(4);
-    world.script = |_, _| (3_000, How::Done);
+    world.script = |_, _| (3_000, RunOutcome::Done);
     let gang = StepSpec {
         gang: true,
         ..step(4, 4_000)
@@ -282,7 +282,7 @@
 fn a_gang_of_which_a_member_is_in_doubt_is_not_left_half_there() {
     for lost in [0.0, 0.5, 1.0] {
         let mut world = World::new(2);
-        world.script = |_, _| (900, How::Done);
+        world.script = |_, _| (900, RunOutcome::Done);
         let gang = StepSpec {
             gang: true,
             ..step(6, 1_000)
@@ -356,9 +356,9 @@
     fn new() -> Self {
         let mut world = World::new(2);
         world.script = |task, run| match task.as_bytes()[0] {
-            b'f' if run < 3 => (300, How::Failed),
-            b'l' => (600_000, How::Done),
-            _ => (700, How::Done),
+            b'f' if run < 3 => (300, RunOutcome::Failed),
+            b'l' => (600_000, RunOutcome::Done),
+            _ => (700, RunOutcome::Done),
         };
         world.submit("before", job(vec![step(4, 1_000)]));
         world.run(1_500);
@@ -383,13 +383,13 @@
         let world = &mut self.world;
         match news {
             News::OldEntry => {
-                let entry = Entry::Listed(self.entry.clone());
-                world.step(Event::Listed(vec![("w0".into(), entry)]));
+                let entry = DirectoryEntry::Listed(self.entry.clone());
+                world.step(Event::DirectoryChanged(vec![("w0".into(), entry)]));
             }
             News::Entry => world.list(),
             News::OldAnswer => {
                 let hold = world.holds["w0"].clone();
-                world.step(Event::Held(hold, Reply::Ok(self.answer.clone())));
+                world.step(Event::Polled(hold, Reply::Ok(self.answer.clone())));
             }
             News::Reached => world.workers.get_mut("w0").expect("worker").cut = false,
             News::LateStart => {
--- a/src/sched/tests/interference.rs
+++ b/src/sched/tests/interference.rs
@@ -2,7 +2,7 @@
 
 use super::world::{World, job, serving, step};
 use crate::sched::interference::InterferenceModel;
-use crate::sched::message::{How, Running};
+use crate::sched::message::{ActiveRun, RunOutcome};
 use crate::sched::spec::StepSpec;
 use crate::sched::worker::ImageShares;
 
@@ -56,7 +56,7 @@
 #[test]
 fn everything_is_halted_beside_a_task_that_stays_at_its_target() {
     let mut world = World::new(1);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     let filler = StepSpec {
         best_effort: true,
         image: "filler".into(),
@@ -65,7 +65,7 @@
     world.submit("serving", job(vec![serving()]));
     world.submit("filler", job(vec![filler]));
     world.run(300);
-    let run = Running {
+    let run = ActiveRun {
         task: "serving.0.0.0".into(),
         run: 1,
         saved: "".into(),
--- a/src/sched/tests/jobs.rs
+++ b/src/sched/tests/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::world::{Faults, World, job, step};
 use crate::sched::job::JobState;
-use crate::sched::message::{Answer, How, JobRequest};
+use crate::sched::message::{Answer, JobRequest, RunOutcome};
 
 #[test]
 fn steps_run_in_their_order_and_the_end_is_shown_once_kept() {
@@ -96,7 +96,7 @@
 #[test]
 fn a_task_that_fails_too_often_fails_its_job() {
     let mut world = World::new(3);
-    world.script = |_, _| (100, How::Failed);
+    world.script = |_, _| (100, RunOutcome::Failed);
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(3_000);
     assert_eq!(world.starts.len(), 3, "as often as the queue allows");
@@ -106,7 +106,16 @@
 #[test]
 fn a_failed_task_is_tried_elsewhere() {
     let mut world = World::new(3);
-    world.script = |_, run| (100, if run == 1 { How::Failed } else { How::Done });
+    world.script = |_, run| {
+        (
+            100,
+            if run == 1 {
+                RunOutcome::Failed
+            } else {
+                RunOutcome::Done
+            },
+        )
+    };
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(1_000);
     assert_eq!(world.shown("j1"), Some(JobState::Completed));
--- a/src/sched/tests/journal.rs
+++ b/src/sched/tests/journal.rs
@@ -1,7 +1,7 @@
 //! Group commits and their doubts.
 
 use crate::sched::journal::{HISTORY_TABLE, Journal, OwnerRow, Settled, spare};
-use crate::sched::message::{Write, Written};
+use crate::sched::message::{CommitOutcome, Write};
 use crate::table::encode;
 
 fn row(name: &str, life: u64) -> OwnerRow {
@@ -23,7 +23,7 @@
     let (number, ..) = journal
         .build(1_000, |_| Vec::new())
         .expect("a commit is due");
-    let other = Written::Conflict(Some((2, encode(&row("box-b", 77)))));
+    let other = CommitOutcome::Conflict(Some((2, encode(&row("box-b", 77)))));
     assert_eq!(journal.settle(number, other, 1_010), Settled::Deposed);
 }
 
@@ -34,20 +34,20 @@
     let (number, version, _) = journal.build(10, |_| Vec::new()).expect("a commit is due");
     assert_eq!(version, 1);
     assert_eq!(
-        journal.settle(number, Written::Unknown, 300),
+        journal.settle(number, CommitOutcome::Unknown, 300),
         Settled::Again
     );
     assert!(journal.doubtful());
     let (number, ..) = journal
         .build(300, |_| Vec::new())
         .expect("it is tried again");
-    let own = Written::Conflict(Some((9, encode(&row("box-a", 77)))));
+    let own = CommitOutcome::Conflict(Some((9, encode(&row("box-a", 77)))));
     assert_eq!(journal.settle(number, own, 310), Settled::Again);
     let (number, version, _) = journal
         .build(310, |_| Vec::new())
         .expect("it is tried again");
     assert_eq!(version, 9);
-    let kept = journal.settle(number, Written::Done(10), 320);
+    let kept = journal.settle(number, CommitOutcome::Done(10), 320);
     assert_eq!(kept, Settled::Kept(vec![(5, Vec::new())]));
     assert!(!journal.doubtful());
 }
@@ -58,12 +58,12 @@
     journal.touch(5);
     let (number, ..) = journal.build(10, |_| Vec::new()).expect("a commit is due");
     journal.release(11);
-    journal.settle(number, Written::Done(2), 12);
+    journal.settle(number, CommitOutcome::Done(2), 12);
     assert!(!journal.released());
     let (number, ..) = journal
         .build(20, |_| Vec::new())
         .expect("the release is due");
-    journal.settle(number, Written::Done(3), 22);
+    journal.settle(number, CommitOutcome::Done(3), 22);
     assert!(journal.released());
 }
 
@@ -78,7 +78,7 @@
             commits += 1;
             // Something changes while the commit is on its way.
             journal.touch(commits);
-            journal.settle(number, Written::Done(u64::from(commits)), now);
+            journal.settle(number, CommitOutcome::Done(u64::from(commits)), now);
         }
     }
     assert!(journal.released(), "after {commits} commits");
@@ -91,7 +91,7 @@
     let (number, ..) = journal
         .build(2, |_| Vec::new())
         .expect("the release is due");
-    journal.settle(number, Written::Done(2), 3);
+    journal.settle(number, CommitOutcome::Done(2), 3);
     journal.touch(7);
     assert!(journal.build(1_000, |_| Vec::new()).is_none());
 }
@@ -105,7 +105,7 @@
         if let Some((number, _, _)) = journal.build(now, |_| Vec::new()) {
             sent += 1;
             // The connection is reset at once.
-            journal.settle(number, Written::Unknown, now);
+            journal.settle(number, CommitOutcome::Unknown, now);
         }
     }
     assert!((10..=20).contains(&sent), "{sent} commits in a second");
--- a/src/sched/tests/order.rs
+++ b/src/sched/tests/order.rs
@@ -2,7 +2,7 @@
 
 use super::world::{World, job, lasting, step};
 use crate::sched::job::JobState;
-use crate::sched::message::How;
+use crate::sched::message::RunOutcome;
 use crate::sched::spec::StepSpec;
 
 #[test]
@@ -11,7 +11,7 @@
     // Fills the worker, so that the next two wait.
     world.script = |task, _| {
         let span = if task.starts_with("full") { 9_000 } else { 500 };
-        (span, How::Done)
+        (span, RunOutcome::Done)
     };
     world.submit("full", job(vec![step(1, 4_000)]));
     world.run(100);
@@ -61,9 +61,9 @@
 fn a_lasting_task_that_failed_is_back_in_time_among_tasks_that_come_and_go() {
     let mut world = World::new(1);
     world.script = |task, run| match (task.starts_with("last"), run) {
-        (true, 1) => (300, How::Failed),
-        (true, _) => (60_000, How::Done),
-        _ => (600, How::Done),
+        (true, 1) => (300, RunOutcome::Failed),
+        (true, _) => (60_000, RunOutcome::Done),
+        _ => (600, RunOutcome::Done),
     };
     world.submit("last", job(vec![lasting(1, 3_000)]));
     // Small tasks take each bit of room as it comes free.
@@ -83,8 +83,8 @@
 fn a_task_that_ends_gets_the_room_of_one_that_lasts() {
     let mut world = World::new(4);
     world.script = |task, _| match task.starts_with("last") {
-        true => (600_000, How::Done),
-        false => (600, How::Done),
+        true => (600_000, RunOutcome::Done),
+        false => (600, RunOutcome::Done),
     };
     world.submit("last", job(vec![lasting(16, 1_000)]));
     world.run(4_000);
@@ -100,8 +100,8 @@
 fn lasting_tasks_that_gave_way_take_turns() {
     let mut world = World::new(6);
     world.script = |task, _| match task.starts_with("last") {
-        true => (600_000, How::Done),
-        false => (700, How::Done),
+        true => (600_000, RunOutcome::Done),
+        false => (700, RunOutcome::Done),
     };
     world.submit("last", job(vec![lasting(24, 1_000)]));
     world.run(4_000);
@@ -126,8 +126,8 @@
 fn few_lasting_tasks_are_away_for_others_at_once() {
     let mut world = World::new(6);
     world.script = |task, _| match task.starts_with("last") {
-        true => (600_000, How::Done),
-        false => (4_000, How::Done),
+        true => (600_000, RunOutcome::Done),
+        false => (4_000, RunOutcome::Done),
     };
     world.submit("last", job(vec![lasting(24, 1_000)]));
     world.run(4_000);
@@ -144,8 +144,8 @@
 fn a_task_of_a_better_priority_takes_the_room_of_a_worse_one() {
     let mut world = World::new(1);
     world.script = |task, _| match task.starts_with("worse") {
-        true => (20_000, How::Done),
-        false => (600, How::Done),
+        true => (20_000, RunOutcome::Done),
+        false => (600, RunOutcome::Done),
     };
     world.submit_with_priority("worse", job(vec![step(4, 1_000)]), 2);
     world.run(4_000);
@@ -160,7 +160,7 @@
 #[test]
 fn a_filler_that_lasts_hides_no_run_that_could_give_way() {
     let mut world = World::new(1);
-    world.script = |_, _| (60_000, How::Done);
+    world.script = |_, _| (60_000, RunOutcome::Done);
     let filler = StepSpec {
         best_effort: true,
         ..lasting(1, 500)
@@ -180,7 +180,7 @@
 #[test]
 fn what_is_nearly_done_ends_before_the_like_of_it_is_begun() {
     let mut world = World::new(1);
-    world.script = |_, _| (1_000, How::Done);
+    world.script = |_, _| (1_000, RunOutcome::Done);
     // Both can be on time, and the second is due first by nothing but its id.
     world.submit(
         "old",
@@ -210,7 +210,7 @@
 #[test]
 fn in_a_burst_those_end_in_time_that_ask_least_for_their_worth() {
     let mut world = World::new(4);
-    world.script = |_, _| (1_000, How::Done);
+    world.script = |_, _| (1_000, RunOutcome::Done);
     for number in 0..6 {
         world.submit(&format!("wide{number}"), job(vec![step(32, 1_000)]));
     }
--- a/src/sched/tests/overload.rs
+++ b/src/sched/tests/overload.rs
@@ -2,14 +2,14 @@
 
 use super::world::{World, job, serving, step};
 use crate::sched::job::JobState;
-use crate::sched::message::{Answer, How, Running};
+use crate::sched::message::{ActiveRun, Answer, RunOutcome};
 use crate::sched::spec::{RESOURCE_LIMIT, Resources, StepSpec, TIME_LIMIT};
 use crate::utils::clock::Millis;
 
 /// Returns the starts of the last second, with so many tasks waiting behind them.
 fn starts_a_second(waiting: u32) -> usize {
     let mut world = World::new(60);
-    world.script = |_, _| (400, How::Done);
+    world.script = |_, _| (400, RunOutcome::Done);
     for number in 0..waiting / 20 {
         world.submit(&format!("j{number}"), job(vec![step(20, 250)]));
     }
@@ -46,7 +46,7 @@
 /// Returns a serving task and two fillers on one worker, and so many fillers that wait.
 fn beside_serving(waiting: u32) -> World {
     let mut world = World::new(1);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("serving", job(vec![serving()]));
     world.run(100);
     world.submit("run", job(vec![fillers(2)]));
@@ -61,7 +61,7 @@
 /// Returns the lowest pace that is ordered while the tail of the serving task is at this;
 /// reports without a tail, which the fake worker sends between, raise it again.
 fn pace_at(world: &mut World, tail: u64) -> u32 {
-    let run = Running {
+    let run = ActiveRun {
         task: "serving.0.0.0".into(),
         run: 1,
         saved: "".into(),
@@ -105,7 +105,7 @@
 #[test]
 fn huge_declarations_hold_nobody_up() {
     let mut world = World::new(1);
-    world.script = |_, _| (300, How::Done);
+    world.script = |_, _| (300, RunOutcome::Done);
     let declared = |cpu: u64, estimate: Millis| {
         let first = StepSpec {
             best_effort: true,
--- a/src/sched/tests/permits.rs
+++ b/src/sched/tests/permits.rs
@@ -67,7 +67,7 @@
 #[test]
 fn a_step_whose_good_workers_are_full_keeps_no_others_from_starting() {
     let mut world = world(2, &["w0"]);
-    world.script = |_, _| (20_000, crate::sched::message::How::Done);
+    world.script = |_, _| (20_000, crate::sched::message::RunOutcome::Done);
     world.submit_to(advised(), "first", job(vec![step(4, 1_000)]));
     world.run(1_000);
     assert_eq!(world.running().len(), 4, "w0 is full");
--- a/src/sched/tests/random.rs
+++ b/src/sched/tests/random.rs
@@ -3,7 +3,7 @@
 use super::world::{Faults, World, job, step};
 use crate::sched::job::JobState;
 use crate::sched::journal::{HISTORY_TABLE, JOB_TABLE, SPEC_TABLE};
-use crate::sched::message::{Answer, How, JobRequest};
+use crate::sched::message::{Answer, JobRequest, RunOutcome};
 use crate::sched::spec::{JobSpec, Resources, StepSpec};
 use crate::utils::Name;
 use crate::utils::random::Random;
@@ -216,7 +216,14 @@
     let (mut jobs, mut looks) = (Vec::new(), Vec::new());
     world.script = |task, run| {
         let failed = (task.len() as u32 + run).is_multiple_of(5);
-        (600, if failed { How::Failed } else { How::Done })
+        (
+            600,
+            if failed {
+                RunOutcome::Failed
+            } else {
+                RunOutcome::Done
+            },
+        )
     };
     for number in 0..JOBS {
         let spec = spec(&mut random);
--- a/src/sched/tests/rooms.rs
+++ b/src/sched/tests/rooms.rs
@@ -2,7 +2,7 @@
 
 use super::world::{World, job, step};
 use crate::sched::job::JobState;
-use crate::sched::message::{Answer, How, JobRequest};
+use crate::sched::message::{Answer, JobRequest, RunOutcome};
 use crate::sched::spec::{Resources, StepSpec};
 
 /// Returns a room of so many thousandths of cores, with plenty of all else.
@@ -17,7 +17,7 @@
 /// Returns a world of one worker, which takes whatever it is told, and long runs.
 fn world() -> World {
     let mut world = World::new(1);
-    world.script = |_, _| (60_000, How::Done);
+    world.script = |_, _| (60_000, RunOutcome::Done);
     world
 }
 
@@ -86,7 +86,7 @@
 #[test]
 fn a_gang_is_withdrawn_as_a_whole() {
     let mut world = World::new(2);
-    world.script = |_, _| (60_000, How::Done);
+    world.script = |_, _| (60_000, RunOutcome::Done);
     let gang = StepSpec {
         gang: true,
         ..step(6, 1_000)
--- a/src/sched/tests/suspension.rs
+++ b/src/sched/tests/suspension.rs
@@ -2,14 +2,14 @@
 
 use super::world::{BOUNDS, World, job, lasting, step};
 use crate::sched::job::JobState;
-use crate::sched::message::{Action, Event, How};
+use crate::sched::message::{Action, Event, RunOutcome};
 use crate::sched::owner::Now;
 
 fn world() -> World {
     let mut world = World::new(3);
     world.script = |task, _| match task.starts_with('a') {
-        true => (9_000, How::Done),
-        false => (600_000, How::Done),
+        true => (9_000, RunOutcome::Done),
+        false => (600_000, RunOutcome::Done),
     };
     world.submit("a", job(vec![step(6, 500)]));
     world.submit("b", job(vec![lasting(3, 500)]));
@@ -65,7 +65,7 @@
     let actions = world.owner.step(Event::Tick, woken);
     for action in actions {
         match action {
-            Action::Hold(hold) => assert_eq!(hold.lease, None, "{hold:?}"),
+            Action::Poll(hold) => assert_eq!(hold.lease, None, "{hold:?}"),
             Action::Start(start) => panic!("{start:?}"),
             _ => {}
         }
--- a/src/sched/tests/swaps.rs
+++ b/src/sched/tests/swaps.rs
@@ -1,7 +1,7 @@
 //! Swaps of places between serving tasks.
 
 use super::world::{World, job, lasting, step};
-use crate::sched::message::How;
+use crate::sched::message::RunOutcome;
 use crate::sched::spec::{JobSpec, Resources, StepSpec};
 use crate::sched::worker::ImageShares;
 
@@ -34,8 +34,8 @@
 fn mixed(factors: [f64; 2]) -> World {
     let mut world = World::new(2);
     world.script = |task, _| match task.starts_with("blocker") {
-        true => (500, How::Done),
-        false => (1_000_000, How::Done),
+        true => (500, RunOutcome::Done),
+        false => (1_000_000, RunOutcome::Done),
     };
     world.submit("blocker", job(vec![step(1, 4_000)]));
     world.run(100);
--- a/src/sched/tests/takeover.rs
+++ b/src/sched/tests/takeover.rs
@@ -2,7 +2,7 @@
 
 use super::world::{World, job, step};
 use crate::sched::job::JobState;
-use crate::sched::message::{Answer, How, JobRequest};
+use crate::sched::message::{Answer, JobRequest, RunOutcome};
 use crate::sched::spec::StepSpec;
 
 /// Milliseconds within which the owner before has certainly ended.
@@ -11,7 +11,7 @@
 #[test]
 fn runs_go_on_under_the_next_owner() {
     let mut world = World::new(3);
-    world.script = |_, _| (3_000, How::Done);
+    world.script = |_, _| (3_000, RunOutcome::Done);
     world.submit("j1", job(vec![step(4, 1_000)]));
     world.run(500);
     world.take_over(INHERITED);
@@ -23,7 +23,7 @@
 #[test]
 fn an_owner_that_gives_up_starts_nothing_more() {
     let mut world = World::new(2);
-    world.script = |_, _| (200, How::Done);
+    world.script = |_, _| (200, RunOutcome::Done);
     world.submit("before", job(vec![step(8, 1_000), after(step(8, 1_000))]));
     world.run(100);
     world.owner.resign(world.clock());
@@ -42,7 +42,7 @@
 #[test]
 fn an_owner_that_gives_up_extends_no_lease() {
     let mut world = World::new(2);
-    world.script = |_, _| (30_000, How::Done);
+    world.script = |_, _| (30_000, RunOutcome::Done);
     world.submit("j1", job(vec![step(4, 1_000)]));
     world.run(500);
     world.owner.resign(world.clock());
@@ -61,7 +61,7 @@
 #[test]
 fn a_task_on_a_worker_that_cannot_be_reached_waits_for_all_leases() {
     let mut world = World::new(2);
-    world.script = |_, _| (30_000, How::Done);
+    world.script = |_, _| (30_000, RunOutcome::Done);
     world.submit("j1", job(vec![step(2, 1_000)]));
     world.run(500);
     world.workers.get_mut("w0").expect("worker").cut = true;
@@ -76,7 +76,7 @@
 #[test]
 fn word_that_the_owner_before_has_ended_shortens_the_wait() {
     let mut world = World::new(2);
-    world.script = |_, _| (30_000, How::Done);
+    world.script = |_, _| (30_000, RunOutcome::Done);
     world.submit("j1", job(vec![step(2, 1_000)]));
     world.run(500);
     world.workers.get_mut("w0").expect("worker").cut = true;
--- a/src/sched/tests/throttling.rs
+++ b/src/sched/tests/throttling.rs
@@ -3,7 +3,7 @@
 use super::random::seeds;
 use super::world::{Sharing, World, job, lasting, step};
 use crate::sched::job::parse_task_name;
-use crate::sched::message::{How, Running};
+use crate::sched::message::{ActiveRun, RunOutcome};
 use crate::sched::spec::StepSpec;
 use crate::utils::clock::Millis;
 use crate::utils::random::Random;
@@ -32,8 +32,8 @@
     world.list();
     world.sharing = sharing;
     world.script = |task, _| match task.starts_with("serving") {
-        true => (1_000_000, How::Done),
-        false => (filler_time(task), How::Done),
+        true => (1_000_000, RunOutcome::Done),
+        false => (filler_time(task), RunOutcome::Done),
     };
     world
 }
@@ -100,7 +100,7 @@
                 ..PRESSING
             });
             world.faults.throttles_lost = lost;
-            world.script = |_, _| (1_000_000, How::Done);
+            world.script = |_, _| (1_000_000, RunOutcome::Done);
             run_beside_stream(&mut world);
             let over = world.longest_over;
             assert!(
@@ -114,7 +114,7 @@
 #[test]
 fn a_worker_over_target_is_asked_as_often_as_one_of_few() {
     let mut world = World::new(300);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     let asked = |world: &World| world.holds["w0"].wait;
     let label = |world: &mut World| {
         let worker = world.workers.get_mut("w0").expect("worker");
@@ -143,7 +143,7 @@
 #[test]
 fn a_pace_that_a_late_order_has_changed_is_ordered_again() {
     let mut world = shared_world(PRESSING);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     // The first orders are carried out seconds later, after those that followed them.
     world.faults.throttles_late = (8, 5_000);
     world.submit("serving", job(vec![serving(2)]));
@@ -163,7 +163,7 @@
 #[test]
 fn fillers_that_an_owner_has_halted_go_on_under_the_next_one() {
     let mut world = shared_world(PRESSING);
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("serving", job(vec![serving(2)]));
     world.run(3_000);
     world.submit("stream", job(vec![fillers(4)]));
@@ -186,7 +186,7 @@
 /// Has a serving task report these tails, one each 300 ms; its target is 100 ms.
 fn report_tails(world: &mut World, tails: &[u64]) {
     for tail in tails {
-        let run = Running {
+        let run = ActiveRun {
             task: "serving.0.0.0".into(),
             run: 1,
             saved: "".into(),
@@ -203,7 +203,7 @@
 /// Returns a world in which no report but those of the test reaches the owner.
 fn silent_world() -> World {
     let mut world = shared_world(Sharing::default());
-    world.script = |_, _| (1_000_000, How::Done);
+    world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("serving", job(vec![serving(1)]));
     world.run(100);
     world.submit("filler", job(vec![fillers(1)]));
@@ -246,7 +246,7 @@
     world.seed(seed);
     world.faults.throttles_lost = random.below(9) as u32;
     if random.chance(0.5) {
-        world.script = |_, _| (1_000_000, How::Done);
+        world.script = |_, _| (1_000_000, RunOutcome::Done);
     }
     run_beside_stream(&mut world);
     world.longest_over
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -18,7 +18,9 @@
 use crate::sched::job::{JobRow, JobState, Queue};
 use crate::sched::journal::{JOB_TABLE, Journal, OWNER_KEY, OWNER_TABLE, OwnerRow, SPEC_TABLE};
 use crate::sched::mechanisms::Mechanisms;
-use crate::sched::message::{Action, Answer, Entry, Event, Hold, How, JobRequest, Start};
+use crate::sched::message::{
+    Action, Answer, DirectoryEntry, Event, JobRequest, Poll, RunOutcome, Start,
+};
 use crate::sched::owner::{Bounds, Kept, Now, Owner};
 use crate::sched::spec::{JobSpec, Resources, StepSpec};
 use crate::sched::worker::Listing;
@@ -53,7 +55,7 @@
     pub history_held: bool,
     pub bounds: Bounds,
     /// How long each run takes and how it ends, by task name and run.
-    pub script: fn(&str, u32) -> (Millis, How),
+    pub script: fn(&str, u32) -> (Millis, RunOutcome),
     /// What crashes workers, and those that have crashed.
     pub crashes: Crashes,
     /// Starts that workers carried out: task, run, worker, time.
@@ -82,7 +84,7 @@
     /// Failed runs that were acknowledged under a lease, by task.
     failed: BTreeMap<String, u32>,
     /// The exchange that was sent last, by worker.
-    pub holds: BTreeMap<Name, Hold>,
+    pub holds: BTreeMap<Name, Poll>,
     /// The start that was sent last, and when, by worker.
     pub ordered: BTreeMap<Name, (Millis, Start)>,
     pub rows: BTreeMap<(&'static str, Name), Bytes>,
@@ -199,7 +201,7 @@
             cordons_held: false,
             history_held: false,
             bounds: BOUNDS,
-            script: |_, _| (1_000, How::Done),
+            script: |_, _| (1_000, RunOutcome::Done),
             crashes: Crashes::default(),
             starts: Vec::new(),
             good: BTreeSet::new(),
@@ -253,7 +255,7 @@
     /// Tells the owner the whole directory.
     pub fn list(&mut self) {
         let listings = self.workers.values().map(|w| w.listing.clone());
-        let entries = listings.map(|l| (l.id.clone(), Entry::Listed(l)));
+        let entries = listings.map(|l| (l.id.clone(), DirectoryEntry::Listed(l)));
         self.tell(Event::Directory(entries.collect()));
     }
 
@@ -399,7 +401,7 @@
                     self.answers.insert(ticket, answer);
                     continue;
                 }
-                Action::Hold(hold) => {
+                Action::Poll(hold) => {
                     self.holds.insert(hold.incarnation.id.clone(), hold.clone());
                     Call::Hold(hold)
                 }
@@ -409,7 +411,7 @@
                     Call::Start(start)
                 }
                 Action::Stop(stop) => Call::Stop(stop),
-                Action::Advise(question) => {
+                Action::RequestAdvice(question) => {
                     self.answer_advice(question);
                     continue;
                 }
--- a/src/sched/tests/world/calls.rs
+++ b/src/sched/tests/world/calls.rs
@@ -7,7 +7,7 @@
 use crate::sched::history::HistoryPage;
 use crate::sched::journal::{HISTORY_TABLE, OWNER_KEY, OWNER_TABLE};
 use crate::sched::message::{
-    Advice, Advise, Event, Hold, Refusal, Reply, Start, Stop, Throttle, Write, Written,
+    Advice, AdviceRequest, CommitOutcome, Event, Poll, Refusal, Reply, Start, Stop, Throttle, Write,
 };
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -46,7 +46,7 @@
 
 /// A call on its way.
 pub enum Call {
-    Hold(Hold),
+    Hold(Poll),
     Start(Start),
     Stop(Stop),
     Throttle(Throttle),
@@ -124,23 +124,26 @@
                 if self.store_down {
                     return self.later(
                         GIVEN_UP,
-                        Due::Event(self.epoch, Event::Written(number, Written::Unknown)),
+                        Due::Event(
+                            self.epoch,
+                            Event::CommitEnded(number, CommitOutcome::Unknown),
+                        ),
                     );
                 }
-                Event::Written(number, self.commit(version, writes))
+                Event::CommitEnded(number, self.commit(version, writes))
             }
             Call::Hold(hold) if self.sharing.workers > 0 && hold.wait > 0 => {
                 let worker = self.workers.get(&hold.incarnation.id);
                 let over = worker.is_some_and(FakeWorker::shows_over);
                 let wait = self.sharing.wait(hold.wait, over);
-                let due = Call::Hold(Hold { wait: 0, ..hold });
+                let due = Call::Hold(Poll { wait: 0, ..hold });
                 return self.later(wait, Due::Call(due, answered));
             }
             Call::Hold(hold) => {
                 let reply = self.reach(&hold.incarnation.id, hold.address, |world| {
                     world.hold(&hold)
                 });
-                Event::Held(hold, reply)
+                Event::Polled(hold, reply)
             }
             Call::Start(start) => {
                 let reply = self.reach(&start.incarnation.id, start.address, |world| {
@@ -169,7 +172,7 @@
     }
 
     /// Answers a question to the advisor: workers in `good` may run each step.
-    pub(super) fn answer_advice(&mut self, question: Advise) {
+    pub(super) fn answer_advice(&mut self, question: AdviceRequest) {
         self.questions.push(question.workers.len());
         let ticket = |id: &Name| (id.clone(), self.ticket_of(id));
         let named = question.workers.iter().filter(|w| self.good.contains(*w));
@@ -263,11 +266,11 @@
         }
     }
 
-    fn commit(&mut self, version: u64, writes: Vec<Write>) -> Written {
+    fn commit(&mut self, version: u64, writes: Vec<Write>) -> CommitOutcome {
         assert!(writes.len() < ENTRIES, "{} writes", writes.len());
         if version != self.owner_version {
             let row = self.rows[&(OWNER_TABLE, OWNER_KEY.into())].clone();
-            return Written::Conflict(Some((self.owner_version, row)));
+            return CommitOutcome::Conflict(Some((self.owner_version, row)));
         }
         self.version += 1;
         self.owner_version = self.version;
@@ -278,7 +281,7 @@
                 None => drop(self.rows.remove(&key)),
             }
         }
-        Written::Done(self.version)
+        CommitOutcome::Done(self.version)
     }
 }
 
@@ -286,20 +289,20 @@
 fn timed_out(event: &Event) -> bool {
     matches!(
         event,
-        Event::Held(_, Reply::Lost)
+        Event::Polled(_, Reply::Lost)
             | Event::Started(_, _, _, Reply::Lost)
             | Event::Stopped(_, _, _, Reply::Lost)
             | Event::Throttled(_, _, _, _, Reply::Lost)
-            | Event::Written(_, Written::Unknown)
+            | Event::CommitEnded(_, CommitOutcome::Unknown)
     )
 }
 
 fn unanswered(call: &Call) -> Event {
     match call {
-        Call::Hold(hold) => Event::Held(hold.clone(), Reply::Lost),
+        Call::Hold(hold) => Event::Polled(hold.clone(), Reply::Lost),
         Call::Start(s) => Event::Started(s.key, s.run, s.incarnation.clone(), Reply::Lost),
         Call::Stop(s) => Event::Stopped(s.key, s.run, s.incarnation.clone(), Reply::Lost),
         Call::Throttle(throttle) => World::throttled(throttle.clone(), Reply::Lost),
-        Call::Commit(number, _, _) => Event::Written(*number, Written::Unknown),
+        Call::Commit(number, _, _) => Event::CommitEnded(*number, CommitOutcome::Unknown),
     }
 }
--- a/src/sched/tests/world/crashes.rs
+++ b/src/sched/tests/world/crashes.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{FakeWorker, World, listing};
-use crate::sched::message::{Entry, Event};
+use crate::sched::message::{DirectoryEntry, Event};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -25,7 +25,7 @@
     /// All crashes so far.
     pub all: Vec<Victims>,
     /// Entries that change, in the order of their times.
-    due: VecDeque<(Millis, Name, Entry)>,
+    due: VecDeque<(Millis, Name, DirectoryEntry)>,
 }
 
 impl Default for Crashes {
@@ -47,7 +47,7 @@
     }
 
     /// Has an entry change at a time.
-    fn plan(&mut self, at: Millis, id: Name, entry: Entry) {
+    fn plan(&mut self, at: Millis, id: Name, entry: DirectoryEntry) {
         self.due.push_back((at, id, entry));
         self.due.make_contiguous().sort_by_key(|(at, ..)| *at);
     }
@@ -62,8 +62,8 @@
         let port = worker.listing.address.port();
         let next = listing(&format!("{id}-{lives}"), port);
         let (gone, back) = (self.now + UNLISTED, self.now + self.crashes.back);
-        self.crashes.plan(gone, id.into(), Entry::Gone);
-        let entry = Entry::Listed(next.clone());
+        self.crashes.plan(gone, id.into(), DirectoryEntry::Removed);
+        let entry = DirectoryEntry::Listed(next.clone());
         self.crashes.plan(back, next.id, entry);
     }
 
@@ -84,11 +84,11 @@
             let Some((_, id, entry)) = self.crashes.due.pop_front() else {
                 return;
             };
-            if let Entry::Listed(listing) = &entry {
+            if let DirectoryEntry::Listed(listing) = &entry {
                 let worker = FakeWorker::new(listing.clone());
                 self.workers.insert(id.clone(), worker);
             }
-            self.tell(Event::Listed(vec![(id, entry)]));
+            self.tell(Event::DirectoryChanged(vec![(id, entry)]));
         }
     }
 }
--- a/src/sched/tests/world/sharing.rs
+++ b/src/sched/tests/world/sharing.rs
@@ -6,7 +6,7 @@
 use super::{FakeWorker, World};
 use crate::sched::job::parse_task_name;
 use crate::sched::journal::SPEC_TABLE;
-use crate::sched::message::{Event, Refusal, Reply, Throttle, Word};
+use crate::sched::message::{Event, OrderAck, Refusal, Reply, Throttle};
 use crate::sched::spec::{JobSpec, StepSpec};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -180,7 +180,7 @@
     }
 
     /// A change of speed reaches its worker.
-    pub(super) fn throttle(&mut self, throttle: &Throttle) -> Reply<Word> {
+    pub(super) fn throttle(&mut self, throttle: &Throttle) -> Reply<OrderAck> {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&throttle.incarnation.id) else {
             return Reply::Lost;
@@ -202,7 +202,7 @@
     }
 
     /// Returns what the owner is told of a change of speed.
-    pub(super) fn throttled(throttle: Throttle, reply: Reply<Word>) -> Event {
+    pub(super) fn throttled(throttle: Throttle, reply: Reply<OrderAck>) -> Event {
         Event::Throttled(
             throttle.key,
             throttle.run,
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -7,7 +7,8 @@
 use crate::sched::job::parse_task_name;
 use crate::sched::journal::SPEC_TABLE;
 use crate::sched::message::{
-    Ended, Entry, Event, Hold, How, Refusal, Reply, Report, Running, Start, Stop, Word,
+    ActiveRun, DirectoryEntry, EndedRun, Event, OrderAck, Poll, Refusal, Reply, Report, RunOutcome,
+    Start, Stop,
 };
 use crate::sched::spec::{JobSpec, Resources};
 use crate::sched::worker::Listing;
@@ -22,7 +23,7 @@
     pub(super) run: u32,
     began: Millis,
     ends: Millis,
-    how: How,
+    how: RunOutcome,
 }
 
 /// A worker that keeps the platform's rules.
@@ -49,9 +50,9 @@
     /// The same, as far as they press on each other.
     pub(super) shared: Runs,
     barred: BTreeMap<String, u32>,
-    ended: Vec<Ended>,
+    ended: Vec<EndedRun>,
     /// When runs ended by their work or failed, by number of their end.
-    ends: BTreeMap<u64, (String, How, Millis)>,
+    ends: BTreeMap<u64, (String, RunOutcome, Millis)>,
     /// When its lease had lapsed last.
     lapsed: Millis,
     next: u64,
@@ -100,8 +101,8 @@
     }
 
     /// Returns what it tells with an answer.
-    pub(super) fn word(&self, now: Millis) -> Word {
-        Word {
+    pub(super) fn word(&self, now: Millis) -> OrderAck {
+        OrderAck {
             clock: now - self.started,
             boot: None,
         }
@@ -131,7 +132,7 @@
 
     /// Returns what it tells of itself.
     pub fn report(&self, now: Millis) -> Report {
-        let running = self.running.iter().map(|(task, run)| Running {
+        let running = self.running.iter().map(|(task, run)| ActiveRun {
             task: task.as_str().into(),
             run: run.run,
             saved: self.checkpoint(task, run.run),
@@ -146,16 +147,16 @@
         }
     }
 
-    fn end(&mut self, task: &str, how: How, now: Millis) {
+    fn end(&mut self, task: &str, how: RunOutcome, now: Millis) {
         let Some(run) = self.running.remove(task) else {
             return;
         };
         let barred = self.barred.entry(task.into()).or_insert(0);
         *barred = run.run.max(*barred);
-        if matches!(how, How::Done | How::Failed) {
+        if matches!(how, RunOutcome::Done | RunOutcome::Failed) {
             self.ends.insert(self.next, (task.into(), how, now));
         }
-        self.ended.push(Ended {
+        self.ended.push(EndedRun {
             number: self.next,
             task: task.into(),
             run: run.run,
@@ -167,7 +168,7 @@
 }
 
 impl World {
-    pub(super) fn hold(&mut self, hold: &Hold) -> Reply<Report> {
+    pub(super) fn hold(&mut self, hold: &Poll) -> Reply<Report> {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&hold.incarnation.id) else {
             return Reply::Lost;
@@ -187,9 +188,9 @@
     }
 
     /// Notes ends that were acknowledged, but for those before a lease had lapsed.
-    fn note(&mut self, ends: BTreeMap<u64, (String, How, Millis)>, lapsed: Millis) {
+    fn note(&mut self, ends: BTreeMap<u64, (String, RunOutcome, Millis)>, lapsed: Millis) {
         for (task, how, at) in ends.into_values().filter(|(.., at)| *at > lapsed) {
-            if how == How::Failed {
+            if how == RunOutcome::Failed {
                 *self.failed.entry(task).or_default() += 1;
                 continue;
             }
@@ -207,7 +208,7 @@
         let _ = self.start(start);
     }
 
-    pub(super) fn start(&mut self, start: &Start) -> Reply<Word> {
+    pub(super) fn start(&mut self, start: &Start) -> Reply<OrderAck> {
         let (span, how) = (self.script)(&start.task, start.run);
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&start.incarnation.id) else {
@@ -266,7 +267,7 @@
             run: 9,
             began: now,
             ends: now + span,
-            how: How::Done,
+            how: RunOutcome::Done,
         };
         worker.running.insert(task.into(), run);
     }
@@ -294,8 +295,8 @@
             worker.shrank = told;
         }
         worker.listing.capacity = resources;
-        let entry = Entry::Listed(worker.listing.clone());
-        self.tell(Event::Listed(vec![(id.into(), entry)]));
+        let entry = DirectoryEntry::Listed(worker.listing.clone());
+        self.tell(Event::DirectoryChanged(vec![(id.into(), entry)]));
     }
 
     /// Notes when a start brings its worker over its room, though the owner knew of it.
@@ -337,7 +338,7 @@
         }
     }
 
-    pub(super) fn stop(&mut self, stop: &Stop) -> Reply<Word> {
+    pub(super) fn stop(&mut self, stop: &Stop) -> Reply<OrderAck> {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&stop.incarnation.id) else {
             return Reply::Lost;
@@ -352,7 +353,7 @@
             .get(&stop.task)
             .is_some_and(|r| r.run == stop.run)
         {
-            worker.end(&stop.task, How::Stopped, now);
+            worker.end(&stop.task, RunOutcome::Stopped, now);
         }
         Reply::Ok(worker.word(now))
     }
@@ -365,11 +366,20 @@
             if lapsed {
                 worker.lapsed = now;
             }
-            let ends: Vec<(String, How)> = worker
+            let ends: Vec<(String, RunOutcome)> = worker
                 .running
                 .iter()
                 .filter(|(_, r)| lapsed || r.ends <= now)
-                .map(|(t, r)| (t.clone(), if r.ends <= now { r.how } else { How::Lapsed }))
+                .map(|(t, r)| {
+                    (
+                        t.clone(),
+                        if r.ends <= now {
+                            r.how
+                        } else {
+                            RunOutcome::Lapsed
+                        },
+                    )
+                })
                 .collect();
             for (task, how) in ends {
                 worker.end(&task, how, now);
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -7,7 +7,7 @@
 use super::incarnation::Incarnation;
 use super::interference::{ImageNumber, InterferenceModel};
 use super::job::TaskKey;
-use super::message::{Action, Reply, Throttle, Word};
+use super::message::{Action, OrderAck, Reply, Throttle};
 use super::owner::Owner;
 use super::placement::Placement;
 use super::reports::ReportedRun;
@@ -217,7 +217,7 @@
         run: u32,
         percent: u32,
         incarnation: &Incarnation,
-        reply: Reply<Word>,
+        reply: Reply<OrderAck>,
     ) {
         let name = &incarnation.id;
         let answers = self.answers(incarnation, &reply);
