--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,5 +1,5 @@
-//! The daemon of an entry box on the platform: sockets and tasks around the
-//! decisions of `sched`.
+//! Runs the daemon of an entry box on the platform: the sockets and tasks around the decisions
+//! of `sched`.
 
 mod admin;
 mod commits;
@@ -36,14 +36,13 @@
 use crate::{logs, web};
 use shared::Shared;
 
-/// Time between two looks whether a planned stop was asked for.
+/// Time between two checks for signals, and between two writes of log lines.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time from a planned stop until no connection is accepted any more:
-/// the platform's balancer asks each second and leaves a box out after two
-/// refusals.
+/// Time from the start of a planned stop until no connection is accepted any more: the platform's
+/// balancer checks readiness every second and removes a box after two refusals.
 const LEAVE_DELAY: Duration = Duration::from_millis(2_600);
 
-/// Runs the daemon until its planned stop is complete.
+/// Runs the daemon until its planned stop is complete; `file` holds the settings.
 pub async fn run(settings: Settings, file: &str) -> eyre::Result<()> {
     let web = listen::bind(settings.web)?;
     let rpc = listen::bind(settings.rpc)?;
@@ -54,12 +53,17 @@
     monoio::spawn(flush_logs());
     log::info!(target: "daemon", "event=start box={} life={incarnation} web={} rpc={}", settings.name, settings.web, settings.rpc);
     let limits = settings.limits;
-    let rest = settings
+    let drain_limit = settings
         .stop
         .saturating_sub(LEAVE_DELAY.as_millis() as Millis);
-    let (sender, receiver) = mpsc::unbounded();
-    let (nudge, nudged) = mpsc::unbounded();
-    let shared = Rc::new(Shared::new(settings, incarnation, sender, nudge));
+    let (owner_sender, messages) = mpsc::unbounded();
+    let (check_sender, checks) = mpsc::unbounded();
+    let shared = Rc::new(Shared::new(
+        settings,
+        incarnation,
+        owner_sender,
+        check_sender,
+    ));
     let (trigger, drain) = Drain::new();
     let callers = shared.clone();
     let handle = move |request| frontend::handle(callers.clone(), request);
@@ -69,8 +73,8 @@
         monoio::spawn(admin::serve(listener, shared.clone()));
     }
     monoio::spawn(feeds::follow_config(shared.clone()));
-    monoio::spawn(owner_task::run(shared.clone(), receiver));
-    monoio::spawn(follower::run(shared.clone(), nudged));
+    monoio::spawn(owner_task::run(shared.clone(), messages));
+    monoio::spawn(follower::run(shared.clone(), checks));
     let mut suspension = Suspension::begin();
     let mut ready = false;
     while !signals::asked() {
@@ -84,13 +88,13 @@
     log::info!(target: "daemon", "event=stop box={}", shared.settings.name);
     shared.begin_stop();
     sleep(LEAVE_DELAY).await;
-    let whole = trigger.finish(rest).await;
+    let whole = trigger.finish(drain_limit).await;
     log::info!(target: "daemon", "event=stopped box={} whole={whole}", shared.settings.name);
     logs::flush();
     Ok(())
 }
 
-/// Tells when callers begin or cease to be sent here.
+/// Logs when this box becomes ready or stops being ready for callers.
 fn report_readiness(before: &mut bool, shared: &Shared) {
     let ready = shared.is_ready();
     if ready == *before {
@@ -99,12 +103,12 @@
     *before = ready;
     let (config, owner) = (shared.queues().version(), shared.owner());
     let epoch = owner.map_or(0, |seen| seen.row.epoch);
-    let served = shared.store_serves();
-    log::info!(target: "daemon", "event=ready ready={ready} config={config} epoch={epoch} store_serves={served}");
+    let store_serves = shared.store_serves();
+    log::info!(target: "daemon", "event=ready ready={ready} config={config} epoch={epoch} store_serves={store_serves}");
 }
 
-/// Tells that the machine was suspended: what comes after it looks like a box that was
-/// frozen, and timers have not counted that time.
+/// Logs and counts a suspension of the machine. Afterwards the box looks as if it had been
+/// frozen, and its timers have not counted that time.
 fn report_suspension(suspension: &mut Suspension, shared: &Shared) {
     let Some(span) = suspension.note(clock::now(), clock::awake()) else {
         return;
@@ -114,7 +118,7 @@
     crate::metrics::get().suspended.inc_by(span);
 }
 
-/// Writes log lines that wait until the process ends.
+/// Writes out buffered log lines until the process ends.
 async fn flush_logs() {
     loop {
         logs::flush();
@@ -122,8 +126,8 @@
     }
 }
 
-/// Reads the settings again. Bounds change at once; addresses and names need
-/// another start, which is said.
+/// Reads the settings again. Bounds take effect at once; addresses, cores and names need a
+/// restart, and the log line says so when addresses or cores have changed.
 fn reload(shared: &Shared, file: &str) {
     let settings = match daemon::load(file) {
         Ok(settings) => settings,
@@ -135,10 +139,10 @@
         }
     };
     let old = &shared.settings;
-    let moved = (settings.web, settings.rpc, settings.admin, settings.store)
+    let addresses_changed = (settings.web, settings.rpc, settings.admin, settings.store)
         != (old.web, old.rpc, old.admin, old.store);
-    let resized = settings.cores != old.cores;
-    let restart = moved || resized;
-    log::info!(target: "daemon", "event=reload addresses_changed={moved} cores_changed={resized} restart_needed={restart}");
+    let cores_changed = settings.cores != old.cores;
+    let restart_needed = addresses_changed || cores_changed;
+    log::info!(target: "daemon", "event=reload addresses_changed={addresses_changed} cores_changed={cores_changed} restart_needed={restart_needed}");
     shared.set_bounds(settings.bounds);
 }
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -1,4 +1,4 @@
-//! Readiness and metrics over HTTP.
+//! Serves readiness and metrics over HTTP.
 
 use std::rc::Rc;
 
@@ -20,6 +20,7 @@
     web::server::serve(listener, limits, Drain::never(), handle).await;
 }
 
+/// Returns the reply to a request.
 fn respond(shared: &Shared, request: &web::Request) -> Reply {
     match request.uri.path() {
         "/ready" if shared.is_ready() => Reply::text(StatusCode::OK, "ready\n"),
@@ -29,7 +30,7 @@
     }
 }
 
-/// Returns all metrics as text, with what grows while nothing happens.
+/// Returns all metrics as text, after updating the gauges that no event updates.
 fn metrics_text(shared: &Shared) -> String {
     let metrics = metrics::get();
     metrics.unserved.set(shared.unserved_ms() as i64);
--- a/src/daemon/downtime.rs
+++ b/src/daemon/downtime.rs
@@ -1,17 +1,17 @@
-//! For how long no owner has served this box.
+//! Measures for how long no owner has served this box.
 
 use std::cell::Cell;
 
 use crate::utils::clock::Millis;
 
-/// Whether an owner serves this box, and when one last did.
+/// The time without an owner that serves this box.
 pub struct Downtime {
     last_served: Cell<Millis>,
     ongoing: Cell<bool>,
 }
 
 impl Downtime {
-    /// Returns that of a box that starts now and knows no owner.
+    /// Returns the downtime of a box that starts now and knows no owner.
     pub fn new(now: Millis) -> Self {
         Self {
             last_served: Cell::new(now),
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Takes in whether an owner serves now.
+    /// Records whether an owner serves now.
     pub fn record(&self, served: bool, now: Millis) {
         if served {
             self.last_served.set(now);
--- a/src/daemon/feeds.rs
+++ b/src/daemon/feeds.rs
@@ -1,4 +1,5 @@
-//! Feeds of the store: the configuration, and the directory for the owner.
+//! Follows tables of the store by their feeds: the operator's configuration, and the workers'
+//! directory for the owner.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,28 +14,28 @@
 use crate::sched::message::Event;
 use crate::utils::clock::Millis;
 
-/// Milliseconds that a feed waits for a change. The platform allows 30,000, but
-/// a connection that fell silent is noticed only after this wait, and a
-/// configuration has to be in force 2 s after the store took it.
+/// Milliseconds that a feed waits for a change. The platform allows 30,000, but a dead connection
+/// is noticed only after this wait, and a configuration has to be in force 2 s after the store
+/// accepted it.
 const FEED_WAIT: Millis = 800;
-/// Pause after a feed that failed.
+/// Pause after a failed read or feed.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Follows the configuration and which halls are cordoned for ever.
+/// Follows the configuration and the cordoned halls until the process ends.
 pub async fn follow_config(shared: Rc<Shared>) {
-    let take = |page: Page, whole: bool| {
+    let apply = |page: Page, whole: bool| {
         shared.apply_cordons(config::cordon_changes(&page), whole.then_some(page.version));
         let rows = page.rows.into_iter();
         for row in rows.filter(|r| &*r.key == config::KEY) {
             shared.apply_config(row, "store");
         }
     };
-    follow_table(&shared, config::TABLE, take, || true).await;
+    follow_table(&shared, config::TABLE, apply, || true).await;
 }
 
 /// Follows the directory while the owner of `epoch` is in this process.
 pub async fn follow_directory(shared: Rc<Shared>, epoch: u64) {
-    let take = |page: Page, whole: bool| {
+    let apply = |page: Page, whole: bool| {
         let entries = directory::decode_entries(page, &shared.queues());
         let event = match whole {
             true => Event::Directory(entries),
@@ -42,25 +43,27 @@
         };
         shared.send_to_owner(Message::Event(epoch, event));
     };
-    let leading = || shared.local_epoch() == Some(epoch);
-    while leading() {
-        // Entries of a service that was not named when they were read were passed over.
-        let read = shared.queues().services().clone();
-        let go_on = || leading() && *shared.queues().services() == read;
-        follow_table(&shared, directory::TABLE, take, go_on).await;
+    let is_local = || shared.local_epoch() == Some(epoch);
+    while is_local() {
+        // Entries of services that the configuration does not name are skipped, so the table is
+        // read anew when the named services change.
+        let services = shared.queues().services().clone();
+        let is_active = || is_local() && *shared.queues().services() == services;
+        follow_table(&shared, directory::TABLE, apply, is_active).await;
     }
 }
 
-/// Reads a table, then takes in its changes in their order.
+/// Reads a table and then waits for its changes, while `is_active`. Calls `apply` with each page,
+/// and with true if the page is the whole table.
 async fn follow_table(
     shared: &Shared,
     table: &str,
-    take: impl Fn(Page, bool),
-    go_on: impl Fn() -> bool,
+    apply: impl Fn(Page, bool),
+    is_active: impl Fn() -> bool,
 ) {
     let mut version = None;
     let mut healthy = true;
-    while go_on() {
+    while is_active() {
         let read = match version {
             None => shared.store.read_all(table, "", READ_TIMEOUT).await,
             Some(version) => {
@@ -80,7 +83,7 @@
                 let whole = version.is_none();
                 version = Some(page.version);
                 if whole || !page.rows.is_empty() || !page.deleted.is_empty() {
-                    take(page, whole);
+                    apply(page, whole);
                 }
             }
             Err(StoreError::HistoryGone) => {
--- a/src/daemon/follower.rs
+++ b/src/daemon/follower.rs
@@ -74,7 +74,7 @@
     if is_vacant(shared, &known.row) {
         return replace_owner(shared, &known).await;
     }
-    let pong = match pings::ping(shared, &known.row).await {
+    let pong = match pings::ping_owner(shared, &known.row).await {
         Ok(reply) => {
             apply_reply_config(shared, &reply);
             if reply.later_row > 0 {
--- a/src/daemon/history.rs
+++ b/src/daemon/history.rs
@@ -1,4 +1,4 @@
-//! The jobs that are over, read while the owner already serves.
+//! Loads the finished jobs while the owner already serves.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use crate::sched::message::Event;
 use crate::table::{Row, decode};
 
-/// Rows of one page, the most that the platform gives: about 75 KB on the wire, as
-/// these are small.
+/// Rows of one page: the platform's maximum, as these rows are small (a page has about 75 KB).
 const PAGE: usize = 500;
-/// Pause after a page that could not be read.
+/// Pause after a failed read of a page.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Reads the jobs that are over while the owner of `epoch` is in this process.
+/// Reads all finished jobs page by page and sends them to the owner of `epoch`, as long as that
+/// owner is in this process.
 pub async fn load(shared: Rc<Shared>, epoch: u64) {
     let mut from = String::new();
     while shared.local_epoch() == Some(epoch) {
@@ -44,7 +44,8 @@
     }
 }
 
-/// Returns the jobs out of their rows; `last` when no page follows.
+/// Returns the finished jobs decoded from their rows, and the ids of those that do not decode;
+/// `last` says that no page follows.
 pub(super) fn decode_page(rows: &[Row], last: bool) -> HistoryPage {
     let mut page = HistoryPage {
         last,
@@ -52,9 +53,9 @@
     };
     for row in rows {
         let id = row.key.clone();
-        let past: Option<HistoryRow> = decode(row);
-        match past.filter(|p| p.outcome != Outcome::Open) {
-            Some(past) => page.rows.push((id, past)),
+        let finished: Option<HistoryRow> = decode(row);
+        match finished.filter(|f| f.outcome != Outcome::Open) {
+            Some(finished) => page.rows.push((id, finished)),
             None => {
                 log::error!(target: "owner", "job={id} event=unreadable past=false");
                 page.unreadable.push(id);
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -40,12 +40,12 @@
 }
 
 /// Handles messages and timeouts until the process ends.
-pub async fn run(shared: Rc<Shared>, mut receiver: mpsc::UnboundedReceiver<Message>) {
+pub async fn run(shared: Rc<Shared>, mut messages: mpsc::UnboundedReceiver<Message>) {
     let mut local: Option<LocalOwner> = None;
     let mut woke = clock::now();
     loop {
         let wait = local.as_ref().map_or(1_000, |l| l.owner.wait(now()));
-        let message = timeout(Duration::from_millis(wait), receiver.next()).await;
+        let message = timeout(Duration::from_millis(wait), messages.next()).await;
         let due = woke + wait;
         woke = clock::now();
         if let Some(local) = &mut local {
@@ -60,7 +60,7 @@
         };
         while let Some(message) = next {
             handle_message(&shared, &mut local, message);
-            next = receiver.try_recv().ok();
+            next = messages.try_recv().ok();
         }
         end_if_over(&shared, &mut local);
     }
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -1,4 +1,4 @@
-//! Calls from other boxes.
+//! Serves calls from other boxes: forwarded job requests, and pings.
 
 use std::rc::Rc;
 
@@ -36,13 +36,15 @@
     }
 }
 
+/// Passes a forwarded job request to the owner in this process; an empty reply says that this
+/// box is not the owner.
 async fn handle_request(shared: Rc<Shared>, request: AskRequest) -> Result<AskReply, Status> {
-    let ask = serde_json::from_slice(&request.ask)
+    let job_request = serde_json::from_slice(&request.ask)
         .map_err(|e| Status::invalid_argument(e.to_string()))?;
     if shared.local_epoch().is_none() {
         return Ok(AskReply::default());
     }
-    match frontend::ask_local_owner(&shared, ask, request.left).await {
+    match frontend::ask_local_owner(&shared, job_request, request.left).await {
         Some(answer) => Ok(AskReply {
             answer: encode(&answer),
         }),
@@ -50,23 +52,25 @@
     }
 }
 
+/// Answers a ping; ends the owner or the load in this process if the pinging box knows a later
+/// owner.
 fn handle_ping(shared: &Shared, ping: &PingRequest) -> PingReply {
     if shared.local_epoch().is_some_and(|epoch| ping.epoch > epoch) {
-        // The caller knows a later owner, so this one has ended.
+        // The pinging box knows a later owner, so this one has been replaced.
         shared.set_local_epoch(None);
         shared.send_to_owner(Message::Superseded(ping.epoch));
         shared.check_owner_now();
     }
     if shared.loading().is_some_and(|l| ping.epoch > l.epoch) {
-        // What this box loads is not its own any more, and it must not begin with it.
+        // The cell belongs to a later owner, so this box must not begin with what it loads.
         shared.set_loading(None);
     }
     if shared.local_epoch().is_some() && ping.cores > shared.settings.cores {
         shared.send_to_owner(Message::StrongerBox(ping.cores));
     }
     pings::follow_later_owner(shared, ping.owner.clone(), ping.owner_row);
-    let others = exchange_peers(shared, ping);
-    let later = shared.owner().filter(|seen| seen.row.epoch > ping.epoch);
+    let others = exchange_addresses(shared, ping);
+    let later = shared.owner().filter(|known| known.row.epoch > ping.epoch);
     let loading = shared.loading();
     let newer = ping.config < shared.queues().version();
     let config = shared.config().filter(|_| newer);
@@ -79,15 +83,16 @@
         cores: shared.settings.cores,
         loading: loading.map_or(0, |l| l.epoch),
         pages: loading.map_or(0, |l| l.pages),
-        later_row: later.as_ref().map_or(0, |seen| seen.version),
-        later: later.map(|seen| encode(&seen.row)).unwrap_or_default(),
+        later_row: later.as_ref().map_or(0, |known| known.version),
+        later: later.map(|known| encode(&known.row)).unwrap_or_default(),
         others,
     }
 }
 
-/// Takes in which box asks, and returns the others that it wants to know.
-fn exchange_peers(shared: &Shared, ping: &PingRequest) -> Vec<String> {
-    // One of the version before tells no address.
+/// Adds the pinging box's address to the known ones, and returns addresses of other boxes if it
+/// asked for them.
+fn exchange_addresses(shared: &Shared, ping: &PingRequest) -> Vec<String> {
+    // Boxes of the previous release send no address.
     let Ok(address) = ping.address.parse() else {
         return Vec::new();
     };
@@ -96,8 +101,8 @@
     if !ping.others {
         return Vec::new();
     }
-    let told = addresses.next_batch(address);
-    told.iter().map(|a| a.to_string()).collect()
+    let batch = addresses.next_batch(address);
+    batch.iter().map(|a| a.to_string()).collect()
 }
 
 /// Serves other boxes until the process ends.
--- a/src/daemon/pings.rs
+++ b/src/daemon/pings.rs
@@ -1,4 +1,4 @@
-//! Pings of the owner, or of one that was it.
+//! Sends pings to the owner, to its predecessor and to other boxes, and takes in the replies.
 
 use std::net::SocketAddr;
 
@@ -14,13 +14,13 @@
 use crate::table::{Row, decode, encode};
 use crate::utils::clock::{self, Millis};
 
-/// Milliseconds between two pings of the owner.
+/// Milliseconds between two pings to the owner.
 pub const PING_INTERVAL: Millis = 200;
-/// Milliseconds for the answer to a ping: a hundred round trips.
+/// Timeout of a ping in milliseconds: a hundred round trips.
 const PING_TIMEOUT: Millis = 350;
 
-/// Asks the owner whether it still is, and takes in whether it serves.
-pub async fn ping(shared: &Shared, owner: &OwnerRow) -> Result<PingReply, CallError> {
+/// Pings the owner, and records whether it serves this box.
+pub async fn ping_owner(shared: &Shared, owner: &OwnerRow) -> Result<PingReply, CallError> {
     let reply = send_ping(shared, owner.address, ping_request(shared, owner.epoch)).await;
     let serves = |r: &PingReply| r.owner && r.epoch == owner.epoch;
     let served = reply.as_ref().is_ok_and(serves);
@@ -29,19 +29,20 @@
         shared.set_last_followed(owner);
     }
     if let Ok(reply) = &reply {
-        add_peers(shared, reply);
+        add_addresses(shared, reply);
     }
     reply
 }
 
-/// Takes in which other boxes there are.
-fn add_peers(shared: &Shared, reply: &PingReply) {
+/// Adds the addresses of other boxes in a reply to the known ones.
+fn add_addresses(shared: &Shared, reply: &PingReply) {
     let addresses = reply.others.iter().filter_map(|a| a.parse().ok());
     let addresses: Vec<SocketAddr> = addresses.collect();
     shared.peer_addresses().add_reply(&addresses, clock::now());
 }
 
-/// Asks some other boxes who the owner is; true when one knows a later than `epoch`.
+/// Asks some other boxes for the owner, and follows the latest; returns true when one of them
+/// knows an owner later than `epoch`.
 pub async fn query_peers(shared: &Shared, epoch: u64) -> bool {
     let asked = shared.peer_addresses().next_batch(shared.settings.rpc);
     if asked.is_empty() {
@@ -60,7 +61,7 @@
     later.is_some()
 }
 
-/// Returns a ping that says that an owner of this epoch is known.
+/// Returns a ping from this box, which knows the owner of `epoch`.
 pub fn ping_request(shared: &Shared, epoch: u64) -> PingRequest {
     PingRequest {
         name: shared.settings.name.to_string(),
@@ -77,7 +78,7 @@
     }
 }
 
-/// Returns a ping by which the owner tells the one before of itself.
+/// Returns the ping by which a new owner tells its predecessor of its row.
 pub fn takeover_notice(shared: &Shared, row: &OwnerRow, version: u64) -> PingRequest {
     PingRequest {
         owner: encode(row),
@@ -86,18 +87,18 @@
     }
 }
 
-/// Follows an owner that another box tells of, if it is later than the one known here.
-/// That only directs requests and pings: to take its place takes the store.
+/// Follows an owner named by another box if it is later than the known one. This only directs
+/// requests and pings; becoming the owner takes a commit to the store.
 pub fn follow_later_owner(shared: &Shared, value: Bytes, version: u64) {
     if value.is_empty() {
         return;
     }
-    let told = Row {
+    let stored = Row {
         key: OWNER_KEY.into(),
         version,
         value,
     };
-    let Some(row) = decode::<OwnerRow>(&told) else {
+    let Some(row) = decode::<OwnerRow>(&stored) else {
         return;
     };
     let known = shared.owner().map_or(0, |seen| seen.row.epoch);
@@ -116,7 +117,7 @@
     }));
 }
 
-/// Returns what the answer to a ping tells of the box.
+/// Returns the state of the pinged box according to its reply.
 pub fn to_pong(reply: &PingReply) -> Pong {
     match (reply.owner, reply.loading) {
         (true, _) => Pong::Serves {
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a box share.
+//! State and clients that the daemon's tasks share.
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::collections::HashMap;
@@ -27,11 +27,11 @@
 /// Part of the store in which the owner keeps everything.
 pub const STORE_PART: &str = "main";
 
-/// Milliseconds after an answer of the store to a feed in which it counts as
-/// serving this box: the wait of a feed and half of one more.
+/// Milliseconds after the store's last answer to a feed until the store counts as not serving
+/// this box: one and a half times the wait of a feed.
 const STORE_TIMEOUT: Millis = 1_200;
 
-/// Returns the clocks now.
+/// Returns the current time by both clocks.
 pub fn now() -> Now {
     Now {
         steady: clock::now(),
@@ -39,37 +39,38 @@
     }
 }
 
-/// The owner as last seen.
+/// The owner as last known.
 #[derive(Clone, Debug)]
 pub struct KnownOwner {
-    /// Its row.
+    /// The owner's row.
     pub row: OwnerRow,
-    /// Version of its row.
+    /// Version of the row.
     pub version: u64,
-    /// The last sign of life of it.
+    /// The owner's last known progress.
     pub progress: OwnerProgress,
 }
 
-/// How far a box that has become the owner is with loading what the store holds.
+/// The load of the stored state by a box that has just become the owner.
 #[derive(Clone, Copy, Debug)]
 pub struct Loading {
-    /// Its epoch.
+    /// Epoch of the owner.
     pub epoch: u64,
     /// Pages read so far.
     pub pages: u64,
 }
 
-/// State and clients that the tasks of a box share.
+/// State and clients of one box.
 pub struct Shared {
     /// Checked settings.
     pub settings: Settings,
-    /// Milliseconds since the Unix epoch of the start; tells lives of one box apart.
+    /// Start of this process in milliseconds since the Unix epoch; tells incarnations of the
+    /// box apart.
     pub incarnation: u64,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub store: Store,
-    /// The workers.
+    /// Client of the workers.
     pub workers: Workers,
-    /// The advisor of services.
+    /// Client of the advisor.
     pub advisor: Advisor,
     owner_sender: UnboundedSender<Message>,
     check_sender: UnboundedSender<()>,
@@ -122,13 +123,13 @@
         }
     }
 
-    /// Sends a message to the task of the owner.
+    /// Sends a message to the owner's task.
     pub fn send_to_owner(&self, message: Message) {
         // The task ends only with the process.
         let _ = self.owner_sender.unbounded_send(message);
     }
 
-    /// Has the owner looked for at once.
+    /// Has the follower check the owner at once.
     pub fn check_owner_now(&self) {
         // The task ends only with the process.
         let _ = self.check_sender.unbounded_send(());
@@ -144,7 +145,8 @@
         self.config.borrow().clone()
     }
 
-    /// Puts a configuration in force unless a newer one is.
+    /// Puts a configuration in force unless it does not decode or is no newer than the current
+    /// one.
     pub fn apply_config(&self, row: Row, from: &str) {
         let Some(queues) = config::decode_queues(&row) else {
             return;
@@ -160,15 +162,16 @@
         *self.config.borrow_mut() = Some(row);
     }
 
-    /// Returns the cordoned halls; none before they were read.
+    /// Returns the cordoned halls, or `None` before they were read.
     pub fn cordoned(&self) -> Option<Halls> {
         self.cordons.borrow().halls()
     }
 
-    /// Takes in changes of halls, or all cordons as of a version of the store.
-    pub fn apply_cordons(&self, changes: Vec<Change>, whole: Option<u64>) {
+    /// Applies changes of cordons; with `as_of`, the changes are all cordons as of that version
+    /// of the store. Tells the owner in this process if the cordoned halls changed.
+    pub fn apply_cordons(&self, changes: Vec<Change>, as_of: Option<u64>) {
         let before = self.cordoned();
-        match whole {
+        match as_of {
             Some(version) => self.cordons.borrow_mut().read(version, changes),
             None => {
                 let mut cordons = self.cordons.borrow_mut();
@@ -181,7 +184,7 @@
         let old = before.unwrap_or_default();
         for hall in halls.symmetric_difference(&old) {
             let cordoned = halls.contains(hall);
-            log::info!(target: "config", "event=cordon hall={hall} cordoned={cordoned} read={whole:?}");
+            log::info!(target: "config", "event=cordon hall={hall} cordoned={cordoned} read={as_of:?}");
         }
         crate::metrics::get().cordoned.set(halls.len() as i64);
         if let Some(epoch) = self.local_epoch() {
@@ -189,22 +192,22 @@
         }
     }
 
-    /// Returns the owner as last seen.
+    /// Returns the owner as last known.
     pub fn owner(&self) -> Option<KnownOwner> {
         self.owner.borrow().clone()
     }
 
-    /// Sets the owner as last seen.
-    pub fn set_owner(&self, seen: Option<KnownOwner>) {
-        let epoch = seen.as_ref().map_or(0, |s| s.row.epoch);
+    /// Sets the owner as last known.
+    pub fn set_owner(&self, known: Option<KnownOwner>) {
+        let epoch = known.as_ref().map_or(0, |s| s.row.epoch);
         crate::metrics::get().followed.set(epoch as i64);
-        *self.owner.borrow_mut() = seen;
+        *self.owner.borrow_mut() = known;
     }
 
-    /// Forgets the owner as last seen, so that the store is asked; one later than `epoch`
-    /// stays, since a box that the store turns away could not find it again.
+    /// Forgets the known owner unless it is later than `epoch`, so that it is read from the store.
+    /// A later owner stays known, since a box that the store refuses could not find it again.
     pub fn forget_owner(&self, epoch: u64) {
-        if self.owner().is_none_or(|seen| seen.row.epoch <= epoch) {
+        if self.owner().is_none_or(|known| known.row.epoch <= epoch) {
             self.set_owner(None);
         }
     }
@@ -214,25 +217,25 @@
         self.last_followed.borrow().clone()
     }
 
-    /// Takes in that an owner in another box serves this one.
+    /// Sets the row of the last owner in another box that served this one.
     pub fn set_last_followed(&self, row: &OwnerRow) {
         *self.last_followed.borrow_mut() = Some(row.clone());
     }
 
-    /// Takes in a sign of life of the owner of an epoch.
+    /// Sets the progress of the known owner if it is of this epoch.
     pub fn set_progress(&self, epoch: u64, progress: OwnerProgress) {
         let mut owner = self.owner.borrow_mut();
-        if let Some(seen) = owner.as_mut().filter(|s| s.row.epoch == epoch) {
-            seen.progress = progress;
+        if let Some(known) = owner.as_mut().filter(|s| s.row.epoch == epoch) {
+            known.progress = progress;
         }
     }
 
-    /// Returns true when this life of this box wrote an owner's row.
+    /// Returns true when this incarnation of this box wrote the owner's row.
     pub fn is_own_row(&self, row: &OwnerRow) -> bool {
         row.name == self.settings.name && row.life == self.incarnation
     }
 
-    /// Returns the epoch of the owner in this process.
+    /// Returns the epoch of the owner in this process, or `None` when this box is not the owner.
     pub fn local_epoch(&self) -> Option<u64> {
         self.local_epoch.get()
     }
@@ -240,30 +243,30 @@
     /// Sets the epoch of the owner in this process.
     pub fn set_local_epoch(&self, epoch: Option<u64>) {
         if self.local_epoch() != epoch {
-            // An owner that ends here has served until now.
+            // The owner in this process has served this box until now.
             self.record_owner_serving(true);
             self.record_owner_serving(epoch.is_some());
         }
         self.local_epoch.set(epoch);
     }
 
-    /// Returns how far this box is with loading what the store holds, if it does.
+    /// Returns the load in progress, if any.
     pub fn loading(&self) -> Option<Loading> {
         self.loading.get()
     }
 
-    /// Sets that.
+    /// Sets the load in progress.
     pub fn set_loading(&self, loading: Option<Loading>) {
         self.loading.set(loading);
     }
 
-    /// Returns true while this box loads as the owner of an epoch, and no later one is
-    /// known.
+    /// Returns true while this box loads as the owner of this epoch and no other box has told it
+    /// of a later owner.
     pub fn is_loading(&self, epoch: u64) -> bool {
         self.loading().is_some_and(|l| l.epoch == epoch)
     }
 
-    /// Takes in whether an owner serves this box now.
+    /// Records whether an owner serves this box now.
     pub fn record_owner_serving(&self, served: bool) {
         self.downtime.record(served, clock::now());
     }
@@ -273,17 +276,17 @@
         self.downtime.duration(clock::now())
     }
 
-    /// Returns when the store confirmed the owner in this process.
+    /// Returns when the store last confirmed the owner in this process.
     pub fn confirmed(&self) -> u64 {
         self.confirmed.get()
     }
 
-    /// Sets when the store confirmed the owner in this process.
+    /// Sets when the store last confirmed the owner in this process.
     pub fn set_confirmed(&self, at: u64) {
         self.confirmed.set(at);
     }
 
-    /// Takes in that the store has just answered a feed.
+    /// Records that the store has just answered a feed.
     pub fn record_store_answer(&self) {
         self.store_answered.set(clock::now());
     }
@@ -293,19 +296,19 @@
         clock::now() < self.store_answered.get() + STORE_TIMEOUT
     }
 
-    /// Returns true while callers may be sent to this box: with a configuration, unless it
-    /// stops, or neither knows an owner nor has the store to find one.
+    /// Returns true while callers may be sent to this box: it has a configuration, is not
+    /// stopping, and knows an owner or has the store to find one.
     pub fn is_ready(&self) -> bool {
         let found = self.owner().is_some() || self.store_serves();
         self.queues().version() > 0 && found && !self.is_stopping()
     }
 
-    /// Returns the bounds of decisions in force.
+    /// Returns the bounds in force for the owner's decisions.
     pub fn bounds(&self) -> Bounds {
         self.bounds.get()
     }
 
-    /// Puts other bounds of decisions in force.
+    /// Puts other bounds in force, also for an owner in this process.
     pub fn set_bounds(&self, bounds: Bounds) {
         self.bounds.set(bounds);
         self.send_to_owner(Message::Bounds(bounds));
@@ -322,12 +325,12 @@
         self.send_to_owner(Message::Resign);
     }
 
-    /// Returns the other boxes that are known; not to be held over a wait.
+    /// Returns the known addresses of other boxes. The borrow must not be held across an await.
     pub fn peer_addresses(&self) -> RefMut<'_, PeerAddresses> {
         self.peer_addresses.borrow_mut()
     }
 
-    /// Returns the channel to another box.
+    /// Returns the channel to another box, creating it at first use.
     pub fn channel(&self, address: SocketAddr) -> Channel {
         let mut channels = self.channels.borrow_mut();
         let channel = channels.entry(address);
