--- a/src/sched/loads.rs
+++ b/src/sched/loads.rs
@@ -1,36 +1,37 @@
-//! The own loads of serving tasks, estimated from all tasks of their step.
+//! Estimates of the own loads of serving tasks: their busy shares without interference.
 //!
-//! Tasks of one step share their users, so their loads move together. What a task
-//! shows beyond the load of the others is what fillers beside it take.
+//! The tasks of one step share their users, so their loads move together. The load of a task
+//! beyond that of the others is the interference of best-effort tasks beside it.
 
 use std::collections::HashMap;
 
 use super::job::StepKey;
 use crate::utils::clock::Millis;
 
-/// Variance of one measured load, without what fillers add: tails are whole
-/// milliseconds, which is 0.05 of a server near an idle tail of 10.
-const NOISE: f64 = 0.002;
-/// Variance that a reading gains with each second, as loads move by up to 0.1 in one.
-const AGEING: f64 = 0.01;
-/// Milliseconds after which a reading says nothing any more.
-const OLD: Millis = 1_500;
-/// Variance of a load that nothing was measured of.
-const UNKNOWN: f64 = 0.04;
-/// Own load of a task that was not measured.
-pub(super) const UNMEASURED: f64 = 0.5;
-/// Part of a new disagreement in that of a step.
-const GAIN: f64 = 0.05;
+/// Variance of one measured load without the uncertainty of the interference. Tails are whole
+/// milliseconds, which is 0.05 of a server near an idle tail of 10 ms.
+const NOISE_VARIANCE: f64 = 0.002;
+/// Variance that a reading gains per second, because loads move by up to 0.1 in a second.
+const DRIFT_VARIANCE: f64 = 0.01;
+/// Milliseconds after which a reading is ignored.
+const MAX_AGE: Millis = 1_500;
+/// Variance of the load of a task without readings.
+const UNKNOWN_VARIANCE: f64 = 0.04;
+/// Own load assumed of a task without readings.
+pub(super) const DEFAULT_LOAD: f64 = 0.5;
+/// Weight of a new reading in the divergence of its step.
+const DIVERGENCE_GAIN: f64 = 0.05;
 
-/// An own load and how sure it is.
+/// An estimated own load and its variance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Estimate {
-    /// Busy share of the server that is the task's own.
+    /// Busy share of the server without interference.
     pub load: f64,
-    /// Variance of that.
+    /// Variance of the load.
     pub variance: f64,
 }
 
+/// One measured own load of a task.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     index: u32,
@@ -39,33 +40,35 @@
     variance: f64,
 }
 
+/// The readings of the tasks of one step.
 #[derive(Debug, Default)]
 struct StepLoad {
     readings: Vec<Reading>,
-    /// Mean square by which tasks differ from the others beyond their noise.
-    unlike: f64,
+    /// Variance between the tasks of the step beyond the noise of their readings.
+    divergence: f64,
 }
 
-/// Readings of the tasks of each step.
+/// Own loads of serving tasks, by step.
 #[derive(Debug, Default)]
 pub(super) struct OwnLoads {
     steps: HashMap<StepKey, StepLoad>,
 }
 
 impl OwnLoads {
-    /// Takes in what a task of a step was measured to load its server with, less
-    /// what fillers are thought to take with this variance.
+    /// Records the measured load of a task, from which the estimated interference was already
+    /// subtracted; `mix_variance` is the variance of that interference.
     pub fn record(&mut self, step: StepKey, index: u32, load: f64, mix_variance: f64, now: Millis) {
-        let variance = NOISE + mix_variance;
+        let variance = NOISE_VARIANCE + mix_variance;
         let others = self.estimate_from_others(step, index, now);
         let entry = self.steps.entry(step).or_default();
         if let Some(others) = others {
-            let beyond = (load - others.load).powi(2) - variance - others.variance;
-            entry.unlike = (entry.unlike + (beyond - entry.unlike) * GAIN).max(0.0);
+            let squared = (load - others.load).powi(2) - variance - others.variance;
+            entry.divergence =
+                (entry.divergence + (squared - entry.divergence) * DIVERGENCE_GAIN).max(0.0);
         }
         entry
             .readings
-            .retain(|r| r.index != index && now < r.at + OLD);
+            .retain(|r| r.index != index && now < r.at + MAX_AGE);
         entry.readings.push(Reading {
             index,
             at: now,
@@ -74,47 +77,47 @@
         });
     }
 
-    /// Returns what the other tasks of a step tell of the own load of one.
+    /// Returns the own load of a task as estimated from the other tasks of its step.
     pub fn estimate_from_others(&self, step: StepKey, index: u32, now: Millis) -> Option<Estimate> {
         let entry = self.steps.get(&step)?;
         let others = entry.readings.iter().filter(|r| r.index != index);
-        let estimate = mean(others, now)?;
+        let estimate = weighted_mean(others, now)?;
         Some(Estimate {
-            variance: estimate.variance + entry.unlike,
+            variance: estimate.variance + entry.divergence,
             ..estimate
         })
     }
 
-    /// Returns the own load of a task, out of its own readings and the others'.
+    /// Returns the own load of a task, estimated from its own readings and those of the others.
     pub fn estimate(&self, step: StepKey, index: u32, now: Millis) -> Estimate {
         let own = self.steps.get(&step).and_then(|entry| {
             let own = entry.readings.iter().filter(|r| r.index == index);
-            mean(own, now)
+            weighted_mean(own, now)
         });
-        let unknown = Estimate {
-            load: UNMEASURED,
-            variance: UNKNOWN,
+        let default = Estimate {
+            load: DEFAULT_LOAD,
+            variance: UNKNOWN_VARIANCE,
         };
         match (own, self.estimate_from_others(step, index, now)) {
-            (Some(a), Some(b)) => joined(a, b),
+            (Some(a), Some(b)) => combine(a, b),
             (Some(one), None) | (None, Some(one)) => one,
-            (None, None) => unknown,
+            (None, None) => default,
         }
     }
 
-    /// Forgets steps of which nothing was heard of late.
+    /// Removes steps without recent readings.
     pub fn remove_stale(&mut self, now: Millis) {
         self.steps
-            .retain(|_, entry| entry.readings.iter().any(|r| now < r.at + OLD));
+            .retain(|_, entry| entry.readings.iter().any(|r| now < r.at + MAX_AGE));
     }
 }
 
-/// Returns the mean of readings, each weighted by how sure it is by now.
-fn mean<'a>(readings: impl Iterator<Item = &'a Reading>, now: Millis) -> Option<Estimate> {
+/// Returns the mean of the readings, weighted by the inverse of their variances at `now`.
+fn weighted_mean<'a>(readings: impl Iterator<Item = &'a Reading>, now: Millis) -> Option<Estimate> {
     let (mut weights, mut loads) = (0.0, 0.0);
-    for reading in readings.filter(|r| now < r.at + OLD) {
+    for reading in readings.filter(|r| now < r.at + MAX_AGE) {
         let age = (now - reading.at) as f64 / 1_000.0;
-        let weight = 1.0 / (reading.variance + AGEING * age);
+        let weight = 1.0 / (reading.variance + DRIFT_VARIANCE * age);
         weights += weight;
         loads += weight * reading.load;
     }
@@ -124,8 +127,8 @@
     })
 }
 
-/// Joins two estimates of one load.
-fn joined(a: Estimate, b: Estimate) -> Estimate {
+/// Combines two estimates of the same load, weighted by the inverse of their variances.
+fn combine(a: Estimate, b: Estimate) -> Estimate {
     let part = b.variance / (a.variance + b.variance);
     Estimate {
         load: a.load * part + b.load * (1.0 - part),
