--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -18,7 +18,8 @@
 use crate::sched::failover::{self, OwnerProgress};
 use crate::sched::job::JobRow;
 use crate::sched::journal::{
-    BELIEF_TABLE, JOB_TABLE, Journal, OWNER_KEY, OWNER_TABLE, OwnerRow, PRESSURE_KEY, SPEC_TABLE,
+    ESTIMATES_TABLE, INTERFERENCE_KEY, JOB_TABLE, Journal, OWNER_KEY, OWNER_TABLE, OwnerRow,
+    SPEC_TABLE,
 };
 use crate::sched::message::{CommitOutcome, Write};
 use crate::sched::owner::{Kept, Owner};
@@ -217,8 +218,8 @@
 async fn load_state(shared: &Shared, epoch: u64) -> Option<StoredState> {
     let specs = read_table(shared, epoch, SPEC_TABLE).await?;
     let rows = read_table(shared, epoch, JOB_TABLE).await?;
-    let beliefs = read_table(shared, epoch, BELIEF_TABLE).await?;
-    let interference = beliefs.iter().find(|r| &*r.key == PRESSURE_KEY);
+    let beliefs = read_table(shared, epoch, ESTIMATES_TABLE).await?;
+    let interference = beliefs.iter().find(|r| &*r.key == INTERFERENCE_KEY);
     Some(StoredState {
         interference: interference.and_then(decode).unwrap_or_default(),
         ..decode_jobs(&specs, &rows)
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -58,12 +58,12 @@
     /// Returns the milliseconds since the last confirmed commit when they are too
     /// many to take new jobs.
     pub(super) fn store_away(&self) -> Option<Millis> {
-        let silent = self.now.steady - self.journal.confirmed();
-        let usual = match self.journal.failing() {
+        let silent = self.now.steady - self.journal.last_confirmed();
+        let usual = match self.journal.last_commit_failed() {
             true => STORE_FAILING,
             false => STORE_AWAY,
         };
-        let slow = (self.journal.took() * SLOW_COMMITS).min(STORE_AWAY_MOST);
+        let slow = (self.journal.last_commit_duration() * SLOW_COMMITS).min(STORE_AWAY_MOST);
         (silent > usual.max(slow)).then_some(silent)
     }
 
--- a/src/sched/asks.rs
+++ b/src/sched/asks.rs
@@ -2,7 +2,7 @@
 
 use super::failover;
 use super::job::{Job, Outcome, Queue};
-use super::journal::After;
+use super::journal::AfterCommit;
 use super::message::{Answer, JobRequest, Ticket};
 use super::owner::Owner;
 use super::spec::JobSpec;
@@ -42,7 +42,7 @@
             log::info!(target: "job", "job={id} event=refused reason={obstacle:?} workers={workers}");
             return self.reply(ticket, Answer::Refused(obstacle.come_back()));
         }
-        if !self.history.whole() {
+        if !self.history.is_complete() {
             return self.park(ticket, JobRequest::Submit { id, spec, queue });
         }
         let steps = spec.steps.len();
@@ -50,7 +50,7 @@
         let job = Job::new(id, *spec, queue, self.now.wall);
         let number = self.add(job);
         self.journal
-            .after(number, After::Reply(ticket, Answer::Accepted));
+            .run_after_commit(number, AfterCommit::Reply(ticket, Answer::Accepted));
         self.release(number);
     }
 
@@ -60,7 +60,8 @@
         if job.stored && job.stored_outcome == job.row.outcome {
             return self.reply(ticket, answer);
         }
-        self.journal.after(number, After::Reply(ticket, answer));
+        self.journal
+            .run_after_commit(number, AfterCommit::Reply(ticket, answer));
     }
 
     fn cancel(&mut self, ticket: Ticket, id: &Name) {
@@ -93,7 +94,7 @@
     /// Answers about a job that is not known, once all that are over were read: it may be
     /// one of them. A later owner may hold it as well, so that there must be none.
     fn not_found(&mut self, ticket: Ticket, ask: JobRequest) {
-        match self.history.whole() && self.alone() {
+        match self.history.is_complete() && self.alone() {
             true => self.reply(ticket, Answer::Unknown),
             false => self.park(ticket, ask),
         }
@@ -102,12 +103,12 @@
     /// Returns true while no other box can be the owner: one that gives the cell up may have
     /// done so by a commit without an answer.
     fn alone(&self) -> bool {
-        !self.gives_up() && failover::holds_cell(self.journal.confirmed(), self.now.steady)
+        !self.gives_up() && failover::holds_cell(self.journal.last_confirmed(), self.now.steady)
     }
 
     /// Asks those that wait once more, where it has just been confirmed that this is the owner.
     pub(super) fn answer_parked(&mut self) {
-        if self.history.waits() && self.history.whole() && self.alone() {
+        if self.history.has_parked() && self.history.is_complete() && self.alone() {
             for (ticket, ask) in self.history.take_parked() {
                 self.ask(ticket, ask);
             }
--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -7,7 +7,8 @@
 use super::history::HistoryRow;
 use super::job::{Job, Outcome, TaskKey};
 use super::journal::{
-    After, BELIEF_TABLE, HISTORY_TABLE, JOB_TABLE, PRESSURE_KEY, SPEC_TABLE, Settled, spare,
+    AfterCommit, ESTIMATES_TABLE, HISTORY_TABLE, INTERFERENCE_KEY, JOB_TABLE, Resolution,
+    SPEC_TABLE, spare_entries,
 };
 use super::message::{Action, CommitOutcome, Write};
 use super::owner::Owner;
@@ -20,7 +21,7 @@
 
 /// Milliseconds between two writes of what was learned: it is learned anew
 /// within some seconds, at the cost of those.
-const BELIEFS: Millis = 3_000;
+const ESTIMATES_INTERVAL: Millis = 3_000;
 
 impl Owner {
     /// Sends what the store has to hold, if a commit is due.
@@ -33,11 +34,12 @@
             job.archived = job.stored && !job.is_open() && unplaced(placed, number, job);
             rows(job)
         };
-        let Some((number, version, mut writes)) = self.journal.build(self.now.steady, rows) else {
+        let Some((number, version, mut writes)) = self.journal.build_commit(self.now.steady, rows)
+        else {
             return;
         };
-        writes.extend(self.beliefs());
-        let most = spare(&writes);
+        writes.extend(self.estimates());
+        let most = spare_entries(&writes);
         writes.extend(self.expired(most));
         self.actions.push(Action::Commit {
             number,
@@ -56,28 +58,28 @@
     }
 
     /// Returns the row of what was learned, now and then.
-    fn beliefs(&mut self) -> Option<Write> {
-        if self.now.steady < self.next_beliefs {
+    fn estimates(&mut self) -> Option<Write> {
+        if self.now.steady < self.next_estimates {
             return None;
         }
-        self.next_beliefs = self.now.steady + BELIEFS;
+        self.next_estimates = self.now.steady + ESTIMATES_INTERVAL;
         let known = self.interference.export()?;
         Some(Write {
-            table: BELIEF_TABLE,
-            key: PRESSURE_KEY.into(),
+            table: ESTIMATES_TABLE,
+            key: INTERFERENCE_KEY.into(),
             value: Some(crate::table::encode(&known)),
         })
     }
 
     /// Takes in how a commit went.
     pub(super) fn written(&mut self, number: u64, written: CommitOutcome) {
-        match self.journal.settle(number, written, self.now.steady) {
-            Settled::Again => self.history.settle(false),
-            Settled::Deposed => {
+        match self.journal.resolve(number, written, self.now.steady) {
+            Resolution::Retry => self.history.finish_expiry(false),
+            Resolution::Deposed => {
                 self.deposed = true;
             }
-            Settled::Kept(jobs) => {
-                self.history.settle(true);
+            Resolution::Stored(jobs) => {
+                self.history.finish_expiry(true);
                 for (number, afters) in jobs {
                     self.kept(number, afters);
                 }
@@ -86,7 +88,7 @@
     }
 
     /// Goes on with what has waited for a job's row to be in the store.
-    fn kept(&mut self, number: u32, afters: Vec<After>) {
+    fn kept(&mut self, number: u32, afters: Vec<AfterCommit>) {
         if let Some(job) = self.jobs.get_mut(&number) {
             job.stored = true;
             job.stored_outcome = job.sent_outcome;
@@ -99,9 +101,9 @@
         }
         for after in afters {
             match after {
-                After::Reply(ticket, answer) => self.reply(ticket, answer),
-                After::Start(key, run) => self.start(key, run),
-                After::Seen(worker, end) => self.acknowledge_completion(&worker, end),
+                AfterCommit::Reply(ticket, answer) => self.reply(ticket, answer),
+                AfterCommit::Start(key, run) => self.start(key, run),
+                AfterCommit::Acknowledge(worker, end) => self.acknowledge_completion(&worker, end),
             }
         }
     }
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -2,7 +2,7 @@
 
 use super::incarnation::Incarnation;
 use super::job::{Outcome, Phase, TaskKey};
-use super::journal::After;
+use super::journal::AfterCommit;
 use super::message::{EndedRun, RunOutcome};
 use super::owner::Owner;
 use super::worker::{PollState, Worker};
@@ -55,7 +55,7 @@
             worker.pending_completions.insert(end.number);
         }
         self.journal
-            .after(key.job, After::Seen(incarnation, end.number));
+            .run_after_commit(key.job, AfterCommit::Acknowledge(incarnation, end.number));
     }
 
     /// Takes in that a run has done its work; `current` when it is the run that its
--- a/src/sched/history.rs
+++ b/src/sched/history.rs
@@ -59,7 +59,7 @@
     /// Those whose rows were removed while older pages may still come.
     removed: HashSet<Name>,
     /// True once all rows were read.
-    whole: bool,
+    is_complete: bool,
     /// Requests until then about jobs that may be over already.
     parked: Vec<(Ticket, JobRequest)>,
 }
@@ -71,8 +71,8 @@
     }
 
     /// Returns true once an id that is not found here is that of no job.
-    pub fn whole(&self) -> bool {
-        self.whole
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
     /// Adds a job whose row is in the store.
@@ -96,27 +96,27 @@
     }
 
     /// Takes in whether the commit that was to remove rows took effect.
-    pub fn settle(&mut self, done: bool) {
+    pub fn finish_expiry(&mut self, done: bool) {
         let leaving = std::mem::take(&mut self.leaving);
         for id in leaving.into_iter().filter(|_| done) {
             if let Some(row) = self.known.remove(&id) {
                 self.order.remove(&(row.ended, id.clone()));
             }
-            if !self.whole {
+            if !self.is_complete {
                 self.removed.insert(id);
             }
         }
     }
 
     /// Takes in that there are no more rows; returns the requests that waited for that.
-    fn complete(&mut self) -> Vec<(Ticket, JobRequest)> {
-        self.whole = true;
+    fn mark_complete(&mut self) -> Vec<(Ticket, JobRequest)> {
+        self.is_complete = true;
         self.removed = HashSet::new();
         self.take_parked()
     }
 
     /// Returns true while requests wait.
-    pub fn waits(&self) -> bool {
+    pub fn has_parked(&self) -> bool {
         !self.parked.is_empty()
     }
 
@@ -135,10 +135,10 @@
                 self.history.merge(id, row);
             }
         }
-        if !page.last || self.history.whole {
+        if !page.last || self.history.is_complete {
             return;
         }
-        let parked = self.history.complete();
+        let parked = self.history.mark_complete();
         let (jobs, waited) = (self.history.known.len(), parked.len());
         log::info!(target: "owner", "event=past-known jobs={jobs} parked={waited}");
         for (ticket, ask) in parked {
--- a/src/sched/journal.rs
+++ b/src/sched/journal.rs
@@ -25,9 +25,9 @@
 /// Table of jobs that are over.
 pub const HISTORY_TABLE: &str = "past";
 /// Table of what owners learned.
-pub const BELIEF_TABLE: &str = "belief";
+pub const ESTIMATES_TABLE: &str = "belief";
 /// Key of the interference factors between images.
-pub const PRESSURE_KEY: &str = "pressure";
+pub const INTERFERENCE_KEY: &str = "pressure";
 /// Key of the owner's row.
 pub const OWNER_KEY: &str = "owner";
 
@@ -90,28 +90,28 @@
 
 /// What waits for a job's row to be in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum After {
+pub enum AfterCommit {
     /// The answer to a caller.
     Reply(Ticket, Answer),
     /// The start of a run.
     Start(TaskKey, u32),
     /// The acknowledgement of an end to a worker.
-    Seen(Incarnation, u64),
+    Acknowledge(Incarnation, u64),
 }
 
 /// Returns how many more writes a commit with these has room for.
-pub fn spare(writes: &[Write]) -> usize {
+pub fn spare_entries(writes: &[Write]) -> usize {
     // One is the condition.
     ENTRIES.saturating_sub(writes.len() + 1)
 }
 
 /// How the last commit changed what is known.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum Resolution {
     /// The jobs are in the store as they were when it was built.
-    Kept(Vec<(u32, Vec<After>)>),
+    Stored(Vec<(u32, Vec<AfterCommit>)>),
     /// Nothing is settled; it will be written again.
-    Again,
+    Retry,
     /// Another box owns the cell.
     Deposed,
 }
@@ -121,7 +121,7 @@
     number: u64,
     sent: Millis,
     released: bool,
-    jobs: Vec<(u32, Vec<After>)>,
+    jobs: Vec<(u32, Vec<AfterCommit>)>,
 }
 
 /// The owner's commits.
@@ -132,7 +132,7 @@
     /// Changed jobs in the order in which they are written.
     order: VecDeque<u32>,
     /// The same jobs, with what waits for their rows.
-    waiting: BTreeMap<u32, Vec<After>>,
+    waiting: BTreeMap<u32, Vec<AfterCommit>>,
     flight: Option<Flight>,
     /// When the next commit may be sent.
     next: Millis,
@@ -181,22 +181,22 @@
     }
 
     /// Returns when the last commit that took effect was sent.
-    pub fn confirmed(&self) -> Millis {
+    pub fn last_confirmed(&self) -> Millis {
         self.confirmed
     }
 
     /// Returns the milliseconds that the last commit took.
-    pub fn took(&self) -> Millis {
+    pub fn last_commit_duration(&self) -> Millis {
         self.took
     }
 
     /// Returns true while the outcome of a commit is not known.
-    pub fn doubtful(&self) -> bool {
+    pub fn in_doubt(&self) -> bool {
         self.in_doubt
     }
 
     /// Returns true when the last commit that ended is not known to have taken effect.
-    pub fn failing(&self) -> bool {
+    pub fn last_commit_failed(&self) -> bool {
         self.failed
     }
 
@@ -209,7 +209,7 @@
     }
 
     /// Marks a job as changed, with what waits for its row.
-    pub fn after(&mut self, job: u32, after: After) {
+    pub fn run_after_commit(&mut self, job: u32, after: AfterCommit) {
         self.touch(job);
         if let Some(list) = self.waiting.get_mut(&job) {
             list.push(after);
@@ -217,7 +217,7 @@
     }
 
     /// Has the row say that no owner before can extend a lease any more.
-    pub fn settle_legacy(&mut self) {
+    pub fn mark_predecessors_ended(&mut self) {
         self.row.settled = true;
     }
 
@@ -234,19 +234,19 @@
     }
 
     /// Returns true once the cell is to be given up.
-    pub fn gives_up(&self) -> bool {
+    pub fn is_releasing(&self) -> bool {
         self.leaving.is_some()
     }
 
     /// Returns true once the store holds the release. Changes that it does not hold
     /// are found by the next owner as after a lost one.
-    pub fn released(&self) -> bool {
+    pub fn is_released(&self) -> bool {
         self.left
     }
 
     /// Returns when the next commit is due, unless one is on its way.
-    pub fn due(&self) -> Option<Millis> {
-        let idle = match self.order.is_empty() && !self.gives_up() {
+    pub fn next_due(&self) -> Option<Millis> {
+        let idle = match self.order.is_empty() && !self.is_releasing() {
             true => self.idle,
             false => 0,
         };
@@ -254,12 +254,12 @@
     }
 
     /// Returns the next commit when one is due; `rows` gives the rows of a job.
-    pub fn build(
+    pub fn build_commit(
         &mut self,
         now: Millis,
         mut rows: impl FnMut(u32) -> Vec<Write>,
     ) -> Option<(u64, u64, Vec<Write>)> {
-        let idle = now >= self.idle || self.gives_up();
+        let idle = now >= self.idle || self.is_releasing();
         let waits = self.flight.is_some() || now < self.next || self.left;
         if waits || (self.order.is_empty() && !idle) {
             return None;
@@ -281,7 +281,7 @@
             jobs.push((job, list));
         }
         let last = self.leaving.is_some_and(|since| now >= since + LAST);
-        self.row.released |= last || (self.gives_up() && self.order.is_empty());
+        self.row.released |= last || (self.is_releasing() && self.order.is_empty());
         writes.push(self.own_row());
         let number = self.row.seq;
         self.flight = Some(Flight {
@@ -302,9 +302,9 @@
     }
 
     /// Takes in how a commit ended.
-    pub fn settle(&mut self, number: u64, written: CommitOutcome, now: Millis) -> Settled {
+    pub fn resolve(&mut self, number: u64, written: CommitOutcome, now: Millis) -> Resolution {
         let Some(flight) = self.flight.take_if(|f| f.number == number) else {
-            return Settled::Again;
+            return Resolution::Retry;
         };
         self.failed = matches!(written, CommitOutcome::NotDone | CommitOutcome::Unknown);
         match written {
@@ -316,11 +316,11 @@
                 self.in_doubt = false;
                 self.left = flight.released;
                 self.next = now + PAUSE;
-                return Settled::Kept(flight.jobs);
+                return Resolution::Stored(flight.jobs);
             }
             CommitOutcome::Conflict(row) => {
                 if !self.adopt(row) {
-                    return Settled::Deposed;
+                    return Resolution::Deposed;
                 }
                 self.next = now;
             }
@@ -332,7 +332,7 @@
             }
         }
         self.restore(flight.jobs);
-        Settled::Again
+        Resolution::Retry
     }
 
     /// Accepts the version of a row that an earlier commit of this owner wrote.
@@ -355,7 +355,7 @@
     }
 
     /// Puts jobs whose commit had no effect back in front.
-    fn restore(&mut self, jobs: Vec<(u32, Vec<After>)>) {
+    fn restore(&mut self, jobs: Vec<(u32, Vec<AfterCommit>)>) {
         for (job, mut list) in jobs.into_iter().rev() {
             match self.waiting.get_mut(&job) {
                 Some(later) => {
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -146,7 +146,7 @@
     /// When to look next at what has become due or too old.
     next_sweep: Millis,
     /// When what was learned is written next.
-    pub(super) next_beliefs: Millis,
+    pub(super) next_estimates: Millis,
     /// Runs freed as the lease of their worker had ended.
     pub(super) lapsed: u64,
     /// True once another box owns the cell.
@@ -206,7 +206,7 @@
             next_swap: 0,
             next_job: 0,
             next_sweep: 0,
-            next_beliefs: 0,
+            next_estimates: 0,
             lapsed: 0,
             deposed: false,
         };
@@ -255,7 +255,7 @@
 
     /// Returns when the last commit that took effect was sent.
     pub fn confirmed(&self) -> Millis {
-        self.journal.confirmed()
+        self.journal.last_confirmed()
     }
 
     /// Returns true once another box owns the cell.
@@ -265,7 +265,7 @@
 
     /// Returns true once the store holds that the cell was given up.
     pub fn released(&self) -> bool {
-        self.journal.released()
+        self.journal.is_released()
     }
 
     /// Returns the milliseconds until something is due.
@@ -275,7 +275,7 @@
         let due = self
             .next_contact()
             .into_iter()
-            .chain(self.journal.due())
+            .chain(self.journal.next_due())
             .chain(place)
             .chain([self.next_sweep]);
         due.min().unwrap_or(0).saturating_sub(now.steady).max(1)
@@ -293,7 +293,7 @@
 
     /// Returns true once it is to give the cell up.
     pub fn gives_up(&self) -> bool {
-        self.journal.gives_up()
+        self.journal.is_releasing()
     }
 
     /// Gives the cell up to a box with more cores.
@@ -305,7 +305,7 @@
     pub fn predecessor_ended(&mut self, now: Now) {
         let end = now.steady + max_lease_duration(self.bounds.lease);
         self.inherited = self.inherited.min(end);
-        self.journal.settle_legacy();
+        self.journal.mark_predecessors_ended();
     }
 
     /// Takes in an event and returns what is to be done.
@@ -358,9 +358,9 @@
 
     fn sweep(&mut self) {
         if self.now.steady > self.inherited {
-            self.journal.settle_legacy();
+            self.journal.mark_predecessors_ended();
         }
-        if self.now.steady > self.journal.confirmed() + SILENT_STORE {
+        if self.now.steady > self.journal.last_confirmed() + SILENT_STORE {
             self.store_trouble = self.now.steady;
         }
         self.settle_lapsed();
--- a/src/sched/placing.rs
+++ b/src/sched/placing.rs
@@ -5,7 +5,7 @@
 
 use super::choice::{Ranking, Wish, could_run};
 use super::job::{Phase, StepKey, TaskKey};
-use super::journal::After;
+use super::journal::AfterCommit;
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
 use super::preempt::Search;
@@ -129,7 +129,7 @@
     /// Places ready tasks in their order, as far as there is room.
     pub(super) fn place(&mut self) {
         let now = self.now.steady;
-        if self.crowded || now < self.next_place || self.journal.doubtful() {
+        if self.crowded || now < self.next_place || self.journal.in_doubt() {
             return;
         }
         self.next_place = now + PLACE_PAUSE + self.ready.len() as u64 / WAITING;
@@ -403,7 +403,8 @@
             task.boot = boot;
             task.phase = Phase::Placed(name);
         }
-        self.journal.after(key.job, After::Start(key, run));
+        self.journal
+            .run_after_commit(key.job, AfterCommit::Start(key, run));
     }
 
     /// Returns what a run of a task takes on its worker.
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -47,7 +47,7 @@
     /// Starts the exchanges that are due.
     pub(super) fn contact(&mut self) {
         let now = self.now.steady;
-        let confirmed = now < self.journal.confirmed() + self.bounds.unconfirmed;
+        let confirmed = now < self.journal.last_confirmed() + self.bounds.unconfirmed;
         let (span, epoch) = (self.bounds.lease, self.journal.epoch());
         let watch = WATCH * (self.workers.len() as u64).max(WATCHED) / WATCHED;
         for name in self.due_contacts() {
--- a/src/sched/tests/journal.rs
+++ b/src/sched/tests/journal.rs
@@ -1,6 +1,6 @@
 //! Group commits and their doubts.
 
-use crate::sched::journal::{HISTORY_TABLE, Journal, OwnerRow, Settled, spare};
+use crate::sched::journal::{HISTORY_TABLE, Journal, OwnerRow, Resolution, spare_entries};
 use crate::sched::message::{CommitOutcome, Write};
 use crate::table::encode;
 
@@ -21,50 +21,54 @@
 fn boxes_that_start_in_the_same_millisecond_are_not_taken_for_each_other() {
     let mut journal = Journal::new(row("box-a", 77), 1, 0);
     let (number, ..) = journal
-        .build(1_000, |_| Vec::new())
+        .build_commit(1_000, |_| Vec::new())
         .expect("a commit is due");
     let other = CommitOutcome::Conflict(Some((2, encode(&row("box-b", 77)))));
-    assert_eq!(journal.settle(number, other, 1_010), Settled::Deposed);
+    assert_eq!(journal.resolve(number, other, 1_010), Resolution::Deposed);
 }
 
 #[test]
 fn an_earlier_commit_of_its_own_is_built_upon() {
     let mut journal = Journal::new(row("box-a", 77), 1, 0);
     journal.touch(5);
-    let (number, version, _) = journal.build(10, |_| Vec::new()).expect("a commit is due");
+    let (number, version, _) = journal
+        .build_commit(10, |_| Vec::new())
+        .expect("a commit is due");
     assert_eq!(version, 1);
     assert_eq!(
-        journal.settle(number, CommitOutcome::Unknown, 300),
-        Settled::Again
+        journal.resolve(number, CommitOutcome::Unknown, 300),
+        Resolution::Retry
     );
-    assert!(journal.doubtful());
+    assert!(journal.in_doubt());
     let (number, ..) = journal
-        .build(300, |_| Vec::new())
+        .build_commit(300, |_| Vec::new())
         .expect("it is tried again");
     let own = CommitOutcome::Conflict(Some((9, encode(&row("box-a", 77)))));
-    assert_eq!(journal.settle(number, own, 310), Settled::Again);
+    assert_eq!(journal.resolve(number, own, 310), Resolution::Retry);
     let (number, version, _) = journal
-        .build(310, |_| Vec::new())
+        .build_commit(310, |_| Vec::new())
         .expect("it is tried again");
     assert_eq!(version, 9);
-    let kept = journal.settle(number, CommitOutcome::Done(10), 320);
-    assert_eq!(kept, Settled::Kept(vec![(5, Vec::new())]));
-    assert!(!journal.doubtful());
+    let kept = journal.resolve(number, CommitOutcome::Done(10), 320);
+    assert_eq!(kept, Resolution::Stored(vec![(5, Vec::new())]));
+    assert!(!journal.in_doubt());
 }
 
 #[test]
 fn a_release_holds_only_once_a_commit_that_says_so_took_effect() {
     let mut journal = Journal::new(row("box-a", 77), 1, 0);
     journal.touch(5);
-    let (number, ..) = journal.build(10, |_| Vec::new()).expect("a commit is due");
+    let (number, ..) = journal
+        .build_commit(10, |_| Vec::new())
+        .expect("a commit is due");
     journal.release(11);
-    journal.settle(number, CommitOutcome::Done(2), 12);
-    assert!(!journal.released());
+    journal.resolve(number, CommitOutcome::Done(2), 12);
+    assert!(!journal.is_released());
     let (number, ..) = journal
-        .build(20, |_| Vec::new())
+        .build_commit(20, |_| Vec::new())
         .expect("the release is due");
-    journal.settle(number, CommitOutcome::Done(3), 22);
-    assert!(journal.released());
+    journal.resolve(number, CommitOutcome::Done(3), 22);
+    assert!(journal.is_released());
 }
 
 #[test]
@@ -74,14 +78,14 @@
     journal.release(1);
     let mut commits = 0;
     for now in 1..400 {
-        if let Some((number, ..)) = journal.build(now, |_| Vec::new()) {
+        if let Some((number, ..)) = journal.build_commit(now, |_| Vec::new()) {
             commits += 1;
             // Something changes while the commit is on its way.
             journal.touch(commits);
-            journal.settle(number, CommitOutcome::Done(u64::from(commits)), now);
+            journal.resolve(number, CommitOutcome::Done(u64::from(commits)), now);
         }
     }
-    assert!(journal.released(), "after {commits} commits");
+    assert!(journal.is_released(), "after {commits} commits");
 }
 
 #[test]
@@ -89,11 +93,11 @@
     let mut journal = Journal::new(row("box-a", 77), 1, 0);
     journal.release(1);
     let (number, ..) = journal
-        .build(2, |_| Vec::new())
+        .build_commit(2, |_| Vec::new())
         .expect("the release is due");
-    journal.settle(number, CommitOutcome::Done(2), 3);
+    journal.resolve(number, CommitOutcome::Done(2), 3);
     journal.touch(7);
-    assert!(journal.build(1_000, |_| Vec::new()).is_none());
+    assert!(journal.build_commit(1_000, |_| Vec::new()).is_none());
 }
 
 #[test]
@@ -102,10 +106,10 @@
     journal.touch(1);
     let mut sent = 0;
     for now in 10..1_010 {
-        if let Some((number, _, _)) = journal.build(now, |_| Vec::new()) {
+        if let Some((number, _, _)) = journal.build_commit(now, |_| Vec::new()) {
             sent += 1;
             // The connection is reset at once.
-            journal.settle(number, CommitOutcome::Unknown, now);
+            journal.resolve(number, CommitOutcome::Unknown, now);
         }
     }
     assert!((10..=20).contains(&sent), "{sent} commits in a second");
@@ -122,9 +126,9 @@
         let mut journal = Journal::new(row("a", 1), 1, 0);
         (0..300).for_each(|job| journal.touch(job));
         let rows = |_| vec![write.clone(); each];
-        let (_, _, writes) = journal.build(10, rows).expect("a commit is due");
-        assert!(spare(&writes) >= 1, "no room for what was learned");
-        let entries = writes.len() + 1 + spare(&writes);
+        let (_, _, writes) = journal.build_commit(10, rows).expect("a commit is due");
+        assert!(spare_entries(&writes) >= 1, "no room for what was learned");
+        let entries = writes.len() + 1 + spare_entries(&writes);
         assert_eq!(entries, 100, "with the condition");
     }
 }
