--- a/benches/orders.rs
+++ b/benches/orders.rs
@@ -69,7 +69,7 @@
             address,
             lease: Some(486_000),
             epoch: 7,
-            seen: seen as u64,
+            acknowledged: seen as u64,
             wait: 0,
         };
         whole += usize::from(matches!(workers.poll(&hold).await, Reply::Ok(_)));
--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -288,7 +288,7 @@
                 let wait = hold.wait.min(POLL);
                 let ready = match self.workers.get_mut(&worker) {
                     Some(w) => {
-                        w.ended.retain(|e| e.number > hold.seen);
+                        w.ended.retain(|e| e.number > hold.acknowledged);
                         !w.ended.is_empty()
                     }
                     None => return,
@@ -376,8 +376,8 @@
             number: w.last,
             task,
             run,
-            how: RunOutcome::Done,
-            saved: "".into(),
+            outcome: RunOutcome::Done,
+            checkpoint: "".into(),
         });
         if let Some(sent) = w.waiting.as_ref().map(|h| h.sent) {
             self.at(self.now + CALL / 2, Due::Answer(worker, sent));
@@ -394,7 +394,7 @@
         let running = w.running.iter().map(|(task, run)| ActiveRun {
             task: task.clone(),
             run: run.run,
-            saved: "".into(),
+            checkpoint: "".into(),
             progress: 100,
             gauge: match run.ends {
                 Some(_) => 4,
--- a/src/platform/advice.rs
+++ b/src/platform/advice.rs
@@ -69,8 +69,8 @@
 fn decode_advice(body: &[u8]) -> Reply<Advice> {
     match serde_json::from_slice::<AdviceReply>(body) {
         Ok(reply) => Reply::Ok(Advice {
-            good: reply.good,
-            valid: reply.valid_ms,
+            permits: reply.good,
+            valid_for: reply.valid_ms,
         }),
         Err(e) => {
             log::error!(target: "task", "event=malformed-advice cause=\"{e}\"");
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -43,7 +43,7 @@
             spec: &start.text,
             deadline_ms: start.lease,
             fence: start.epoch,
-            last_checkpoint: &start.saved,
+            last_checkpoint: &start.checkpoint,
             ticket: &start.permit,
         });
         let reply = self.send_order(start.address, "/run-start", body, &start.incarnation.id, 0);
@@ -78,7 +78,7 @@
         let body = encode(&wire::Hold {
             deadline_ms: hold.lease,
             fence: hold.epoch,
-            last_seen: hold.seen,
+            last_seen: hold.acknowledged,
             wait_ms: hold.wait,
         });
         let reply = self.send_order(hold.address, "/hold", body, &hold.incarnation.id, hold.wait);
@@ -166,7 +166,7 @@
         .map(|(task, run, saved, progress, gauge)| ActiveRun {
             task,
             run,
-            saved,
+            checkpoint: saved,
             progress,
             gauge: gauge.max(0.0) as u64,
         });
@@ -179,8 +179,8 @@
                 number,
                 task,
                 run,
-                how,
-                saved,
+                outcome: how,
+                checkpoint: saved,
             })
         });
     Report {
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -26,14 +26,19 @@
         if end.number <= worker.last_completion {
             // One whose commit is on its way is listed with each report.
             if !worker.pending_completions.contains(&end.number) {
-                let (task, run, how) = (&end.task, end.run, end.how);
+                let (task, run, how) = (&end.task, end.run, end.outcome);
                 let (number, top) = (end.number, worker.last_completion);
                 log::info!(target: "task", "task={task} run={run} event=end-passed-over how={how:?} worker={name} number={number} taken_in={top}");
             }
             return;
         }
         worker.last_completion = end.number;
-        let EndedRun { task, run, how, .. } = end;
+        let EndedRun {
+            task,
+            run,
+            outcome: how,
+            ..
+        } = end;
         let Some(key) = self.find(task) else {
             // Its job was removed: nothing is to be kept before the worker forgets it.
             log::info!(target: "task", "task={task} run={run} event=unknown-end how={how:?} worker={name}");
@@ -46,7 +51,7 @@
         self.begun(key);
         let current = self.workers.get(name).and_then(|w| w.placements.get(&key));
         let current = current.is_some_and(|s| s.run == end.run);
-        if end.how == RunOutcome::Done {
+        if end.outcome == RunOutcome::Done {
             self.complete_task(key, current);
         } else if current {
             self.free_unfinished(name, key, end);
@@ -108,14 +113,14 @@
         };
         let lasting = job.step(key).lasting;
         let attempts = job.row.queue.attempts;
-        if end.how == RunOutcome::Failed
+        if end.outcome == RunOutcome::Failed
             && let Some(task) = job.task_mut(key)
         {
             task.failures += 1;
             self.failed_on.insert(key, name.clone());
             self.count_failure(name);
         }
-        self.save(key, &end.saved);
+        self.save(key, &end.checkpoint);
         let exhausted = !lasting && self.failures(key) >= attempts;
         self.free(key);
         if exhausted && self.jobs.get(&key.job).is_some_and(|j| j.is_open()) {
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -76,7 +76,7 @@
     /// Number of the run.
     pub run: u32,
     /// Last checkpoint; empty for none.
-    pub saved: Name,
+    pub checkpoint: Name,
     /// Percent of its work that is done; of a lasting task, its speed once it is at work.
     pub progress: u32,
     /// Processor share in use, or the latency tail in milliseconds of a
@@ -111,9 +111,9 @@
     /// Number of the run.
     pub run: u32,
     /// How it ended.
-    pub how: RunOutcome,
+    pub outcome: RunOutcome,
     /// Last checkpoint; empty for none.
-    pub saved: Name,
+    pub checkpoint: Name,
 }
 
 /// Everything a worker tells in one exchange.
@@ -212,9 +212,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Advice {
     /// Ids of workers, each with the permit that a start there has to bring.
-    pub good: Vec<(Name, Name)>,
+    pub permits: Vec<(Name, Name)>,
     /// Milliseconds for which that holds.
-    pub valid: Millis,
+    pub valid_for: Millis,
 }
 
 /// A question to the advisor of a service.
@@ -301,7 +301,7 @@
     /// Epoch of the owner.
     pub epoch: u64,
     /// Highest end that may be forgotten; 0 for none.
-    pub seen: u64,
+    pub acknowledged: u64,
     /// Milliseconds that it may wait for an end.
     pub wait: Millis,
 }
@@ -326,7 +326,7 @@
     /// Epoch of the owner.
     pub epoch: u64,
     /// Checkpoint to resume from; empty for none.
-    pub saved: Name,
+    pub checkpoint: Name,
     /// Permit of the advisor to run it there; empty where none is needed.
     pub permit: Name,
 }
--- a/src/sched/permits.rs
+++ b/src/sched/permits.rs
@@ -134,11 +134,11 @@
             known.next = now + AGAIN;
             return;
         };
-        let end = sent + advice.valid;
-        let good = advice.good.len();
-        log::info!(target: "task", "step={name} event=advice good={good} asked={} valid_ms={}", asked.len(), advice.valid);
+        let end = sent + advice.valid_for;
+        let good = advice.permits.len();
+        log::info!(target: "task", "step={name} event=advice good={good} asked={} valid_ms={}", asked.len(), advice.valid_for);
         known.bad.extend(asked);
-        for (worker, token) in advice.good {
+        for (worker, token) in advice.permits {
             known.bad.remove(&worker);
             known.good.insert(worker, Permit { token, end });
         }
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -81,7 +81,7 @@
                 address: worker.listing.address,
                 lease,
                 epoch,
-                seen: worker.next_acknowledgement(),
+                acknowledged: worker.next_acknowledgement(),
                 wait: match (known, mixed) {
                     (false, _) => 0,
                     (true, true) => watch.min(longest),
@@ -160,7 +160,7 @@
         worker.unverified = false;
         worker.boot = worker.boot.or(report.boot);
         if order == BootOrder::Same {
-            worker.acknowledged = worker.acknowledged.max(hold.seen);
+            worker.acknowledged = worker.acknowledged.max(hold.acknowledged);
         }
         worker.record_clock(report.clock, now);
         self.report(name, hold.sent, report);
@@ -270,9 +270,9 @@
         let ended = job.stored_outcome != Outcome::Open;
         if job
             .task(key)
-            .is_some_and(|task| task.checkpoint != run.saved)
+            .is_some_and(|task| task.checkpoint != run.checkpoint)
         {
-            self.save(key, &run.saved);
+            self.save(key, &run.checkpoint);
         }
         if inherited && ended {
             self.stop(key);
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -101,7 +101,7 @@
             text: job.spec.payload.clone(),
             lease,
             epoch: self.journal.epoch(),
-            saved: job
+            checkpoint: job
                 .task(key)
                 .map(|t| t.checkpoint.clone())
                 .unwrap_or_default(),
--- a/src/sched/tests/interference.rs
+++ b/src/sched/tests/interference.rs
@@ -68,7 +68,7 @@
     let run = ActiveRun {
         task: "serving.0.0.0".into(),
         run: 1,
-        saved: "".into(),
+        checkpoint: "".into(),
         progress: 100,
         // Below where fillers are slowed by what was learned.
         gauge: 97,
--- a/src/sched/tests/overload.rs
+++ b/src/sched/tests/overload.rs
@@ -64,7 +64,7 @@
     let run = ActiveRun {
         task: "serving.0.0.0".into(),
         run: 1,
-        saved: "".into(),
+        checkpoint: "".into(),
         progress: 100,
         gauge: tail,
     };
--- a/src/sched/tests/throttling.rs
+++ b/src/sched/tests/throttling.rs
@@ -189,7 +189,7 @@
         let run = ActiveRun {
             task: "serving.0.0.0".into(),
             run: 1,
-            saved: "".into(),
+            checkpoint: "".into(),
             progress: 100,
             gauge: *tail,
         };
--- a/src/sched/tests/world/calls.rs
+++ b/src/sched/tests/world/calls.rs
@@ -178,7 +178,10 @@
         let named = question.workers.iter().filter(|w| self.good.contains(*w));
         let good = named.map(ticket).collect();
         let valid = ADVICE_VALID;
-        let done = Reply::Ok(Advice { good, valid });
+        let done = Reply::Ok(Advice {
+            permits: good,
+            valid_for: valid,
+        });
         let event = Event::Advised(question.step, question.workers, done);
         self.later(ADVICE_TIME, Due::Event(self.epoch, event));
     }
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -135,7 +135,7 @@
         let running = self.running.iter().map(|(task, run)| ActiveRun {
             task: task.as_str().into(),
             run: run.run,
-            saved: self.checkpoint(task, run.run),
+            checkpoint: self.checkpoint(task, run.run),
             progress: 100,
             gauge: self.shared.get(task).map_or(0, |s| s.gauge()),
         });
@@ -160,8 +160,8 @@
             number: self.next,
             task: task.into(),
             run: run.run,
-            how,
-            saved: self.checkpoint(task, run.run),
+            outcome: how,
+            checkpoint: self.checkpoint(task, run.run),
         });
         self.next += 1;
     }
@@ -178,8 +178,8 @@
         }
         worker.epoch = hold.epoch;
         worker.extend(hold.lease.unwrap_or(0), now);
-        worker.ended.retain(|e| e.number > hold.seen);
-        let later = worker.ends.split_off(&(hold.seen + 1));
+        worker.ended.retain(|e| e.number > hold.acknowledged);
+        let later = worker.ends.split_off(&(hold.acknowledged + 1));
         let noted = std::mem::replace(&mut worker.ends, later);
         let lapsed = worker.lapsed;
         let report = worker.report(now);
@@ -252,7 +252,8 @@
         let id = start.incarnation.id.clone();
         self.share(&id, &start.task);
         self.starts.push((start.task.clone(), start.run, id, now));
-        self.resumed.insert(start.task.clone(), start.saved.clone());
+        self.resumed
+            .insert(start.task.clone(), start.checkpoint.clone());
         self.note_double(start);
         self.note_excess(start);
         Reply::Ok(word)
