--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -1,4 +1,4 @@
-//! Ends of runs: what becomes of their tasks, jobs and workers.
+//! Completions of runs that workers report, and their effect on tasks, jobs and workers.
 
 use super::incarnation::Incarnation;
 use super::job::{Outcome, Phase, TaskKey};
@@ -9,38 +9,38 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds from the moment that all ends of a worker are written to the
-/// next exchange with it, for more ends to gather.
-const GATHER: Millis = 25;
-/// Failed runs in a row after which a worker rests.
-const FAILURES: u32 = 3;
-/// Milliseconds of that rest, doubled with each further failure up to eight times.
-const REST: Millis = 2_000;
+/// Milliseconds from the time when all completions of a worker are stored to the next poll of
+/// it, so that more completions gather.
+const BATCH_DELAY: Millis = 25;
+/// Failed runs in a row after which a worker is quarantined.
+const QUARANTINE_FAILURES: u32 = 3;
+/// Milliseconds of the first quarantine, doubled with each further failure up to 8 times that.
+const QUARANTINE_TIME: Millis = 2_000;
 
 impl Owner {
-    /// Takes in the end of a run.
-    pub(super) fn record_completion(&mut self, name: &Name, end: &EndedRun) {
+    /// Handles the completion of a run that a worker reports.
+    pub(super) fn record_completion(&mut self, name: &Name, completion: &EndedRun) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if end.number <= worker.last_completion {
-            // One whose commit is on its way is listed with each report.
-            if !worker.pending_completions.contains(&end.number) {
-                let (task, run, how) = (&end.task, end.run, end.outcome);
-                let (number, top) = (end.number, worker.last_completion);
+        if completion.number <= worker.last_completion {
+            // A completion that is not stored yet is listed in every report.
+            if !worker.pending_completions.contains(&completion.number) {
+                let (task, run, how) = (&completion.task, completion.run, completion.outcome);
+                let (number, top) = (completion.number, worker.last_completion);
                 log::info!(target: "task", "task={task} run={run} event=end-passed-over how={how:?} worker={name} number={number} taken_in={top}");
             }
             return;
         }
-        worker.last_completion = end.number;
+        worker.last_completion = completion.number;
         let EndedRun {
             task,
             run,
             outcome: how,
             ..
-        } = end;
+        } = completion;
         let Some(key) = self.find(task) else {
-            // Its job was removed: nothing is to be kept before the worker forgets it.
+            // Its job was removed: nothing has to be stored before the worker may forget it.
             log::info!(target: "task", "task={task} run={run} event=unknown-end how={how:?} worker={name}");
             return;
         };
@@ -50,21 +50,23 @@
         log::info!(target: "task", "task={task} run={run} event=ended how={how:?} worker={incarnation}");
         self.begun(key);
         let current = self.workers.get(name).and_then(|w| w.placements.get(&key));
-        let current = current.is_some_and(|s| s.run == end.run);
-        if end.outcome == RunOutcome::Done {
+        let current = current.is_some_and(|s| s.run == completion.run);
+        if completion.outcome == RunOutcome::Done {
             self.complete_task(key, current);
         } else if current {
-            self.free_unfinished(name, key, end);
+            self.free_unfinished(name, key, completion);
         }
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.pending_completions.insert(end.number);
+            worker.pending_completions.insert(completion.number);
         }
-        self.journal
-            .run_after_commit(key.job, AfterCommit::Acknowledge(incarnation, end.number));
+        self.journal.run_after_commit(
+            key.job,
+            AfterCommit::Acknowledge(incarnation, completion.number),
+        );
     }
 
-    /// Takes in that a run has done its work; `current` when it is the run that its
-    /// task is placed for.
+    /// Marks a task as done after a successful run; `current` is true if the task is placed for
+    /// that run.
     fn complete_task(&mut self, key: TaskKey, current: bool) {
         let Some(job) = self.jobs.get(&key.job) else {
             return;
@@ -89,7 +91,7 @@
                 self.free(peer);
             }
         } else if open {
-            // An earlier run came through after all: its successor is not needed.
+            // An earlier run succeeded after all: the later run is not needed.
             for peer in self.peers(key) {
                 self.stop(peer);
             }
@@ -106,21 +108,22 @@
         }
     }
 
-    /// Takes in the end of a current run that has not done its work.
-    fn free_unfinished(&mut self, name: &Name, key: TaskKey, end: &EndedRun) {
+    /// Frees a task whose current run ended without success, and fails its job once the task's
+    /// attempts are exhausted.
+    fn free_unfinished(&mut self, name: &Name, key: TaskKey, completion: &EndedRun) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
         let lasting = job.step(key).lasting;
         let attempts = job.row.queue.attempts;
-        if end.outcome == RunOutcome::Failed
+        if completion.outcome == RunOutcome::Failed
             && let Some(task) = job.task_mut(key)
         {
             task.failures += 1;
             self.failed_on.insert(key, name.clone());
             self.count_failure(name);
         }
-        self.save(key, &end.checkpoint);
+        self.save(key, &completion.checkpoint);
         let exhausted = !lasting && self.failures(key) >= attempts;
         self.free(key);
         if exhausted && self.jobs.get(&key.job).is_some_and(|j| j.is_open()) {
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Counts a failed run of a worker, which rests after several in a row.
+    /// Counts a failed run of a worker, and quarantines it after several in a row.
     fn count_failure(&mut self, name: &Name) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -137,15 +140,15 @@
             return;
         }
         worker.failures += 1;
-        if worker.failures >= FAILURES {
-            let doubled = (worker.failures - FAILURES).min(3);
-            worker.quarantined_until = self.now.steady + (REST << doubled);
+        if worker.failures >= QUARANTINE_FAILURES {
+            let doublings = (worker.failures - QUARANTINE_FAILURES).min(3);
+            worker.quarantined_until = self.now.steady + (QUARANTINE_TIME << doublings);
             log::warn!(target: "worker", "worker={name} event=rests failures={}", worker.failures);
         }
     }
 
-    /// Takes in that the store holds an end, so that the worker may forget it.
-    pub(super) fn acknowledge_completion(&mut self, incarnation: &Incarnation, end: u64) {
+    /// Records that a completion is stored, so that the worker may forget it.
+    pub(super) fn acknowledge_completion(&mut self, incarnation: &Incarnation, completion: u64) {
         let now = self.now.steady;
         let name = &incarnation.id;
         // A later incarnation numbers its ends from 1 again.
@@ -156,9 +159,9 @@
         let Some(worker) = worker else {
             return;
         };
-        worker.pending_completions.remove(&end);
+        worker.pending_completions.remove(&completion);
         if worker.pending_completions.is_empty() && matches!(worker.poll, PollState::Due(_)) {
-            self.schedule(name, now + GATHER);
+            self.schedule(name, now + BATCH_DELAY);
         }
     }
 }
