--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -139,7 +139,7 @@
     fn new(load: &Load) -> Self {
         let row = OwnerRow {
             name: "a".into(),
-            life: 1,
+            incarnation: 1,
             address: ([127, 0, 0, 1], 1).into(),
             epoch: 1,
             seq: 0,
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -232,7 +232,7 @@
 
     /// Returns true when this incarnation of this box wrote the owner's row.
     pub fn is_own_row(&self, row: &OwnerRow) -> bool {
-        row.name == self.settings.name && row.life == self.incarnation
+        row.name == self.settings.name && row.incarnation == self.incarnation
     }
 
     /// Returns the epoch of the owner in this process, or `None` when this box is not the owner.
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -52,7 +52,7 @@
     let settings = &shared.settings;
     let row = OwnerRow {
         name: settings.name.clone(),
-        life: shared.incarnation,
+        incarnation: shared.incarnation,
         address: settings.rpc,
         epoch: before.as_ref().map_or(0, |b| b.row.epoch) + 1,
         seq: 0,
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -64,7 +64,7 @@
 fn owner_row(epoch: u64) -> OwnerRow {
     OwnerRow {
         name: "a".into(),
-        life: 1,
+        incarnation: 1,
         address: ([127, 0, 0, 1], 1).into(),
         epoch,
         seq: 0,
--- a/src/sched/journal.rs
+++ b/src/sched/journal.rs
@@ -60,7 +60,8 @@
     /// Name of the owning box.
     pub name: Name,
     /// Incarnation of the owning process.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Where other boxes reach it.
     pub address: std::net::SocketAddr,
     /// Counts owners.
@@ -84,7 +85,9 @@
     /// the same owner. Boxes that start in the same millisecond share the
     /// number of their life.
     pub fn same_owner(&self, other: &Self) -> bool {
-        self.name == other.name && self.life == other.life && self.epoch == other.epoch
+        self.name == other.name
+            && self.incarnation == other.incarnation
+            && self.epoch == other.epoch
     }
 }
 
--- a/src/sched/tests/journal.rs
+++ b/src/sched/tests/journal.rs
@@ -4,10 +4,10 @@
 use crate::sched::message::{CommitOutcome, Write};
 use crate::table::encode;
 
-fn row(name: &str, life: u64) -> OwnerRow {
+fn row(name: &str, incarnation: u64) -> OwnerRow {
     OwnerRow {
         name: name.into(),
-        life,
+        incarnation,
         address: ([127, 0, 0, 1], 1).into(),
         epoch: 1,
         seq: 0,
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -171,7 +171,7 @@
 pub fn owner_row(epoch: u64) -> OwnerRow {
     OwnerRow {
         name: format!("box-{epoch}").into(),
-        life: epoch,
+        incarnation: epoch,
         address: ([127, 0, 0, 1], 1).into(),
         epoch,
         seq: 0,
