--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -27,22 +27,22 @@
 
 impl Owner {
     /// Takes in the whole directory.
-    pub(super) fn directory(&mut self, entries: Vec<(Name, DirectoryEntry)>) {
+    pub(super) fn replace_directory(&mut self, entries: Vec<(Name, DirectoryEntry)>) {
         let named: BTreeSet<&Name> = entries.iter().map(|(id, _)| id).collect();
         let gone = self.workers.keys().filter(|id| !named.contains(id));
         let gone = gone.map(|id| (id.clone(), DirectoryEntry::Removed));
         let changes = gone.collect::<Vec<_>>().into_iter().chain(entries);
-        self.listed(changes.collect());
+        self.apply_directory_changes(changes.collect());
     }
 
     /// Takes in changes of the directory.
-    pub(super) fn listed(&mut self, changes: Vec<(Name, DirectoryEntry)>) {
+    pub(super) fn apply_directory_changes(&mut self, changes: Vec<(Name, DirectoryEntry)>) {
         for (id, entry) in changes {
             match entry {
-                DirectoryEntry::Listed(listing) if self.lists(&id, &listing) => {}
-                DirectoryEntry::Listed(listing) => self.list(id, listing),
-                DirectoryEntry::Unusable => self.disuse(&id),
-                DirectoryEntry::Removed => self.unlist(&id),
+                DirectoryEntry::Listed(listing) if self.is_unchanged(&id, &listing) => {}
+                DirectoryEntry::Listed(listing) => self.apply_listing(id, listing),
+                DirectoryEntry::Unusable => self.mark_unusable(&id),
+                DirectoryEntry::Removed => self.handle_unlisted(&id),
             }
         }
     }
@@ -50,20 +50,20 @@
     /// Returns true when a listing says nothing new of a worker, as nearly all do: each
     /// heartbeat writes one. Taken for changes, they would have all placed tasks and all
     /// that waits looked at hundreds of times a second.
-    fn lists(&self, id: &Name, listing: &Listing) -> bool {
+    fn is_unchanged(&self, id: &Name, listing: &Listing) -> bool {
         let known = self.workers.get(id);
         known.is_some_and(|w| w.presence == Presence::Listed && w.listing == *listing)
     }
 
     /// Takes in a listing of a worker, known or new.
-    pub(super) fn list(&mut self, id: Name, listing: Listing) {
+    pub(super) fn apply_listing(&mut self, id: Name, listing: Listing) {
         let now = self.now.steady;
         let cordoned = self.is_cordoned(&listing.hall);
         self.crowded = false;
         if self.workers.contains_key(&id) {
-            return self.list_again(id, listing, cordoned);
+            return self.update_listing(id, listing, cordoned);
         }
-        if !self.succeeds(&id, &listing) {
+        if !self.resolve_shared_address(&id, &listing) {
             return;
         }
         log::info!(target: "worker", "worker={id} event=new boot={:?} leaving={}", listing.boot, listing.leaving);
@@ -72,13 +72,13 @@
         if worker.listing.leaving {
             worker.leaves_at = Some(now + worker.listing.min_stay);
         }
-        self.admit(id.clone(), worker);
-        self.adopt(&id);
+        self.insert_worker(id.clone(), worker);
+        self.adopt_tasks(&id);
         self.schedule(&id, now);
     }
 
     /// Takes in the listing of a worker that is known.
-    fn list_again(&mut self, id: Name, listing: Listing, cordoned: bool) {
+    fn update_listing(&mut self, id: Name, listing: Listing, cordoned: bool) {
         let now = self.now.steady;
         let Some(worker) = self.workers.get_mut(&id) else {
             return;
@@ -88,7 +88,7 @@
         if news == BootOrder::Earlier && worker.listing.boot != listing.boot {
             let boot = listing.boot;
             worker.ignored_listing = Some(listing.into());
-            return self.pass_over(&id, boot, known, "entry");
+            return self.log_earlier_incarnation(&id, boot, known, "entry");
         }
         worker.presence = Presence::Listed;
         if !listing.leaving && worker.leaves_at.take().is_some() {
@@ -121,14 +121,14 @@
     /// Takes in that a worker is listed at the address of others; false when it is one that
     /// they have replaced. Where no start tells which is the later one, the worker at the
     /// address does, as it refuses orders to others: an entry may have been written late.
-    fn succeeds(&mut self, id: &Name, listing: &Listing) -> bool {
-        for other in self.at_address(listing.address, id) {
+    fn resolve_shared_address(&mut self, id: &Name, listing: &Listing) -> bool {
+        for other in self.others_at_address(listing.address, id) {
             let known = self.workers[&other].boot;
             match compare_boots(known, listing.boot) {
-                BootOrder::Later => self.incarnation_ended(&other, IncarnationEnd::Replaced),
+                BootOrder::Later => self.end_incarnation(&other, IncarnationEnd::Replaced),
                 BootOrder::Same => self.doubt_incarnation(&other, "entry-of-another"),
                 BootOrder::Earlier => {
-                    self.pass_over(id, listing.boot, known, "entry");
+                    self.log_earlier_incarnation(id, listing.boot, known, "entry");
                     return false;
                 }
             }
@@ -137,27 +137,27 @@
     }
 
     /// Adds a worker to those that are known.
-    fn admit(&mut self, id: Name, worker: Worker) {
+    fn insert_worker(&mut self, id: Name, worker: Worker) {
         self.addresses.add(worker.listing.address, id.clone());
         self.workers.insert(id, worker);
     }
 
     /// Removes a worker from those that are known.
-    pub(super) fn dismiss(&mut self, id: &Name) {
+    pub(super) fn remove_worker(&mut self, id: &Name) {
         if let Some(worker) = self.workers.remove(id) {
             self.addresses.remove(worker.listing.address, id);
         }
     }
 
     /// Returns the workers known at an address, but for one.
-    pub(super) fn at_address(&self, address: SocketAddr, but: &Name) -> Vec<Name> {
+    pub(super) fn others_at_address(&self, address: SocketAddr, but: &Name) -> Vec<Name> {
         let others = self.addresses.at(address).filter(|id| *id != but);
         others.cloned().collect()
     }
 
     /// Takes in that the entry of a worker names none to use any more. It gets nothing
     /// new; what it runs goes on, since the worker itself has said nothing.
-    fn disuse(&mut self, id: &Name) {
+    fn mark_unusable(&mut self, id: &Name) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -169,7 +169,7 @@
     }
 
     /// Takes in that a listing is gone: lapsed or removed by the worker.
-    fn unlist(&mut self, id: &Name) {
+    fn handle_unlisted(&mut self, id: &Name) {
         let now = self.now.steady;
         let doubtful = now < self.store_trouble + TROUBLE;
         let Some(worker) = self.workers.get_mut(id) else {
@@ -193,13 +193,13 @@
         // by the worker at its end.
         let silent = now - worker.last_answer.min(now);
         if worker.leaves_at.is_some() && worker.missed_polls > 0 && silent < LEFT {
-            return self.incarnation_ended(id, IncarnationEnd::Left);
+            return self.end_incarnation(id, IncarnationEnd::Left);
         }
         worker.leaves_at.get_or_insert(now + self.bounds.drain);
     }
 
     /// Takes listings that did not come back after trouble of the store as removed.
-    pub(super) fn settle_lapsed(&mut self) {
+    pub(super) fn expire_lapsed_listings(&mut self) {
         let now = self.now.steady;
         let drain = self.bounds.drain;
         for (id, worker) in &mut self.workers {
@@ -234,14 +234,14 @@
             }
         }
         for key in moved {
-            if self.may_move(key) {
+            if self.may_disrupt(key) {
                 self.stop(key);
             }
         }
     }
 
     /// Returns true when the step of a task bears that it is away for a while.
-    pub(super) fn may_move(&self, key: TaskKey) -> bool {
+    pub(super) fn may_disrupt(&self, key: TaskKey) -> bool {
         let Some(job) = self.jobs.get(&key.job) else {
             return false;
         };
@@ -258,7 +258,7 @@
     }
 
     /// Gives a new worker the tasks that the store holds as placed there.
-    fn adopt(&mut self, id: &Name) {
+    fn adopt_tasks(&mut self, id: &Name) {
         for key in self.unadopted.remove(id).unwrap_or_default() {
             if self.placed.get(&key) != Some(id) {
                 continue;
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -99,7 +99,7 @@
 
 /// Returns a run as it stands on a later life: which of the two has answered a stop or a
 /// change of speed is not known.
-fn carry(run: Placement, resolution: Resolution) -> Placement {
+fn carry_over(run: Placement, resolution: Resolution) -> Placement {
     let stage = match run.stage {
         Stage::Starting | Stage::Running(_) | Stage::Inherited
             if resolution == Resolution::Kept =>
@@ -119,7 +119,7 @@
 
 /// Takes the runs off an earlier life that the later one has or may have, by what it has
 /// reported, and returns them as they stand there.
-fn take_carried(
+fn remove_carried(
     worker: &mut Worker,
     reported: &BTreeSet<(TaskKey, u32)>,
     now: Millis,
@@ -128,7 +128,7 @@
     for (key, run) in &worker.placements {
         let resolution = Resolution::of(run, reported.contains(&(*key, run.run)));
         if resolution != Resolution::Lost {
-            carried.push((*key, carry(run.clone(), resolution)));
+            carried.push((*key, carry_over(run.clone(), resolution)));
         }
     }
     for (key, _) in &carried {
@@ -139,13 +139,13 @@
 
 impl Owner {
     /// Goes on with the later life of a worker, whose first report this is.
-    pub(super) fn started_again(&mut self, name: &Name, report: &Report) {
-        let reported = self.reported(report);
+    pub(super) fn handle_restart(&mut self, name: &Name, report: &Report) {
+        let reported = self.reported_runs(report);
         let now = self.now.steady;
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let carried = take_carried(worker, &reported, now);
+        let carried = remove_carried(worker, &reported, now);
         let doubtful = carried.iter().filter(|(_, r)| r.stage == Stage::Doubt);
         let doubtful: Vec<TaskKey> = doubtful.map(|(key, _)| *key).collect();
         let (boot, tasks) = (worker.boot, carried.len());
@@ -155,7 +155,7 @@
         let lost: Vec<TaskKey> = worker.placements.keys().copied().collect();
         self.forget_permits(name);
         self.break_promise(name);
-        self.tell_over(name, IncarnationEnd::Replaced);
+        self.log_incarnation_end(name, IncarnationEnd::Replaced);
         self.record_crash(name, CrashEvidence::Replaced);
         self.begin_incarnation(name, report.boot, carried);
         // The other members of a gang are stopped with one that is lost, on this life too.
@@ -164,7 +164,7 @@
         }
         // One that tells an earlier start was listed while that was not believed.
         if let Some(entry) = entry.filter(|e| e.boot == report.boot) {
-            self.list(name.clone(), *entry);
+            self.apply_listing(name.clone(), *entry);
         }
         // Once a stop of it was answered, the later life refuses a start that comes late.
         for key in doubtful {
@@ -173,7 +173,7 @@
     }
 
     /// Returns the runs of known tasks that a report tells of, as going on or ended.
-    fn reported(&self, report: &Report) -> BTreeSet<(TaskKey, u32)> {
+    fn reported_runs(&self, report: &Report) -> BTreeSet<(TaskKey, u32)> {
         let running = report.running.iter().map(|r| (&r.task, r.run));
         let ended = report.ended.iter().map(|e| (&e.task, e.run));
         let all = running.chain(ended);
@@ -201,7 +201,13 @@
     }
 
     /// Passes over news of an earlier life of a worker.
-    pub(super) fn pass_over(&self, name: &Name, boot: BootTime, known: BootTime, by: &str) {
+    pub(super) fn log_earlier_incarnation(
+        &self,
+        name: &Name,
+        boot: BootTime,
+        known: BootTime,
+        by: &str,
+    ) {
         log::info!(target: "worker", "worker={name} event=passed-over by={by} reason=earlier-life boot={boot:?} known={known:?}");
         crate::metrics::get().earlier_lives.inc();
     }
@@ -218,18 +224,18 @@
 
     /// Returns true when the known life of a worker has been silent for so long that
     /// another word on when the worker started is believed.
-    pub(super) fn contradicted(&self, worker: &Worker) -> bool {
+    pub(super) fn accepts_earlier_boot(&self, worker: &Worker) -> bool {
         let leased = worker.lease_end().max(self.inherited);
         self.now.steady > leased.max(worker.last_answer + CONTRADICTED)
     }
 
     /// Ends the lives that were known at the address at which a worker now answers.
-    pub(super) fn end_others(&mut self, name: &Name) {
+    pub(super) fn end_others_at_address(&mut self, name: &Name) {
         let Some(address) = self.workers.get(name).map(|w| w.listing.address) else {
             return;
         };
-        for other in self.at_address(address, name) {
-            self.incarnation_ended(&other, IncarnationEnd::Replaced);
+        for other in self.others_at_address(address, name) {
+            self.end_incarnation(&other, IncarnationEnd::Replaced);
         }
     }
 }
--- a/src/sched/lost_workers.rs
+++ b/src/sched/lost_workers.rs
@@ -27,22 +27,22 @@
 
 impl Owner {
     /// Ends everything that a life of a worker ran, which has certainly ended.
-    pub(super) fn incarnation_ended(&mut self, name: &Name, ending: IncarnationEnd) {
-        self.tell_over(name, ending);
+    pub(super) fn end_incarnation(&mut self, name: &Name, ending: IncarnationEnd) {
+        self.log_incarnation_end(name, ending);
         if ending == IncarnationEnd::Replaced {
             // What runs down with a worker has no end to count: restarted uncounted, one
             // task took a worker each 3 s for as long as its job was open.
             self.record_crash(name, CrashEvidence::Replaced);
         }
-        self.clear(name);
+        self.release_tasks(name);
         self.forget_permits(name);
         self.break_promise(name);
-        self.dismiss(name);
+        self.remove_worker(name);
     }
 
     /// Tells that a life of a worker is over, and of each run that went with it for how
     /// long the worker had told of it: a younger one may have ended it.
-    pub(super) fn tell_over(&self, name: &Name, ending: IncarnationEnd) {
+    pub(super) fn log_incarnation_end(&self, name: &Name, ending: IncarnationEnd) {
         let Some(worker) = self.workers.get(name) else {
             return;
         };
@@ -60,7 +60,7 @@
     }
 
     /// Takes all tasks off a worker.
-    fn clear(&mut self, name: &Name) {
+    fn release_tasks(&mut self, name: &Name) {
         let Some(worker) = self.workers.get(name) else {
             return;
         };
@@ -71,7 +71,7 @@
     }
 
     /// Frees what ran on workers whose leases have certainly ended.
-    pub(super) fn lapse(&mut self) {
+    pub(super) fn expire_leases(&mut self) {
         let now = self.now.steady;
         let inherited = self.inherited;
         let ended = |w: &Worker| now > w.lease_end().max(inherited);
@@ -80,18 +80,18 @@
             .workers
             .values()
             .filter(silent)
-            .filter(|w| !w.placements.is_empty() || forgettable(w.presence))
+            .filter(|w| !w.placements.is_empty() || is_forgettable(w.presence))
             .map(|w| w.listing.id.clone())
             .collect();
         for name in ended {
             let worker = &self.workers[&name];
             let (tasks, presence) = (worker.placements.len(), worker.presence);
             log::info!(target: "worker", "worker={name} event=lapsed tasks={tasks} presence={presence:?}");
-            self.count_lapsed(tasks);
+            self.count_lapsed_runs(tasks);
             self.record_crash(&name, CrashEvidence::Silent);
-            self.clear(&name);
-            if forgettable(presence) {
-                self.dismiss(&name);
+            self.release_tasks(&name);
+            if is_forgettable(presence) {
+                self.remove_worker(&name);
             }
         }
         let drained = |w: &&Worker| {
@@ -106,13 +106,13 @@
             .map(|w| w.listing.id.clone())
             .collect();
         for name in drained {
-            self.dismiss(&name);
+            self.remove_worker(&name);
         }
-        self.lapse_unlisted();
+        self.release_unlisted();
     }
 
     /// Frees tasks of workers that were never listed here.
-    fn lapse_unlisted(&mut self) {
+    fn release_unlisted(&mut self) {
         if self.now.steady <= self.inherited {
             return;
         }
@@ -120,7 +120,7 @@
         for (name, keys) in unadopted {
             let held = |key: &TaskKey| self.placed.get(key) == Some(&name);
             let lost: Vec<TaskKey> = keys.into_iter().filter(held).collect();
-            self.count_lapsed(lost.len());
+            self.count_lapsed_runs(lost.len());
             self.record_unseen_crashes(&lost, &name);
             for key in lost {
                 self.free(key);
@@ -129,7 +129,7 @@
     }
 
     /// Counts runs whose lease has ended without a word of their worker.
-    fn count_lapsed(&mut self, runs: usize) {
+    fn count_lapsed_runs(&mut self, runs: usize) {
         self.lapsed += runs as u64;
         crate::metrics::get().lapsed.inc_by(runs as u64);
     }
@@ -137,6 +137,6 @@
 
 /// Returns true when a silent worker need not be kept in mind: an entry of another writer
 /// may stay for ever, and a worker that comes back is listed anew.
-fn forgettable(presence: Presence) -> bool {
+fn is_forgettable(presence: Presence) -> bool {
     matches!(presence, Presence::Removed | Presence::Unusable)
 }
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -313,8 +313,8 @@
         self.now = now;
         match event {
             Event::Request(ticket, ask) => self.ask(ticket, ask),
-            Event::Directory(listings) => self.directory(listings),
-            Event::DirectoryChanged(changes) => self.listed(changes),
+            Event::Directory(listings) => self.replace_directory(listings),
+            Event::DirectoryChanged(changes) => self.apply_directory_changes(changes),
             Event::Cordoned(halls) => self.cordon(halls),
             Event::Polled(hold, reply) => self.held(&hold, reply),
             Event::Started(key, run, incarnation, reply) => {
@@ -363,8 +363,8 @@
         if self.now.steady > self.journal.last_confirmed() + SILENT_STORE {
             self.store_trouble = self.now.steady;
         }
-        self.settle_lapsed();
-        self.lapse();
+        self.expire_lapsed_listings();
+        self.expire_leases();
         self.evacuate();
         self.repeat_stops();
         self.stop_late_starts();
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -163,7 +163,7 @@
                 return false;
             };
             let run = worker.placements.get(key).filter(|run| run.running());
-            run.is_some_and(|run| worker.fits_without(run, resources)) && self.may_move(*key)
+            run.is_some_and(|run| worker.fits_without(run, resources)) && self.may_disrupt(*key)
         };
         while let Some(victim) = search.victims.pop() {
             if gives(&victim) {
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -105,7 +105,7 @@
         match reply {
             Reply::Ok(report) => self.heard(hold, report),
             Reply::Refused(Refusal::Replaced) => {
-                self.incarnation_ended(name, IncarnationEnd::Replaced)
+                self.end_incarnation(name, IncarnationEnd::Replaced)
             }
             Reply::Refused(Refusal::Fenced) => {
                 // Only an owner with a higher epoch can have been there; the
@@ -132,18 +132,18 @@
         };
         let known = worker.boot;
         let order = compare_boots(known, report.boot);
-        if order == BootOrder::Earlier && !self.contradicted(worker) {
-            self.pass_over(name, report.boot, known, "report");
+        if order == BootOrder::Earlier && !self.accepts_earlier_boot(worker) {
+            self.log_earlier_incarnation(name, report.boot, known, "report");
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.missed_polls += 1;
             }
             return self.schedule(name, now + MISS_PAUSE);
         }
         if worker.last_answer == 0 {
-            self.end_others(name);
+            self.end_others_at_address(name);
         }
         if order != BootOrder::Same {
-            self.started_again(name, &report);
+            self.handle_restart(name, &report);
         }
         let Some(worker) = self.workers.get_mut(name) else {
             return;
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -188,7 +188,7 @@
         }
         self.free(key);
         if refusal == Refusal::Replaced {
-            self.incarnation_ended(name, IncarnationEnd::Replaced);
+            self.end_incarnation(name, IncarnationEnd::Replaced);
         }
     }
 
@@ -232,7 +232,7 @@
             // It is sent again while the worker answers.
             Reply::Lost | Reply::NotSent => placement.stage = Stage::Stopping(now),
             Reply::Refused(Refusal::Replaced) => {
-                self.incarnation_ended(name, IncarnationEnd::Replaced)
+                self.end_incarnation(name, IncarnationEnd::Replaced)
             }
             Reply::Refused(_) => placement.stage = Stage::Stopping(now),
         }
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -106,7 +106,7 @@
         let movable = |run: &Placement| run.serving && run.lasting && run.running() && rested(run);
         let mut misfits: BTreeMap<ImageNumber, Misfit> = BTreeMap::new();
         for (key, run) in worker.placements.iter().filter(|(_, run)| movable(run)) {
-            if misfits.contains_key(&run.image_number) || !self.may_move(*key) {
+            if misfits.contains_key(&run.image_number) || !self.may_disrupt(*key) {
                 continue;
             }
             let misfit = Misfit {
