--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the daemon's parts that need no sockets.
+//! Tests of the parts of the daemon that need no sockets.
 
 use super::downtime::Downtime;
 use super::history::decode_page;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_job_whose_rows_cannot_be_read_is_told_apart_from_an_unknown_one() {
+fn a_job_whose_rows_do_not_decode_is_listed_as_unreadable() {
     let spec = JobSpec {
         steps: vec![StepSpec {
             count: 1,
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn the_gauges_of_an_owner_end_with_it() {
+fn the_gauges_of_an_owner_are_cleared_at_the_end_of_its_term() {
     let mut owner = owner(1_000);
     let mut term = Term::begin(7, 300, 1_300);
     term.record_lateness(250, 1_400);
@@ -129,15 +129,19 @@
     assert_eq!(gauges(), [7, 1, 1, 2_000, 250, 500]);
     term.end(&owner, "deposed", 3_100);
     assert_eq!(gauges(), [0; 6]);
-    assert_eq!(metrics.load.get(), 300, "the last load stays");
+    assert_eq!(metrics.load.get(), 300, "the time of the last load stays");
     let ends = metrics.ends.get_or_create(&End { reason: "deposed" });
     assert_eq!(ends.get(), 1);
 }
 
 #[test]
-fn the_time_without_an_owner_counts_from_the_last_answer_of_one() {
+fn the_downtime_counts_from_the_last_answer_of_an_owner() {
     let downtime = Downtime::new(1_000);
-    assert_eq!(downtime.duration(1_400), 400, "none is known at the start");
+    assert_eq!(
+        downtime.duration(1_400),
+        400,
+        "no owner is known at the start"
+    );
     downtime.record(true, 1_500);
     assert_eq!(downtime.duration(1_700), 0);
     downtime.record(false, 1_750);
@@ -148,15 +152,15 @@
 }
 
 #[test]
-fn a_job_that_is_over_and_whose_row_cannot_be_read_is_told_apart() {
-    let past = |outcome| HistoryRow { outcome, ended: 5 };
+fn a_finished_job_whose_row_does_not_decode_is_listed_as_unreadable() {
+    let finished = |outcome| HistoryRow { outcome, ended: 5 };
     let rows = [
-        row("good", encode(&past(Outcome::Failed))),
-        row("open", encode(&past(Outcome::Open))),
+        row("good", encode(&finished(Outcome::Failed))),
+        row("open", encode(&finished(Outcome::Open))),
         row("torn", "{\"o\":".into()),
     ];
     let page = decode_page(&rows, true);
-    assert_eq!(page.rows, [("good".into(), past(Outcome::Failed))]);
+    assert_eq!(page.rows, [("good".into(), finished(Outcome::Failed))]);
     assert_eq!(page.unreadable, ["open".into(), "torn".into()]);
     assert!(page.last);
 }
@@ -171,8 +175,8 @@
     Shared::new(settings, 1, lead, nudge)
 }
 
-/// A box whose load another one ended by its word forgot that one at the end of the load, and
-/// could not find it again where the store turned it away.
+/// Guards against a box that forgets a later owner at the end of its own load: the later owner's
+/// ping has aborted the load, and a box that the store refuses could not find that owner again.
 #[test]
 fn a_box_whose_load_fails_keeps_a_later_owner_that_it_was_told_of() {
     let shared = shared();
@@ -187,32 +191,32 @@
     assert_eq!(
         known(),
         None,
-        "one before its own: the store knows who is it now"
+        "an owner before its own epoch is read anew from the store"
     );
     shared.set_owner(Some(seen(8)));
     shared.forget_owner(7);
-    assert_eq!(known(), Some(8), "the later one");
+    assert_eq!(known(), Some(8), "the later owner stays known");
 }
 
 #[test]
-fn other_boxes_are_told_in_turn_and_the_latest_are_kept() {
+fn addresses_are_returned_in_rotation_and_the_latest_are_kept() {
     let address = |port: u16| ([127, 0, 0, 1], port).into();
     let mut addresses = PeerAddresses::default();
-    assert!(addresses.needs_refresh(0), "none is known");
+    assert!(addresses.needs_refresh(0), "no address is known");
     assert!(addresses.next_batch(address(1)).is_empty());
     (1..=10).for_each(|port| addresses.add(address(port)));
     addresses.add(address(10));
-    let mut told: Vec<_> = (0..3)
+    let mut returned: Vec<_> = (0..3)
         .flat_map(|_| addresses.next_batch(address(5)))
         .collect();
-    told.sort();
-    told.dedup();
+    returned.sort();
+    returned.dedup();
     let expected: Vec<_> = [3, 4, 6, 7, 8, 9, 10].map(address).into();
-    assert_eq!(told, expected, "but for the one that asks");
+    assert_eq!(returned, expected, "all but the excepted address");
     addresses.add_reply(&[], 1_000);
     assert!(
         addresses.needs_refresh(1_000),
-        "an empty answer tells nothing"
+        "an empty reply names no address"
     );
     addresses.add_reply(&[address(1)], 1_000);
     assert!(!addresses.needs_refresh(5_999));
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,6 +1,6 @@
-//! The users' platform: its names, formats and calls, and nothing that decides.
+//! Adapter to the users' platform: its names, formats and calls; it makes no decisions.
 //!
-//! Each name on the wire is decoded here, once, into the product's own types.
+//! Everything on the wire is decoded here, once, into this crate's own types.
 
 pub mod advice;
 pub mod config;
--- a/src/platform/advice.rs
+++ b/src/platform/advice.rs
@@ -1,4 +1,4 @@
-//! The service that tells which workers may run a step.
+//! Client of the advisor, a service that decides which workers may run a step.
 
 use std::net::SocketAddr;
 
@@ -11,12 +11,13 @@
 use crate::web::WebError;
 use crate::web::client::Pool;
 
-/// Bytes of the largest answer, about a hundred workers.
+/// Largest reply in bytes: about a hundred workers.
 const MAX_REPLY_BYTES: usize = 1 << 16;
-/// Milliseconds for an answer: several questions may wait their turn there.
+/// Timeout of a question in milliseconds; includes time that questions spend queued at the
+/// advisor.
 const ADVICE_TIMEOUT: Millis = 3_000;
 
-/// The client of the advisor.
+/// Client of the advisor.
 #[derive(Clone)]
 pub struct Advisor {
     pool: Pool,
@@ -24,7 +25,7 @@
 }
 
 impl Advisor {
-    /// Returns the client of an advisor, or of none.
+    /// Returns a client; without an address, every question fails.
     pub fn new(address: Option<SocketAddr>) -> Self {
         Self {
             pool: Pool::new(MAX_REPLY_BYTES),
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Asks which of some workers may run a step.
+    /// Asks which of the given workers may run a step.
     pub async fn advise(&self, question: &AdviceRequest) -> Reply<Advice> {
         let Some(address) = self.address else {
             log::error!(target: "task", "step={} event=no-advisor", question.name);
@@ -66,6 +67,7 @@
     }
 }
 
+/// Returns the advice in a reply's body.
 fn decode_advice(body: &[u8]) -> Reply<Advice> {
     match serde_json::from_slice::<AdviceReply>(body) {
         Ok(reply) => Reply::Ok(Advice {
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration in the store.
+//! Decodes the operator's table: the configuration, and the cordons of halls.
 
 use super::store::Page;
 use super::wire::Config;
@@ -7,15 +7,15 @@
 use crate::sched::job::Queue;
 use crate::table::{Row, decode};
 
-/// Table in which the operator writes.
+/// Table that the operator writes.
 pub const TABLE: &str = "op";
-/// Key of the configuration.
+/// Key of the configuration's row.
 pub const KEY: &str = "config";
-/// Start of the keys under which halls are cordoned; the name of the hall follows.
+/// Prefix of the keys that cordon halls; the name of the hall follows.
 const CORDON_PREFIX: &str = "evacuate/";
 
-/// Returns what a page of the operator's table says of halls. A row holds by its key alone:
-/// one whose value does not decode cordons its hall all the same.
+/// Returns the changes of cordons in a page of the operator's table. Only the key counts: a row
+/// cordons its hall even if its value does not decode.
 pub fn cordon_changes(page: &Page) -> Vec<Change> {
     let change = |key: &str, version, cordoned| {
         let hall = key.strip_prefix(CORDON_PREFIX).filter(|h| !h.is_empty())?;
@@ -25,15 +25,15 @@
             cordoned,
         })
     };
-    let gone = page
+    let removed = page
         .deleted
         .iter()
         .map(|d| change(&d.key, d.version, false));
-    let set = page.rows.iter().map(|r| change(&r.key, r.version, true));
-    gone.chain(set).flatten().collect()
+    let added = page.rows.iter().map(|r| change(&r.key, r.version, true));
+    removed.chain(added).flatten().collect()
 }
 
-/// Returns the queues of a configuration, or `None` when it does not decode.
+/// Returns the queues in a configuration's row, or `None` if the row does not decode.
 pub fn decode_queues(row: &Row) -> Option<Queues> {
     let config: Config = decode(row)?;
     let services = config.services.into_iter().map(|service| service.name);
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -1,4 +1,4 @@
-//! The workers' entries in the store.
+//! Decodes the workers' entries in the platform's directory.
 
 use super::store::Page;
 use super::wire::WorkerEntry;
@@ -9,28 +9,28 @@
 use crate::table::{Row, decode};
 use crate::utils::Name;
 
-/// Table in which workers keep themselves.
+/// Table in which workers keep their entries.
 pub const TABLE: &str = "servers";
 
-/// Place of the rack among the labels.
+/// Index of the rack in a worker's labels.
 const RACK_LABEL: usize = 1;
 
 /// State of a worker that takes tasks.
 const READY: &str = "ready";
-/// State of a worker that has said that it will leave.
+/// State of a worker that has announced that it will leave.
 const DRAINING: &str = "draining";
 
-/// Why an entry names no worker to use.
+/// Why an entry names no usable worker.
 enum EntryError {
-    /// It does not decode.
+    /// The entry does not decode.
     Unreadable,
-    /// It has a state of another name.
+    /// The worker has this unknown state.
     State(Name),
-    /// No configuration in force names its service.
+    /// The configuration in force does not name the worker's service.
     Service(Name),
 }
 
-/// Returns what the entries of a page say.
+/// Returns the decoded entries of a page, deleted ones first, each with the worker's id.
 pub fn decode_entries(page: Page, queues: &Queues) -> Vec<(Name, DirectoryEntry)> {
     let deleted = page
         .deleted
@@ -49,9 +49,10 @@
     deleted.chain(rows).collect()
 }
 
+/// Logs why an entry names no usable worker.
 fn log_unusable(id: &str, error: &EntryError) {
     match error {
-        // Told where it was decoded.
+        // Logged when it was decoded.
         EntryError::Unreadable => {}
         EntryError::State(state) => {
             log::warn!(target: "directory", "worker={id} event=passed-over reason=state state=\"{state}\"");
@@ -62,6 +63,7 @@
     }
 }
 
+/// Returns the listing of a worker in a directory row, or why the worker is not usable.
 fn decode_listing(row: &Row, queues: &Queues) -> Result<Listing, EntryError> {
     let entry: WorkerEntry = decode(row).ok_or(EntryError::Unreadable)?;
     let leaving = match &*entry.state {
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -1,4 +1,4 @@
-//! Clients' requests and the answers to them.
+//! Parses callers' HTTP requests about jobs, and builds the replies to them.
 
 use http::header::{ALLOW, CONTENT_TYPE, HOST, RETRY_AFTER};
 use http::{HeaderValue, Method, StatusCode};
@@ -12,14 +12,14 @@
 use crate::utils::clock::Millis;
 use crate::web::{Reply, Request};
 
-/// Characters of a job's id.
+/// Length of a job's id in characters.
 const ID_LENGTH: usize = 16;
-/// Bytes of the text of a job.
+/// Most bytes of a job's spec text.
 const MAX_SPEC_BYTES: usize = 4_000;
-/// Milliseconds that a client waits when it does not say.
+/// Milliseconds that a caller waits for its answer if its request does not say so.
 const DEFAULT_TIMEOUT: Millis = 3_000;
 
-/// Returns how long the client waits for its answer, in milliseconds.
+/// Returns how many milliseconds the caller waits for its answer.
 pub fn caller_timeout(request: &Request) -> Millis {
     let value = request.headers.get(wire::DEADLINE);
     let Some(value) = value else {
@@ -32,7 +32,7 @@
     })
 }
 
-/// Returns what a request asks for, or the answer to one that asks for nothing known.
+/// Returns the job request in an HTTP request, or the reply to an invalid one.
 pub fn parse_request(request: &Request, queues: &Queues) -> Result<JobRequest, Box<Reply>> {
     let host = request.headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = host.unwrap_or("").split(':').next().unwrap_or("");
@@ -66,6 +66,7 @@
     }
 }
 
+/// Returns the specification of the job in a request's body, or the reply to an invalid one.
 fn parse_job(body: &[u8]) -> Result<JobSpec, Box<Reply>> {
     let wrong = |text: String| Box::new(Reply::text(StatusCode::BAD_REQUEST, format!("{text}\n")));
     let job: Job = serde_json::from_slice(body).map_err(|e| wrong(e.to_string()))?;
@@ -83,6 +84,7 @@
     })
 }
 
+/// Returns the specification of a step.
 fn step_spec(step: Step) -> StepSpec {
     StepSpec {
         count: step.count,
@@ -108,7 +110,7 @@
     }
 }
 
-/// Returns the answer to a client.
+/// Returns the HTTP reply for an answer.
 pub fn to_reply(answer: &Answer) -> Reply {
     match answer {
         Answer::Accepted | Answer::Cancelled => json_reply(StatusCode::OK, json!({})),
@@ -121,6 +123,7 @@
     }
 }
 
+/// Returns the reply to a request that was refused; the caller is told when to come back.
 fn refused_reply(after: Millis) -> Reply {
     let mut reply = Reply::text(StatusCode::SERVICE_UNAVAILABLE, "not taken\n");
     let seconds = after.div_ceil(1_000);
@@ -130,6 +133,7 @@
     reply
 }
 
+/// Returns a job's state as callers see it.
 fn state_name(shown: JobState) -> &'static str {
     match shown {
         JobState::Queued => "queued",
@@ -140,6 +144,7 @@
     }
 }
 
+/// Returns a reply with a JSON body.
 fn json_reply(status: StatusCode, value: serde_json::Value) -> Reply {
     let mut reply = Reply::text(status, value.to_string());
     let kind = HeaderValue::from_static("application/json");
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's transactional store of rows.
+//! Client of the platform's transactional store of rows.
 
 use std::net::SocketAddr;
 
@@ -14,66 +14,67 @@
 use crate::web::client::Pool;
 use crate::web::{Reply, WebError};
 
-/// Bytes of the largest answer: a page of rows has 1 MB, and JSON around it.
+/// Largest reply in bytes: a page of rows has up to 1 MB, and JSON and Base64 add to that.
 const MAX_REPLY_BYTES: usize = 4 << 20;
-/// Rows of one page; the platform would give five times as many, up to a megabyte,
-/// which takes 0.8 s over a link of 10 Mbit/s that carries nothing else.
+/// Rows of one page. The platform allows five times as many, up to a megabyte, but such a page
+/// takes 0.8 s over an otherwise idle link of 10 Mbit/s.
 pub const PAGE: usize = 100;
-/// Milliseconds beyond its wait that the answer of a feed is waited for.
+/// Milliseconds added to a feed's own wait for the timeout of its call.
 const FEED_MARGIN: Millis = 600;
 
-/// Why a read has no rows.
+/// Why a read failed.
 #[derive(Debug)]
 pub enum StoreError {
-    /// No answer, or none that says anything.
+    /// The call failed or had no answer.
     Unavailable(WebError),
-    /// The store does not serve this box now.
+    /// The store answered with an error status: it does not serve this box now.
     Refused(StatusCode),
-    /// Older changes are forgotten; the rows must be read anew.
+    /// The store no longer has the changes after the given version; the table must be read anew.
     HistoryGone,
-    /// The answer does not decode.
+    /// The reply does not decode.
     Malformed(String),
 }
 
 impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Unavailable(e) => write!(f, "store away: {e}"),
-            Self::Refused(status) => write!(f, "store refused: {status}"),
-            Self::HistoryGone => f.write_str("history forgotten"),
-            Self::Malformed(e) => write!(f, "store's answer does not decode: {e}"),
+            Self::Unavailable(e) => write!(f, "store unavailable: {e}"),
+            Self::Refused(status) => write!(f, "store refused the call with status {status}"),
+            Self::HistoryGone => f.write_str("store no longer has the requested changes"),
+            Self::Malformed(e) => write!(f, "store's reply does not decode: {e}"),
         }
     }
 }
 
 impl std::error::Error for StoreError {}
 
-/// Rows as of one moment.
+/// Rows of a table as of one version of the store.
 #[derive(Debug, Default)]
 pub struct Page {
-    /// The rows that are there.
+    /// The rows; in a feed, those that changed.
     pub rows: Vec<table::Row>,
-    /// Rows that were deleted, in a feed.
+    /// Rows that were deleted; only in a feed.
     pub deleted: Vec<DeletedRow>,
-    /// Version of the store at that moment.
+    /// Version of the store.
     pub version: u64,
-    /// Key from which the rest of a table is read; none when this is all.
+    /// Key from which the rest of the table is read; none on the last page.
     pub next: Option<String>,
 }
 
 /// A row that was deleted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeletedRow {
-    /// Its key.
+    /// Key of the row.
     pub key: Name,
-    /// Version of the store at its end.
+    /// Version of the store at its deletion.
     pub version: u64,
 }
 
-/// A condition on one row: its table, its key and its version, 0 for none.
+/// A condition on one row: its table, its key and its version, which is 0 if the row must not
+/// exist.
 pub type Condition = (&'static str, Name, u64);
 
-/// The client of the store.
+/// Client of the store.
 #[derive(Clone)]
 pub struct Store {
     pool: Pool,
@@ -81,7 +82,7 @@
 }
 
 impl Store {
-    /// Returns a client that connects at its first call.
+    /// Returns a client that connects at the first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             pool: Pool::new(MAX_REPLY_BYTES),
@@ -89,13 +90,12 @@
         }
     }
 
-    /// Has the next calls open new connections: those that are open may have
-    /// fallen silent.
+    /// Makes the next calls open new connections, as the open ones may be dead.
     pub fn reconnect(&self) {
         self.pool.clear(self.address);
     }
 
-    /// Applies all writes to a part of the store, or none.
+    /// Applies all writes to a part of the store if the condition is met, or else none.
     pub async fn commit(
         &self,
         part: &str,
@@ -142,7 +142,7 @@
         limit: Millis,
     ) -> Result<Page, StoreError> {
         let mut whole = self.read_page(table, part, "", PAGE, limit).await?;
-        // Changes between two pages are found by a feed from the first one on.
+        // A feed from the first page's version on finds changes made between two pages.
         while let Some(from) = whole.next.take() {
             let page = self.read_page(table, part, &from, PAGE, limit).await?;
             whole.rows.extend(page.rows);
@@ -151,7 +151,7 @@
         Ok(whole)
     }
 
-    /// Reads up to `count` rows of a part of a table from a key on.
+    /// Reads up to `count` rows of a part of a table, starting at key `from`.
     pub async fn read_page(
         &self,
         table: &str,
@@ -168,13 +168,14 @@
             ..Page::default()
         };
         page.add(rows);
-        // The smallest key after the last one: URL code of a zero byte.
+        // The smallest key after the last one: a zero byte, URL-encoded, is appended.
         let last = page.rows.last().filter(|_| more);
         page.next = last.map(|row| format!("{}%00", row.key));
         Ok(page)
     }
 
-    /// Waits for changes of a table after a version.
+    /// Returns the changes of a table after version `after`; waits up to `wait` milliseconds for
+    /// the first one.
     pub async fn wait_for_changes(
         &self,
         table: &str,
@@ -224,8 +225,8 @@
     }
 }
 
-/// Returns a row with its value's bytes; none when they can't be read, which decodes as
-/// nothing: one such row must not hide the others of its page.
+/// Returns a row with its value decoded from Base64. An unreadable value becomes empty, which
+/// does not decode later on: one such row must not hide the others of its page.
 fn decode_row(row: Row) -> table::Row {
     let value = STANDARD.decode(&row.value).unwrap_or_else(|e| {
         log::warn!(target: "store", "event=unreadable-row key={} cause=\"{e}\"", row.key);
@@ -238,10 +239,12 @@
     }
 }
 
+/// Returns the rows in a reply's body.
 fn decode_rows(reply: &Reply) -> Result<Rows, StoreError> {
     serde_json::from_slice(&reply.body).map_err(|e| StoreError::Malformed(e.to_string()))
 }
 
+/// Returns the outcome of a commit according to its reply.
 fn commit_outcome(result: Result<Reply, WebError>) -> CommitOutcome {
     let reply = match result {
         Ok(reply) => reply,
@@ -269,6 +272,7 @@
     }
 }
 
+/// Returns the outcome of a commit whose condition failed, with the row as it is.
 fn conflict_outcome(reply: &Reply) -> CommitOutcome {
     let rows = match decode_rows(reply) {
         Ok(rows) => rows,
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -1,4 +1,4 @@
-//! Messages as they stand on the wire, and one way to make a call.
+//! The platform's messages as they are on the wire, and a function to make a call.
 
 use std::net::SocketAddr;
 
@@ -12,12 +12,12 @@
 use crate::web::client::Pool;
 use crate::web::{Reply, Request, WebError};
 
-/// Names the life of a worker that an order is meant for.
+/// Header that names the worker incarnation that an order is meant for.
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-expect-instance");
-/// How long a client waits for its answer, in milliseconds.
+/// Header that says how many milliseconds a caller waits for its answer.
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
 
-/// A job as a client hands it in.
+/// A job as a caller submits it.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Job {
@@ -32,7 +32,7 @@
     pub interval_ms: Millis,
 }
 
-/// A step of a job; what is 0, false or empty may be left out.
+/// A step of a job; fields that are 0, false or empty may be omitted.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Step {
@@ -46,9 +46,9 @@
     pub gang: bool,
     pub same_rack: bool,
     pub requires: Name,
-    /// Names a rack, not a step.
+    /// Name of a rack, not of a step.
     pub affinity: Name,
-    /// A number of tasks, not a label.
+    /// Number of tasks, not a label.
     pub anti_affinity: u32,
     pub speculative: bool,
     pub persistent: bool,
@@ -60,14 +60,14 @@
     pub may_miss: Option<u32>,
 }
 
-/// A start order.
+/// An order to start a run.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct RunStart<'a> {
     pub task: &'a str,
     pub run: u32,
     pub spec: &'a str,
-    /// End of the lease on everything that the worker runs, not of the task.
+    /// End of the lease on all runs of the worker, not a deadline of the task.
     pub deadline_ms: Millis,
     pub fence: u64,
     #[serde(skip_serializing_if = "str::is_empty")]
@@ -76,7 +76,7 @@
     pub ticket: &'a str,
 }
 
-/// A stop order.
+/// An order to stop a run.
 #[derive(Serialize)]
 pub struct RunStop<'a> {
     pub task: &'a str,
@@ -93,14 +93,14 @@
     pub fence: u64,
 }
 
-/// A lease extension that also asks for the worker's report.
+/// A poll: extends the worker's lease and asks for its report.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Hold {
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<Millis>,
     pub fence: u64,
-    /// Number of the last end that the worker may forget.
+    /// Number of the last completion that the worker may forget.
     pub last_seen: u64,
     #[serde(skip_serializing_if = "is_zero")]
     pub wait_ms: Millis,
@@ -114,7 +114,7 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct OrderReply {
-    /// Time on the worker's own steady clock.
+    /// Time on the worker's steady clock, in milliseconds.
     pub clock_ms: Millis,
     /// When the worker started, in milliseconds since the Unix epoch.
     pub born: Option<Millis>,
@@ -122,7 +122,7 @@
     /// Task, run, checkpoint, percent of work done (not of speed), and processor
     /// share in use or tail latency of a serving task.
     pub running: Vec<(Name, u32, Name, u32, f64)>,
-    /// Number of the end, task, run, how it ended, checkpoint.
+    /// Number of the completion, task, run, how the run ended, checkpoint.
     pub finished: Vec<(u64, Name, u32, Name, Name)>,
 }
 
@@ -134,7 +134,7 @@
     pub address: SocketAddr,
     pub zone: Name,
     pub state: Name,
-    /// Least time until a draining worker ends; not of its tasks.
+    /// Least time in milliseconds until a draining worker ends, not until its tasks do.
     #[serde(default)]
     pub remaining_ms: Millis,
     pub capacity: Capacity,
@@ -145,7 +145,7 @@
     pub born: Option<Millis>,
 }
 
-/// The whole room of a worker.
+/// All resources of a worker.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Capacity {
@@ -155,20 +155,20 @@
     pub gpu: u64,
 }
 
-/// A question which workers may run a step.
+/// A question to the advisor: which of these workers may run a step.
 #[derive(Serialize)]
 pub struct Advise<'a> {
     pub step: &'a str,
     pub workers: &'a [Name],
 }
 
-/// The answer to that.
+/// The advisor's answer.
 #[derive(Debug, Deserialize)]
 pub struct AdviceReply {
-    /// Worker and ticket.
+    /// Ids of workers that may run the step, each with the ticket for a start there.
     #[serde(default)]
     pub good: Vec<(Name, Name)>,
-    /// Milliseconds for which the tickets are good, from when they were asked for.
+    /// Milliseconds for which the tickets are valid, counted from the question.
     pub valid_ms: Millis,
 }
 
@@ -188,14 +188,14 @@
     pub name: Name,
 }
 
-/// A queue and the requests that belong to it.
+/// A queue, and the host and path of the requests that belong to it.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Route {
     pub name: Name,
     pub host: Name,
     pub path_prefix: Name,
-    /// Time beyond the stretched ideal run time of a job, not of a request.
+    /// Milliseconds that a job may take beyond its stretched ideal run time; not about requests.
     #[serde(default)]
     pub target_latency_ms: Millis,
     #[serde(default)]
@@ -205,7 +205,7 @@
     pub max_attempts: u32,
     #[serde(default)]
     pub stretch: f64,
-    /// Times of the advisor, present where it has to be asked for each step.
+    /// Timings of the advisor; present if the advisor has to be asked about each step.
     #[serde(default)]
     pub advice: Option<serde::de::IgnoredAny>,
 }
@@ -214,7 +214,7 @@
 #[derive(Debug, Deserialize)]
 pub struct Row {
     pub key: Name,
-    /// Base64.
+    /// Value in Base64.
     #[serde(default)]
     pub value: String,
     #[serde(default)]
@@ -224,59 +224,60 @@
     pub gone: bool,
 }
 
-/// The store's answer to any call about rows.
+/// The store's reply to every call about rows.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Rows {
     pub rows: Vec<Row>,
     pub more: bool,
-    /// The newest version in the store.
+    /// Newest version in the store.
     pub ver: u64,
 }
 
-/// Names a row in a transaction.
+/// A row in a transaction: a condition, a write or a removal.
 #[derive(Serialize)]
 pub struct RowRef<'a> {
     pub table: &'a str,
     pub part: &'a str,
     pub key: &'a str,
-    /// Version that the row must have, 0 for none; not in entries that remove.
+    /// Version that the row must have, 0 if it must not exist; only in conditions.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ver: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub value: Option<String>,
 }
 
-/// A transaction.
+/// A transaction: takes effect only if all conditions are met.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Transaction<'a> {
-    /// Conditions on rows, not versions of the transaction.
+    /// Conditions on rows, not a version of the transaction.
     pub expected_revision: Vec<RowRef<'a>>,
     pub put: Vec<RowRef<'a>>,
     pub remove: Vec<RowRef<'a>>,
 }
 
-/// Makes a call and reads its whole answer within `limit` milliseconds.
+/// Makes a call and returns its whole reply, or an error after `limit` milliseconds; with
+/// `incarnation`, only that incarnation of a worker takes the order.
 pub async fn call(
     pool: &Pool,
     address: SocketAddr,
     method: Method,
     path: &str,
     body: Option<Bytes>,
-    life: Option<&str>,
+    incarnation: Option<&str>,
     limit: Millis,
 ) -> Result<Reply, WebError> {
     let uri: Uri = path
         .parse()
         .map_err(|e| WebError::NotSent(format!("path {path}: {e}")))?;
     let mut headers = HeaderMap::new();
-    headers.insert(HOST, header(&address.to_string())?);
+    headers.insert(HOST, header_value(&address.to_string())?);
     if body.is_some() {
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     }
-    if let Some(life) = life {
-        headers.insert(EXPECT_INSTANCE, header(life)?);
+    if let Some(incarnation) = incarnation {
+        headers.insert(EXPECT_INSTANCE, header_value(incarnation)?);
     }
     let request = Request {
         method,
@@ -287,6 +288,6 @@
     pool.call(address, request, limit, || true).await
 }
 
-fn header(text: &str) -> Result<HeaderValue, WebError> {
+fn header_value(text: &str) -> Result<HeaderValue, WebError> {
     HeaderValue::from_str(text).map_err(|e| WebError::NotSent(e.to_string()))
 }
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -1,4 +1,4 @@
-//! Orders to workers.
+//! Client of the workers: sends orders and decodes their replies.
 
 use std::net::SocketAddr;
 
@@ -14,28 +14,28 @@
 use crate::web::client::Pool;
 use crate::web::{self, WebError};
 
-/// Bytes of the largest report: 500 ends and all runs of a worker.
+/// Largest reply in bytes: a report of 500 completions and all runs of a worker.
 const MAX_REPORT_BYTES: usize = 1 << 20;
-/// Milliseconds for an order's answer: hundreds of times its usual time, well
-/// under a lease.
+/// Timeout of an order in milliseconds: hundreds of times the usual answer time, and well under
+/// the length of a lease.
 const ORDER_TIMEOUT: Millis = 700;
 
-/// The client of all workers.
+/// Client of all workers.
 #[derive(Clone)]
 pub struct Workers {
     pool: Pool,
 }
 
 impl Workers {
-    /// Returns a client that keeps so many idle connections at most, but for one to each
-    /// worker.
+    /// Returns a client that keeps at most `idle` idle connections in all, except that one to
+    /// each worker is always kept.
     pub fn new(idle: usize) -> Self {
         Self {
             pool: Pool::new(MAX_REPORT_BYTES).keeping(idle),
         }
     }
 
-    /// Starts a run; the answer holds the worker's clock and start.
+    /// Starts a run; the reply holds the worker's clock and boot time.
     pub async fn start(&self, start: &Start) -> Reply<OrderAck> {
         let body = encode(&RunStart {
             task: &start.task,
@@ -47,10 +47,10 @@
             ticket: &start.permit,
         });
         let reply = self.send_order(start.address, "/run-start", body, &start.incarnation.id, 0);
-        reply.await.map(word)
+        reply.await.map(to_ack)
     }
 
-    /// Stops a run; the answer holds the worker's clock and start.
+    /// Stops a run; the reply holds the worker's clock and boot time.
     pub async fn stop(&self, stop: &Stop) -> Reply<OrderAck> {
         let body = encode(&RunStop {
             task: &stop.task,
@@ -58,10 +58,10 @@
             fence: stop.epoch,
         });
         let reply = self.send_order(stop.address, "/run-stop", body, &stop.incarnation.id, 0);
-        reply.await.map(word)
+        reply.await.map(to_ack)
     }
 
-    /// Changes the speed of a run; the answer holds the worker's clock and start.
+    /// Changes the speed of a run; the reply holds the worker's clock and boot time.
     pub async fn throttle(&self, throttle: &Throttle) -> Reply<OrderAck> {
         let body = encode(&wire::Throttle {
             task: &throttle.task,
@@ -70,10 +70,10 @@
             fence: throttle.epoch,
         });
         let reply = self.send_order(throttle.address, "/pace", body, &throttle.incarnation.id, 0);
-        reply.await.map(word)
+        reply.await.map(to_ack)
     }
 
-    /// Extends the lease of a worker and returns its report.
+    /// Polls a worker: extends its lease and returns its report.
     pub async fn poll(&self, hold: &Poll) -> Reply<Report> {
         let body = encode(&wire::Hold {
             deadline_ms: hold.lease,
@@ -85,12 +85,14 @@
         reply.await.map(to_report)
     }
 
+    /// Sends an order to a worker and decodes the reply; `wait` is for how many milliseconds the
+    /// worker may hold back its answer.
     async fn send_order(
         &self,
         address: SocketAddr,
         path: &str,
         body: Bytes,
-        life: &str,
+        incarnation: &str,
         wait: Millis,
     ) -> Reply<OrderReply> {
         let call = wire::call(
@@ -99,20 +101,21 @@
             Method::POST,
             path,
             Some(body),
-            Some(life),
+            Some(incarnation),
             ORDER_TIMEOUT + wait,
         );
         match call.await {
             Ok(reply) => decode_reply(path, &reply),
             Err(WebError::NotSent(_) | WebError::Held) => Reply::NotSent,
             Err(e) => {
-                log::debug!(target: "worker", "worker={life} call={path} event=lost cause=\"{e}\"");
+                log::debug!(target: "worker", "worker={incarnation} call={path} event=lost cause=\"{e}\"");
                 Reply::Lost
             }
         }
     }
 }
 
+/// Returns the reply's body, or why the worker refused the order.
 fn decode_reply(path: &str, reply: &web::Reply) -> Reply<OrderReply> {
     let body = match serde_json::from_slice::<OrderReply>(&reply.body) {
         Ok(body) => body,
@@ -120,12 +123,12 @@
             log::error!(target: "worker", "call={path} event=malformed cause=\"{e}\"");
             return Reply::Lost;
         }
-        // Refusals need no body.
+        // A refusal need not have a body.
         Err(_) => OrderReply::default(),
     };
     match reply.status {
         StatusCode::OK => Reply::Ok(body),
-        StatusCode::CONFLICT => Reply::Refused(conflict_refusal(path, &body.reason)),
+        StatusCode::CONFLICT => Reply::Refused(parse_refusal(path, &body.reason)),
         StatusCode::MISDIRECTED_REQUEST => Reply::Refused(Refusal::Replaced),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
             Reply::Refused(Refusal::Unwell)
@@ -138,7 +141,8 @@
     }
 }
 
-fn conflict_refusal(path: &str, reason: &str) -> Refusal {
+/// Returns the refusal that a reason of the worker stands for.
+fn parse_refusal(path: &str, reason: &str) -> Refusal {
     match reason {
         "fence" => Refusal::Fenced,
         "old" => Refusal::Old,
@@ -152,13 +156,15 @@
     }
 }
 
-fn word(body: OrderReply) -> OrderAck {
+/// Returns the worker's clock and boot time in a reply.
+fn to_ack(body: OrderReply) -> OrderAck {
     OrderAck {
         clock: body.clock_ms,
         boot: body.born,
     }
 }
 
+/// Returns the report in a reply; completions of an unknown kind are skipped.
 fn to_report(body: OrderReply) -> Report {
     let running = body
         .running
@@ -174,7 +180,7 @@
         .finished
         .into_iter()
         .filter_map(|(number, task, run, how, saved)| {
-            let how = parse_how(&how)?;
+            let how = parse_outcome(&how)?;
             Some(EndedRun {
                 number,
                 task,
@@ -191,8 +197,9 @@
     }
 }
 
-fn parse_how(how: &str) -> Option<RunOutcome> {
-    Some(match how {
+/// Returns the outcome of a run by its name on the wire, or `None` for an unknown name.
+fn parse_outcome(name: &str) -> Option<RunOutcome> {
+    Some(match name {
         "done" => RunOutcome::Done,
         "failed" => RunOutcome::Failed,
         "stopped" => RunOutcome::Stopped,
