--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -96,13 +96,13 @@
             if job.archived {
                 self.archived(number);
             } else if ended {
-                self.stop_all(number);
+                self.stop_job(number);
             }
         }
         for after in afters {
             match after {
                 AfterCommit::Reply(ticket, answer) => self.reply(ticket, answer),
-                AfterCommit::Start(key, run) => self.start(key, run),
+                AfterCommit::Start(key, run) => self.start_run(key, run),
                 AfterCommit::Acknowledge(worker, end) => self.acknowledge_completion(&worker, end),
             }
         }
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -39,7 +39,7 @@
             outcome: how,
             ..
         } = completion;
-        let Some(key) = self.find(task) else {
+        let Some(key) = self.find_task(task) else {
             // Its job was removed: nothing has to be stored before the worker may forget it.
             log::info!(target: "task", "task={task} run={run} event=unknown-end how={how:?} worker={name}");
             return;
@@ -48,7 +48,7 @@
             return;
         };
         log::info!(target: "task", "task={task} run={run} event=ended how={how:?} worker={incarnation}");
-        self.begun(key);
+        self.mark_begun(key);
         let current = self.workers.get(name).and_then(|w| w.placements.get(&key));
         let current = current.is_some_and(|s| s.run == completion.run);
         if completion.outcome == RunOutcome::Done {
@@ -93,7 +93,7 @@
         } else if open {
             // An earlier run succeeded after all: the later run is not needed.
             for peer in self.peers(key) {
-                self.stop(peer);
+                self.stop_task(peer);
             }
             self.mark_done(key);
         }
@@ -161,7 +161,7 @@
         };
         worker.pending_completions.remove(&completion);
         if worker.pending_completions.is_empty() && matches!(worker.poll, PollState::Due(_)) {
-            self.schedule(name, now + BATCH_DELAY);
+            self.schedule_poll(name, now + BATCH_DELAY);
         }
     }
 }
--- a/src/sched/cordon.rs
+++ b/src/sched/cordon.rs
@@ -9,7 +9,7 @@
 
 impl Owner {
     /// Takes in which halls are cordoned.
-    pub(super) fn cordon(&mut self, halls: Halls) {
+    pub(super) fn set_cordoned_halls(&mut self, halls: Halls) {
         if self.cordoned.as_ref() == Some(&halls) {
             return;
         }
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -74,7 +74,7 @@
         }
         self.insert_worker(id.clone(), worker);
         self.adopt_tasks(&id);
-        self.schedule(&id, now);
+        self.schedule_poll(&id, now);
     }
 
     /// Takes in the listing of a worker that is known.
@@ -235,7 +235,7 @@
         }
         for key in moved {
             if self.may_disrupt(key) {
-                self.stop(key);
+                self.stop_task(key);
             }
         }
     }
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -23,7 +23,7 @@
     pub(super) fn disband(&mut self, lost: TaskKey) {
         for member in self.members(lost) {
             if member != lost {
-                self.stop(member);
+                self.stop_task(member);
             }
         }
     }
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -168,7 +168,7 @@
         }
         // Once a stop of it was answered, the later life refuses a start that comes late.
         for key in doubtful {
-            self.stop(key);
+            self.stop_task(key);
         }
     }
 
@@ -177,7 +177,7 @@
         let running = report.running.iter().map(|r| (&r.task, r.run));
         let ended = report.ended.iter().map(|e| (&e.task, e.run));
         let all = running.chain(ended);
-        all.filter_map(|(task, run)| Some((self.find(task)?, run)))
+        all.filter_map(|(task, run)| Some((self.find_task(task)?, run)))
             .collect()
     }
 
@@ -219,7 +219,7 @@
         };
         worker.unverified = true;
         log::info!(target: "worker", "worker={name} event=life-doubted by={by} boot={:?} listed_boot={:?}", worker.boot, worker.listing.boot);
-        self.schedule(name, self.now.steady);
+        self.schedule_poll(name, self.now.steady);
     }
 
     /// Returns true when the known life of a worker has been silent for so long that
--- a/src/sched/late_starts.rs
+++ b/src/sched/late_starts.rs
@@ -32,7 +32,7 @@
 
 impl Owner {
     /// Keeps a start in mind that had no answer.
-    pub(super) fn keep_late_start(&mut self, key: TaskKey, run: u32, incarnation: &Incarnation) {
+    pub(super) fn add_late_start(&mut self, key: TaskKey, run: u32, incarnation: &Incarnation) {
         let task = self.task_name(key);
         if task.is_empty() {
             return;
@@ -49,7 +49,12 @@
     }
 
     /// Takes in that a life of a worker has answered a stop, and will not begin the run.
-    pub(super) fn settle_late_start(&mut self, key: TaskKey, run: u32, incarnation: &Incarnation) {
+    pub(super) fn mark_late_start_stopped(
+        &mut self,
+        key: TaskKey,
+        run: u32,
+        incarnation: &Incarnation,
+    ) {
         let own = |s: &&mut LateStart| (s.key, s.run) == (key, run) && s.worker == incarnation.id;
         let starts = self.late_starts.iter_mut().filter(own);
         starts.for_each(|start| start.settled = Some(incarnation.boot));
@@ -74,7 +79,7 @@
             start.asked = now;
             let address = worker.listing.address;
             let (task, name) = (start.task.clone(), start.worker.clone());
-            self.order_stop(start.key, start.run, task, name, address);
+            self.send_stop_by_name(start.key, start.run, task, name, address);
         }
         self.late_starts = starts;
     }
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -273,7 +273,7 @@
         let places = !self.crowded && !self.ready.is_empty() && self.cordoned.is_some();
         let place = places.then_some(self.next_place);
         let due = self
-            .next_contact()
+            .next_poll()
             .into_iter()
             .chain(self.journal.next_due())
             .chain(place)
@@ -315,13 +315,13 @@
             Event::Request(ticket, ask) => self.ask(ticket, ask),
             Event::Directory(listings) => self.replace_directory(listings),
             Event::DirectoryChanged(changes) => self.apply_directory_changes(changes),
-            Event::Cordoned(halls) => self.cordon(halls),
-            Event::Polled(hold, reply) => self.held(&hold, reply),
+            Event::Cordoned(halls) => self.set_cordoned_halls(halls),
+            Event::Polled(hold, reply) => self.handle_poll_reply(&hold, reply),
             Event::Started(key, run, incarnation, reply) => {
-                self.started(key, run, &incarnation, reply)
+                self.handle_start_reply(key, run, &incarnation, reply)
             }
             Event::Stopped(key, run, incarnation, reply) => {
-                self.stopped(key, run, &incarnation, reply)
+                self.handle_stop_reply(key, run, &incarnation, reply)
             }
             Event::Throttled(key, run, percent, incarnation, reply) => {
                 self.throttle_answered(key, run, percent, &incarnation, reply);
@@ -344,7 +344,7 @@
                 self.place();
                 self.swap_serving_tasks();
             }
-            self.contact();
+            self.poll_due_workers();
         }
         if !self.deposed {
             self.commit();
@@ -366,7 +366,7 @@
         self.expire_lapsed_listings();
         self.expire_leases();
         self.evacuate();
-        self.repeat_stops();
+        self.retry_stops();
         self.stop_late_starts();
         let wall = self.now.wall;
         let scheduled: Vec<u32> = self
--- a/src/sched/poll_schedule.rs
+++ b/src/sched/poll_schedule.rs
@@ -18,7 +18,7 @@
 
 impl Owner {
     /// Sets when the next exchange with a worker is due.
-    pub(super) fn schedule(&mut self, name: &Name, at: Millis) {
+    pub(super) fn schedule_poll(&mut self, name: &Name, at: Millis) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.poll = PollState::Due(at);
             self.poll_schedule.entries.push(Reverse((at, name.clone())));
@@ -26,7 +26,7 @@
     }
 
     /// Returns the workers with which an exchange is due now.
-    pub(super) fn due_contacts(&mut self) -> Vec<Name> {
+    pub(super) fn take_due_polls(&mut self) -> Vec<Name> {
         let mut names = Vec::new();
         while let Some(Reverse((at, name))) = self.poll_schedule.entries.peek() {
             let holds = self.workers.get(name).map(|w| w.poll) == Some(PollState::Due(*at));
@@ -42,7 +42,7 @@
     }
 
     /// Returns when the next exchange is due.
-    pub(super) fn next_contact(&self) -> Option<Millis> {
+    pub(super) fn next_poll(&self) -> Option<Millis> {
         self.poll_schedule
             .entries
             .peek()
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -152,7 +152,7 @@
         }
         self.promise(key, resources, &name);
         self.ranking = None;
-        self.stop(victim);
+        self.stop_task(victim);
     }
 
     /// Returns the run whose end makes room for a task of the searched step at the least
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -45,12 +45,12 @@
 
 impl Owner {
     /// Starts the exchanges that are due.
-    pub(super) fn contact(&mut self) {
+    pub(super) fn poll_due_workers(&mut self) {
         let now = self.now.steady;
         let confirmed = now < self.journal.last_confirmed() + self.bounds.unconfirmed;
         let (span, epoch) = (self.bounds.lease, self.journal.epoch());
         let watch = WATCH * (self.workers.len() as u64).max(WATCHED) / WATCHED;
-        for name in self.due_contacts() {
+        for name in self.take_due_polls() {
             let Some(worker) = self.workers.get_mut(&name) else {
                 continue;
             };
@@ -92,7 +92,7 @@
     }
 
     /// Takes in how an exchange went.
-    pub(super) fn held(&mut self, hold: &Poll, reply: Reply<Report>) {
+    pub(super) fn handle_poll_reply(&mut self, hold: &Poll, reply: Reply<Report>) {
         let now = self.now.steady;
         let name = &hold.incarnation.id;
         let Some(worker) = self.workers.get_mut(name) else {
@@ -103,7 +103,7 @@
             return;
         }
         match reply {
-            Reply::Ok(report) => self.heard(hold, report),
+            Reply::Ok(report) => self.handle_report(hold, report),
             Reply::Refused(Refusal::Replaced) => {
                 self.end_incarnation(name, IncarnationEnd::Replaced)
             }
@@ -111,20 +111,20 @@
                 // Only an owner with a higher epoch can have been there; the
                 // next commit finds out.
                 log::warn!(target: "worker", "worker={name} event=fenced epoch={}", self.journal.epoch());
-                self.schedule(name, now + MISS_PAUSE);
+                self.schedule_poll(name, now + MISS_PAUSE);
             }
             Reply::Refused(_) | Reply::NotSent | Reply::Lost => {
                 if worker.missed_polls == 0 {
                     log::info!(target: "worker", "worker={} event=silent reply={reply:?}", worker.incarnation());
                 }
                 worker.missed_polls += 1;
-                self.schedule(name, now + MISS_PAUSE);
+                self.schedule_poll(name, now + MISS_PAUSE);
             }
         }
     }
 
     /// Takes in the answer to an exchange, of whichever life of its worker.
-    fn heard(&mut self, hold: &Poll, report: Report) {
+    fn handle_report(&mut self, hold: &Poll, report: Report) {
         let now = self.now.steady;
         let name = &hold.incarnation.id;
         let Some(worker) = self.workers.get(name) else {
@@ -137,7 +137,7 @@
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.missed_polls += 1;
             }
-            return self.schedule(name, now + MISS_PAUSE);
+            return self.schedule_poll(name, now + MISS_PAUSE);
         }
         if worker.last_answer == 0 {
             self.end_others_at_address(name);
@@ -163,18 +163,18 @@
             worker.acknowledged = worker.acknowledged.max(hold.acknowledged);
         }
         worker.record_clock(report.clock, now);
-        self.report(name, hold.sent, report);
+        self.apply_report(name, hold.sent, report);
     }
 
     /// Takes in what a worker reports: ends first, then runs and gauges.
-    fn report(&mut self, name: &Name, sent: Millis, report: Report) {
+    fn apply_report(&mut self, name: &Name, sent: Millis, report: Report) {
         let whole = report.ended.len() < REPORT_LIMIT;
         for end in &report.ended {
             self.record_completion(name, end);
         }
         let running: Vec<ReportedRun<'_>> =
             report.running.iter().map(|r| self.resolve_run(r)).collect();
-        self.runs(name, sent, &running, whole);
+        self.reconcile_runs(name, sent, &running, whole);
         self.clear_suspects(name);
         self.adjust_speeds(name, &running);
         let worker = self.workers.get(name);
@@ -182,16 +182,22 @@
             true => ENDS_PAUSE,
             false => 0,
         };
-        self.schedule(name, self.now.steady + pause);
+        self.schedule_poll(name, self.now.steady + pause);
     }
 
     /// Compares the runs that a worker lists with those that are known there.
-    fn runs(&mut self, name: &Name, sent: Millis, running: &[ReportedRun<'_>], whole: bool) {
+    fn reconcile_runs(
+        &mut self,
+        name: &Name,
+        sent: Millis,
+        running: &[ReportedRun<'_>],
+        whole: bool,
+    ) {
         let mut listed = BTreeSet::new();
         let mut strangers = Vec::new();
         for ReportedRun { key, run } in running {
             match key {
-                Some(key) if self.confirm(name, *key, run) => {
+                Some(key) if self.confirm_run(name, *key, run) => {
                     listed.insert(*key);
                 }
                 found => strangers.push((*found, run)),
@@ -203,27 +209,27 @@
         }
         for (found, run) in strangers {
             log::warn!(target: "task", "task={} run={} event=unknown-run worker={name}", run.task, run.run);
-            let stray = || self.is_stray(&run.task).then_some(NO_TASK);
+            let stray = || self.is_obsolete_task(&run.task).then_some(NO_TASK);
             let (Some(key), Some(address)) = (found.or_else(stray), address) else {
                 continue;
             };
             let task = run.task.to_string();
-            self.order_stop(key, run.run, task, name.clone(), address);
+            self.send_stop_by_name(key, run.run, task, name.clone(), address);
         }
         if whole {
-            self.missing(name, sent, &listed);
+            self.handle_missing_runs(name, sent, &listed);
         }
     }
 
     /// Returns a run that a worker lists, with its task.
     pub(super) fn resolve_run<'a>(&self, run: &'a ActiveRun) -> ReportedRun<'a> {
-        let key = self.find(&run.task);
+        let key = self.find_task(&run.task);
         ReportedRun { key, run }
     }
 
     /// Finds a task by its name; none when its job has no such task. Workers may list any
     /// name, and one looked up in vain would end this owner and each that follows it.
-    pub(super) fn find(&self, name: &str) -> Option<TaskKey> {
+    pub(super) fn find_task(&self, name: &str) -> Option<TaskKey> {
         let (id, round, step, index) = parse_task_name(name)?;
         let number = *self.ids.get(id)?;
         let key = TaskKey {
@@ -238,13 +244,13 @@
 
     /// Returns true when a name is that of no task that could run: of a job that is over, or
     /// one that its job does not have.
-    fn is_stray(&self, task: &str) -> bool {
+    fn is_obsolete_task(&self, task: &str) -> bool {
         let known = parse_task_name(task).is_some_and(|(id, ..)| self.ids.contains_key(id));
         known || self.is_finished_task(task)
     }
 
     /// Returns what a worker holds of a task, if it is for this run.
-    pub(super) fn run_mut(
+    pub(super) fn placement_mut(
         &mut self,
         name: &Name,
         key: TaskKey,
@@ -255,15 +261,15 @@
     }
 
     /// Takes in that a run is listed; false when it should not be there.
-    fn confirm(&mut self, name: &Name, key: TaskKey, run: &ActiveRun) -> bool {
+    fn confirm_run(&mut self, name: &Name, key: TaskKey, run: &ActiveRun) -> bool {
         let now = self.now.steady;
-        let Some(placement) = self.run_mut(name, key, run.run) else {
+        let Some(placement) = self.placement_mut(name, key, run.run) else {
             return false;
         };
         let inherited = placement.stage == Stage::Inherited;
         placement.confirm(now);
         placement.at_work = run.progress == FULL_SPEED;
-        self.begun(key);
+        self.mark_begun(key);
         let Some(job) = self.jobs.get(&key.job) else {
             return true;
         };
@@ -275,13 +281,13 @@
             self.save(key, &run.checkpoint);
         }
         if inherited && ended {
-            self.stop(key);
+            self.stop_task(key);
         }
         true
     }
 
     /// Frees the tasks that a worker should run and does not list.
-    fn missing(&mut self, name: &Name, sent: Millis, listed: &BTreeSet<TaskKey>) {
+    fn handle_missing_runs(&mut self, name: &Name, sent: Millis, listed: &BTreeSet<TaskKey>) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -308,7 +314,7 @@
         for (key, run, told) in doubt {
             let (task, age) = (self.task_name(key), self.now.steady - told);
             log::info!(target: "task", "task={task} run={run} event=missing worker={name} age_ms={age}");
-            self.stop(key);
+            self.stop_task(key);
         }
         self.record_unseen_crashes(&unseen, name);
         for key in free.into_iter().chain(unseen) {
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -34,7 +34,7 @@
 
 impl Owner {
     /// Starts a run whose placement is in the store.
-    pub(super) fn start(&mut self, key: TaskKey, run: u32) {
+    pub(super) fn start_run(&mut self, key: TaskKey, run: u32) {
         let Some(name) = self.placed.get(&key).cloned() else {
             return;
         };
@@ -110,7 +110,7 @@
     }
 
     /// Takes in how a start went.
-    pub(super) fn started(
+    pub(super) fn handle_start_reply(
         &mut self,
         key: TaskKey,
         run: u32,
@@ -120,34 +120,38 @@
         let now = self.now.steady;
         let name = &incarnation.id;
         if reply == Reply::Lost {
-            self.keep_late_start(key, run, incarnation);
+            self.add_late_start(key, run, incarnation);
         }
-        if !self.answers(incarnation, &reply) {
+        if !self.accept_reply(incarnation, &reply) {
             return;
         }
-        let Some(placement) = self.run_mut(name, key, run) else {
+        let Some(placement) = self.placement_mut(name, key, run) else {
             return;
         };
         match reply {
             Reply::Ok(_) => {
                 placement.confirm(now);
-                self.begun(key);
+                self.mark_begun(key);
                 self.halt_run(name, key);
             }
             Reply::Lost if placement.stage == Stage::Starting => {
                 // It may be carried out seconds later, unless a stop of it is answered first.
                 placement.stage = Stage::Doubt;
-                self.stop(key);
+                self.stop_task(key);
             }
             Reply::Lost => {}
             Reply::NotSent => self.free(key),
-            Reply::Refused(refusal) => self.refused(key, run, name, refusal),
+            Reply::Refused(refusal) => self.handle_start_refusal(key, run, name, refusal),
         }
     }
 
     /// Returns true when the answer to an order is that of the life that is known and that
     /// the order was sent to. Word of a later one has it report at once.
-    pub(super) fn answers(&mut self, incarnation: &Incarnation, reply: &Reply<OrderAck>) -> bool {
+    pub(super) fn accept_reply(
+        &mut self,
+        incarnation: &Incarnation,
+        reply: &Reply<OrderAck>,
+    ) -> bool {
         let Some(worker) = self.workers.get(&incarnation.id) else {
             return false;
         };
@@ -167,21 +171,21 @@
     }
 
     /// Takes in that a worker has begun a task.
-    pub(super) fn begun(&mut self, key: TaskKey) {
+    pub(super) fn mark_begun(&mut self, key: TaskKey) {
         if let Some(job) = self.jobs.get_mut(&key.job) {
             job.row.begun = true;
         }
     }
 
     /// Takes in that a worker did not take a start.
-    fn refused(&mut self, key: TaskKey, run: u32, name: &Name, refusal: Refusal) {
+    fn handle_start_refusal(&mut self, key: TaskKey, run: u32, name: &Name, refusal: Refusal) {
         let task = self.task_name(key);
         log::info!(target: "task", "task={task} run={run} event=refused worker={name} reason={refusal:?}");
         match refusal {
-            Refusal::Full | Refusal::Unwell => self.bar(name),
+            Refusal::Full | Refusal::Unwell => self.quarantine(name),
             Refusal::Unfit => {
-                self.bar(name);
-                self.defer(key);
+                self.quarantine(name);
+                self.defer_task(key);
             }
             Refusal::NoPermit => self.permit_refused(key, name),
             Refusal::Late | Refusal::Old | Refusal::Fenced | Refusal::Replaced => {}
@@ -194,7 +198,7 @@
 
     /// Has a task wait longer with each start that a worker could not take: as each of them
     /// gets nothing for a while, a task that none can read took all of them out of use.
-    fn defer(&mut self, key: TaskKey) {
+    fn defer_task(&mut self, key: TaskKey) {
         let now = self.now.steady;
         let deferral = self.deferred.entry(key).or_default();
         deferral.times += 1;
@@ -202,14 +206,14 @@
     }
 
     /// Gives a worker nothing new for a while.
-    fn bar(&mut self, name: &Name) {
+    fn quarantine(&mut self, name: &Name) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.quarantined_until = self.now.steady + BARRED;
         }
     }
 
     /// Takes in how a stop went.
-    pub(super) fn stopped(
+    pub(super) fn handle_stop_reply(
         &mut self,
         key: TaskKey,
         run: u32,
@@ -218,13 +222,13 @@
     ) {
         let now = self.now.steady;
         let name = &incarnation.id;
-        if !self.answers(incarnation, &reply) {
+        if !self.accept_reply(incarnation, &reply) {
             return;
         }
         if matches!(reply, Reply::Ok(_)) {
-            self.settle_late_start(key, run, incarnation);
+            self.mark_late_start_stopped(key, run, incarnation);
         }
-        let Some(placement) = self.run_mut(name, key, run) else {
+        let Some(placement) = self.placement_mut(name, key, run) else {
             return;
         };
         match reply {
@@ -239,7 +243,7 @@
     }
 
     /// Repeats stops that had no effect yet.
-    pub(super) fn repeat_stops(&mut self) {
+    pub(super) fn retry_stops(&mut self) {
         let now = self.now.steady;
         let mut again = Vec::new();
         for (name, worker) in &mut self.workers {
@@ -262,18 +266,18 @@
     }
 
     /// Stops what runs of a job that is over.
-    pub(super) fn stop_all(&mut self, number: u32) {
+    pub(super) fn stop_job(&mut self, number: u32) {
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
         let keys: Vec<TaskKey> = job.tasks(number).map(|(key, _)| key).collect();
         for key in keys {
-            self.stop(key);
+            self.stop_task(key);
         }
     }
 
     /// Stops a placed task, or takes it back when its start was not sent.
-    pub(super) fn stop(&mut self, key: TaskKey) {
+    pub(super) fn stop_task(&mut self, key: TaskKey) {
         let Some(name) = self.placed.get(&key).cloned() else {
             return;
         };
@@ -305,11 +309,11 @@
             return;
         };
         let task = job.task_name(key);
-        self.order_stop(key, run, task, worker, address);
+        self.send_stop_by_name(key, run, task, worker, address);
     }
 
     /// Orders a worker to stop a run by the name of its task.
-    pub(super) fn order_stop(
+    pub(super) fn send_stop_by_name(
         &mut self,
         key: TaskKey,
         run: u32,
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -167,7 +167,7 @@
             self.promise(other.key, resources, &one.worker);
             self.away.insert(one.key);
         }
-        self.stop(a.key);
-        self.stop(b.key);
+        self.stop_task(a.key);
+        self.stop_task(b.key);
     }
 }
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -220,8 +220,8 @@
         reply: Reply<OrderAck>,
     ) {
         let name = &incarnation.id;
-        let answers = self.answers(incarnation, &reply);
-        let Some(placement) = self.run_mut(name, key, run) else {
+        let answers = self.accept_reply(incarnation, &reply);
+        let Some(placement) = self.placement_mut(name, key, run) else {
             return;
         };
         placement.throttle_pending = false;
