--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -341,8 +341,8 @@
         } = start;
         let worker = incarnation.id.clone();
         let task: Name = start.task.into();
-        let ends = (!start.text.contains("lasting")).then(|| {
-            let mean = if start.text.contains("check") {
+        let ends = (!start.payload.contains("lasting")).then(|| {
+            let mean = if start.payload.contains("check") {
                 800.0
             } else {
                 1_700.0
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -40,7 +40,7 @@
         let body = encode(&RunStart {
             task: &start.task,
             run: start.run,
-            spec: &start.text,
+            spec: &start.payload,
             deadline_ms: start.lease,
             fence: start.epoch,
             last_checkpoint: &start.checkpoint,
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -1,4 +1,4 @@
-//! What the owner is told and what it asks for.
+//! The owner's messages: events that it receives, and actions that it returns.
 
 use std::net::SocketAddr;
 
@@ -14,31 +14,31 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Names the caller's side of a request until it is answered.
+/// Number that identifies a caller's pending request.
 pub type Ticket = u64;
 
 /// A caller's request about jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum JobRequest {
-    /// Accept and keep a job.
+    /// Accepts and stores a job.
     Submit {
         /// Id chosen by the caller.
         id: Name,
-        /// What is to run.
+        /// The job's specification.
         spec: Box<JobSpec>,
-        /// Queue as configured now.
+        /// The queue as configured when the job was submitted.
         queue: Queue,
     },
-    /// Cancel a job.
+    /// Cancels the job with this id.
     Cancel(Name),
-    /// Tell how far a job is.
+    /// Asks for the state of the job with this id.
     Show(Name),
-    /// Count the jobs of a queue of which no task has begun.
+    /// Counts the jobs of the named queue of which no task has started.
     Count(Name),
 }
 
 impl JobRequest {
-    /// Returns the id of the job or the name of the queue that is asked about.
+    /// Returns the id of the job or the name of the queue that the request concerns.
     pub fn subject(&self) -> &Name {
         match self {
             Self::Submit { id, .. } => id,
@@ -50,25 +50,25 @@
 /// The answer to a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// The job is accepted and kept.
+    /// The job is accepted and stored.
     Accepted,
-    /// The cancel is kept.
+    /// The cancellation is stored, or the job was already over.
     Cancelled,
-    /// How far the job is.
+    /// State of the job.
     State(JobState),
-    /// No such job.
+    /// The job does not exist.
     Unknown,
-    /// Jobs of the queue that have not begun.
+    /// Number of the queue's jobs that have not started.
     Waiting(u64),
-    /// Nothing was done; come back after so many milliseconds.
+    /// Nothing was done; the caller may retry after this many milliseconds.
     Refused(Millis),
-    /// It may or may not have been done.
+    /// The outcome is unknown: the request may or may not have taken effect.
     InDoubt,
-    /// The request itself is wrong; what is wrong with it.
+    /// The request is invalid, with the reasons.
     Invalid(String),
 }
 
-/// A run that a worker lists.
+/// A run that a worker reports as present.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ActiveRun {
     /// Name of the task.
@@ -77,31 +77,31 @@
     pub run: u32,
     /// Last checkpoint; empty for none.
     pub checkpoint: Name,
-    /// Percent of its work that is done; of a lasting task, its speed once it is at work.
+    /// Percent of the work that is done; for a lasting task its speed in percent once it is ready.
     pub progress: u32,
-    /// Processor share in use, or the latency tail in milliseconds of a
-    /// serving task, over the last half second.
+    /// Processor share in use over the last half second, or the tail latency in milliseconds
+    /// of a serving task.
     pub gauge: u64,
 }
 
-/// How a run ended.
+/// The outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// Its work is done.
+    /// It completed its work.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// It failed, because of the task or of the worker.
     Failed,
-    /// It was stopped as ordered.
+    /// It was stopped by an order.
     Stopped,
-    /// The worker's lease ended.
+    /// The worker's lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of its gang ended before it.
     Broken,
-    /// The other members of its gang did not come in time.
+    /// The other members of its gang did not arrive in time.
     Alone,
 }
 
-/// An ended run that a worker lists.
+/// A run that ended on a worker, with the outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRun {
     /// Number of the end, counted from the start of the worker's incarnation.
@@ -110,73 +110,73 @@
     pub task: Name,
     /// Number of the run.
     pub run: u32,
-    /// How it ended.
+    /// Outcome of the run.
     pub outcome: RunOutcome,
     /// Last checkpoint; empty for none.
     pub checkpoint: Name,
 }
 
-/// Everything a worker tells in one exchange.
+/// A worker's answer to a poll.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Time on the worker's clock.
+    /// Time on the worker's clock, in milliseconds.
     pub clock: Millis,
     /// When the worker started.
     pub boot: BootTime,
-    /// Runs there.
+    /// Runs on the worker.
     pub running: Vec<ActiveRun>,
-    /// Ends that were not acknowledged yet, 500 at most.
+    /// Completions that are not acknowledged yet, at most 500.
     pub ended: Vec<EndedRun>,
 }
 
-/// What a worker tells with its answer to an order.
+/// A worker's answer to an order that it carried out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OrderAck {
-    /// Time on the worker's clock.
+    /// Time on the worker's clock, in milliseconds.
     pub clock: Millis,
     /// When the worker started.
     pub boot: BootTime,
 }
 
-/// Why a worker did not do what it was told.
+/// Why a worker refused an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has seen a newer owner.
+    /// The worker has received orders of an owner with a higher epoch.
     Fenced,
-    /// The run is not above one that ended or was stopped there.
+    /// A run of the task with the same or a higher number ended or was stopped on the worker.
     Old,
-    /// The lease in the order had ended already.
+    /// The lease in the order had already expired.
     Late,
-    /// The task does not fit.
+    /// The task does not fit into the worker's free resources.
     Full,
-    /// It needs a permit, and the one that the order brought does not hold.
+    /// The task needs a permit, and the permit in the order is not valid.
     NoPermit,
-    /// It does not take the order, for another reason.
+    /// The worker refused the order for another reason.
     Unfit,
-    /// It is unhealthy and did nothing.
+    /// The worker is unhealthy and did nothing.
     Unwell,
     /// Another incarnation of the worker answers at this address.
     Replaced,
 }
 
-/// How an order to a worker went.
+/// The result of a call to a worker or to the advisor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply<T> {
-    /// Done, with the worker's word.
+    /// The call was carried out, with this answer.
     Ok(T),
-    /// Not done.
+    /// The call was refused.
     Refused(Refusal),
-    /// Not sent.
+    /// The call was not sent.
     NotSent,
-    /// No answer: it may be done, now or later.
+    /// The call has no answer: it may take effect, now or later.
     Lost,
 }
 
 impl<T> Reply<T> {
-    /// Returns the same reply with another word of the worker.
-    pub fn map<U>(self, word: impl FnOnce(T) -> U) -> Reply<U> {
+    /// Converts the answer of a call that was carried out.
+    pub fn map<U>(self, convert: impl FnOnce(T) -> U) -> Reply<U> {
         match self {
-            Self::Ok(value) => Reply::Ok(word(value)),
+            Self::Ok(value) => Reply::Ok(convert(value)),
             Self::Refused(refusal) => Reply::Refused(refusal),
             Self::NotSent => Reply::NotSent,
             Self::Lost => Reply::Lost,
@@ -184,92 +184,92 @@
     }
 }
 
-/// How a commit ended.
+/// The outcome of a commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It took effect; version of its rows.
+    /// The commit took effect; its rows have this version.
     Done(u64),
-    /// A condition failed; what the owner's row holds now.
+    /// The condition failed; version and value of the owner's row, none without a row.
     Conflict(Option<(u64, Bytes)>),
-    /// It had no effect and will have none.
+    /// The commit had no effect and will have none.
     NotDone,
-    /// It may take effect, now or later.
+    /// The commit may take effect, now or later.
     Unknown,
 }
 
-/// A change of one row.
+/// A change of one row in a commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
     /// Table of the row.
     pub table: &'static str,
     /// Key of the row.
     pub key: Name,
-    /// New value; none removes the row.
+    /// New value; `None` removes the row.
     pub value: Option<Bytes>,
 }
 
-/// Which workers may run a step.
+/// The advisor's answer: which workers may run a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Advice {
-    /// Ids of workers, each with the permit that a start there has to bring.
+    /// Ids of permitted workers, each with the permit that a start there must carry.
     pub permits: Vec<(Name, Name)>,
-    /// Milliseconds for which that holds.
+    /// Milliseconds for which the permits are valid.
     pub valid_for: Millis,
 }
 
-/// A question to the advisor of a service.
+/// A request to the advisor of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdviceRequest {
     /// The step.
     pub step: StepKey,
-    /// Its name.
+    /// Name of the step.
     pub name: String,
-    /// Ids of the workers that it is about.
+    /// Ids of the workers to advise on.
     pub workers: Vec<Name>,
 }
 
-/// What the directory says under the id of a worker.
+/// The directory's entry under a worker's id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DirectoryEntry {
-    /// A worker that may be used.
+    /// A usable worker.
     Listed(Listing),
-    /// Something that names no worker to use, as another writer may leave it.
+    /// An entry that describes no usable worker; other writers may leave one.
     Unusable,
-    /// Nothing any more.
+    /// The entry was removed.
     Removed,
 }
 
-/// What the owner is told.
+/// An event that the owner handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller asks.
+    /// A caller sent a request.
     Request(Ticket, JobRequest),
     /// The whole directory was read.
     Directory(Vec<(Name, DirectoryEntry)>),
     /// Entries of the directory changed.
     DirectoryChanged(Vec<(Name, DirectoryEntry)>),
-    /// These halls are cordoned, and no others.
+    /// The set of cordoned halls, complete.
     Cordoned(Halls),
-    /// An exchange ended.
+    /// A poll ended.
     Polled(Poll, Reply<Report>),
-    /// A start ended.
+    /// The order to start a run ended.
     Started(TaskKey, u32, Incarnation, Reply<OrderAck>),
-    /// A stop ended.
+    /// The order to stop a run ended.
     Stopped(TaskKey, u32, Incarnation, Reply<OrderAck>),
     /// A change of speed ended.
     Throttled(TaskKey, u32, u32, Incarnation, Reply<OrderAck>),
-    /// A question about these workers to the advisor ended.
+    /// A request for advice on these workers ended.
     Advised(StepKey, Vec<Name>, Reply<Advice>),
-    /// A commit ended.
+    /// The commit with this number ended.
     CommitEnded(u64, CommitOutcome),
-    /// Jobs that are over were read.
+    /// A page of finished jobs was read.
     History(HistoryPage),
-    /// Time passes.
+    /// Time has passed.
     Tick,
 }
 
 impl Event {
-    /// Returns the name of its kind.
+    /// Returns the name of the event's kind, a label of metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Request(..) => "ask",
@@ -287,60 +287,60 @@
     }
 }
 
-/// An exchange with a worker: extends its lease and asks for its report.
+/// A poll of a worker: extends its lease and asks for its report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// The worker, as it is known to have started.
+    /// The worker's incarnation that the order is meant for.
     pub incarnation: Incarnation,
-    /// When it was sent, on the clock of this box.
+    /// When the poll was sent, in milliseconds on the clock of this box.
     pub sent: Millis,
-    /// Where it is.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// End of the lease on its clock; none leaves it as it is.
+    /// End of the lease on the worker's clock; `None` leaves the lease as it is.
     pub lease: Option<Millis>,
     /// Epoch of the owner.
     pub epoch: u64,
-    /// Highest end that may be forgotten; 0 for none.
+    /// Highest acknowledged completion, which the worker may forget; 0 for none.
     pub acknowledged: u64,
-    /// Milliseconds that it may wait for an end.
+    /// Milliseconds that the worker may wait for a completion before it answers.
     pub wait: Millis,
 }
 
-/// A start of a run.
+/// An order to start a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Start {
     /// The task.
     pub key: TaskKey,
     /// Number of the run.
     pub run: u32,
-    /// The worker, as it is known to have started.
+    /// The worker's incarnation that the order is meant for.
     pub incarnation: Incarnation,
-    /// Where it is.
+    /// Address of the worker.
     pub address: SocketAddr,
     /// Name of the task.
     pub task: String,
-    /// Text of the job.
-    pub text: Name,
+    /// Opaque text of the job, handed to the worker.
+    pub payload: Name,
     /// End of the lease on the worker's clock.
     pub lease: Millis,
     /// Epoch of the owner.
     pub epoch: u64,
     /// Checkpoint to resume from; empty for none.
     pub checkpoint: Name,
-    /// Permit of the advisor to run it there; empty where none is needed.
+    /// The advisor's permit to run the task on the worker; empty where none is needed.
     pub permit: Name,
 }
 
-/// A stop of a run.
+/// An order to stop a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stop {
     /// The task.
     pub key: TaskKey,
     /// Number of the run.
     pub run: u32,
-    /// The worker, as it is known to have started.
+    /// The worker's incarnation that the order is meant for.
     pub incarnation: Incarnation,
-    /// Where it is.
+    /// Address of the worker.
     pub address: SocketAddr,
     /// Name of the task.
     pub task: String,
@@ -355,9 +355,9 @@
     pub key: TaskKey,
     /// Number of the run.
     pub run: u32,
-    /// The worker, as it is known to have started.
+    /// The worker's incarnation that the order is meant for.
     pub incarnation: Incarnation,
-    /// Where it is.
+    /// Address of the worker.
     pub address: SocketAddr,
     /// Name of the task.
     pub task: String,
@@ -367,22 +367,22 @@
     pub percent: u32,
 }
 
-/// What the owner asks for.
+/// An action that the owner asks its caller to perform.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Answer a caller.
+    /// Answers a caller.
     Reply(Ticket, Answer),
-    /// Exchange with a worker.
+    /// Polls a worker.
     Poll(Poll),
-    /// Start a run.
+    /// Starts a run.
     Start(Start),
-    /// Stop a run.
+    /// Stops a run.
     Stop(Stop),
     /// Change the speed of a run.
     Throttle(Throttle),
-    /// Ask the advisor.
+    /// Asks the advisor.
     RequestAdvice(AdviceRequest),
-    /// Write rows, on the condition that the owner's row has this version.
+    /// Writes rows on the condition that the owner's row has the given version.
     Commit {
         /// Number of the commit.
         number: u64,
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -98,7 +98,7 @@
             incarnation,
             address,
             task,
-            text: job.spec.payload.clone(),
+            payload: job.spec.payload.clone(),
             lease,
             epoch: self.journal.epoch(),
             checkpoint: job
