--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -16,7 +16,7 @@
     Action, ActiveRun, CommitOutcome, DirectoryEntry, EndedRun, Event, JobRequest, OrderAck, Poll,
     Reply, Report, RunOutcome, Start,
 };
-use willowpoint::sched::owner::{Bounds, Now, Owner};
+use willowpoint::sched::owner::{Now, Owner, OwnerSettings};
 use willowpoint::sched::spec::{JobSpec, Resources, StepSpec};
 use willowpoint::sched::worker::Listing;
 use willowpoint::utils::Name;
@@ -147,12 +147,12 @@
             released: false,
             cores: 0,
         };
-        let bounds = Bounds {
-            lease: 4_000,
-            unconfirmed: 10_000,
-            over: 4_000,
-            drain: 2_000,
-            remember: 120_000,
+        let bounds = OwnerSettings {
+            lease_length: 4_000,
+            max_unconfirmed: 10_000,
+            max_breach: 4_000,
+            drain_time: 2_000,
+            retention: 120_000,
             mechanisms: Mechanisms::ON,
         };
         let now = Now {
@@ -226,7 +226,7 @@
                 steady: self.now,
                 wall,
             };
-            let wake = self.now + self.owner.wait(now);
+            let wake = self.now + self.owner.due_in(now);
             let next = self.due.first_key_value().map(|(key, _)| key.0);
             if next.is_none_or(|n| n > wake) {
                 self.now = wake;
@@ -269,7 +269,7 @@
         };
         let kind = event.kind();
         let start = Instant::now();
-        let actions = self.owner.step(event, now);
+        let actions = self.owner.handle_event(event, now);
         let took = start.elapsed();
         if self.now >= WARM {
             let spent = self.spent.entry(kind).or_default();
--- a/src/daemon/message.rs
+++ b/src/daemon/message.rs
@@ -3,7 +3,7 @@
 use futures::channel::oneshot;
 
 use crate::sched::message::{Answer, Event, JobRequest};
-use crate::sched::owner::{Bounds, Owner};
+use crate::sched::owner::{Owner, OwnerSettings};
 use crate::utils::clock::Millis;
 
 /// A message to the owner's task.
@@ -20,7 +20,7 @@
     /// An owner of this later epoch exists.
     Superseded(u64),
     /// New bounds from reloaded settings.
-    Bounds(Bounds),
+    Bounds(OwnerSettings),
     /// A box with more cores (this many thousandths) could be the owner.
     StrongerBox(u32),
     /// Release the cell.
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -44,7 +44,7 @@
     let mut local: Option<LocalOwner> = None;
     let mut woke = clock::now();
     loop {
-        let wait = local.as_ref().map_or(1_000, |l| l.owner.wait(now()));
+        let wait = local.as_ref().map_or(1_000, |l| l.owner.due_in(now()));
         let message = timeout(Duration::from_millis(wait), messages.next()).await;
         let due = woke + wait;
         woke = clock::now();
@@ -104,7 +104,7 @@
         (Message::Superseded(epoch), Some(current)) if epoch > current.term.epoch => {
             end_term(shared, local, "superseded");
         }
-        (Message::Bounds(bounds), Some(local)) => local.owner.rebound(bounds),
+        (Message::Bounds(bounds), Some(local)) => local.owner.change_settings(bounds),
         (Message::StrongerBox(cores), Some(local)) => {
             local.yield_to_stronger(shared.settings.cores, cores)
         }
@@ -142,11 +142,11 @@
     let Some(current) = local else {
         return;
     };
-    shared.set_confirmed(current.owner.confirmed());
+    shared.set_confirmed(current.owner.last_confirmed());
     current.term.update_gauges(&current.owner, clock::now());
-    if current.owner.deposed() {
+    if current.owner.is_deposed() {
         end_term(shared, local, "deposed");
-    } else if current.owner.released() {
+    } else if current.owner.is_released() {
         end_term(shared, local, "released");
     } else if shared.local_epoch() != Some(current.term.epoch) {
         end_term(shared, local, "superseded");
@@ -160,7 +160,7 @@
             self.adapt_answer_wait(written);
         }
         let (kind, begun) = (event.kind(), clock::micros());
-        let actions = self.owner.step(event, now());
+        let actions = self.owner.handle_event(event, now());
         let ended = clock::micros();
         self.term.record_spent(kind, ended - begun, ended / 1_000);
         for action in actions {
@@ -170,13 +170,13 @@
 
     /// Makes way for a box with more cores, unless this owner began only recently.
     fn yield_to_stronger(&mut self, own: u32, other: u32) {
-        if self.owner.gives_up()
+        if self.owner.is_resigning()
             || !failover::should_make_way(own, other, self.term.began, clock::now())
         {
             return;
         }
         log::info!(target: "owner", "event=makes-way epoch={} cores={own} for_cores={other}", self.term.epoch);
-        self.owner.make_way(other, now());
+        self.owner.resign_to_larger(other, now());
     }
 
     /// Records how long the last commit took, and waits longer for the next one while the store
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -20,7 +20,7 @@
 use crate::sched::failover::OwnerProgress;
 use crate::sched::journal::OwnerRow;
 use crate::sched::message::Event;
-use crate::sched::owner::{Bounds, Now};
+use crate::sched::owner::{Now, OwnerSettings};
 use crate::table::Row;
 use crate::utils::clock::{self, Millis};
 
@@ -84,7 +84,7 @@
     downtime: Downtime,
     confirmed: Cell<u64>,
     store_answered: Cell<Millis>,
-    bounds: Cell<Bounds>,
+    bounds: Cell<OwnerSettings>,
     stopping: Cell<bool>,
     channels: RefCell<HashMap<SocketAddr, Channel>>,
     peer_addresses: RefCell<PeerAddresses>,
@@ -304,12 +304,12 @@
     }
 
     /// Returns the bounds in force for the owner's decisions.
-    pub fn bounds(&self) -> Bounds {
+    pub fn bounds(&self) -> OwnerSettings {
         self.bounds.get()
     }
 
     /// Puts other bounds in force, also for an owner in this process.
-    pub fn set_bounds(&self, bounds: Bounds) {
+    pub fn set_bounds(&self, bounds: OwnerSettings) {
         self.bounds.set(bounds);
         self.send_to_owner(Message::Bounds(bounds));
     }
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -22,7 +22,7 @@
     SPEC_TABLE,
 };
 use crate::sched::message::{CommitOutcome, Write};
-use crate::sched::owner::{Kept, Owner};
+use crate::sched::owner::{Owner, StoredJob};
 use crate::sched::predecessors::{PredecessorState, predecessors};
 use crate::sched::spec::JobSpec;
 use crate::table::{Row, decode, encode};
@@ -39,7 +39,7 @@
 #[derive(Default)]
 pub(super) struct StoredState {
     /// Jobs with their specifications and states.
-    pub jobs: Vec<Kept>,
+    pub jobs: Vec<StoredJob>,
     /// Ids of jobs whose rows do not decode.
     pub unreadable: Vec<Name>,
     /// Learned interference between images.
@@ -130,7 +130,7 @@
     let owner_row = row.clone();
     let journal = Journal::new(row, version, confirmed);
     let mut owner = Owner::new(bounds, journal, stored.jobs, inherited, now);
-    owner.distrust(stored.unreadable);
+    owner.mark_unreadable(stored.unreadable);
     owner.import_interference(stored.interference);
     shared.send_to_owner(Message::Begin(Box::new(owner), epoch, took));
     let notice = pings::takeover_notice(shared, &owner_row, version);
@@ -270,7 +270,7 @@
         let state: Option<JobRow> = decode(row);
         let id = row.key.clone();
         match (spec, state) {
-            (Some(spec), Some(row)) => stored.jobs.push(Kept { id, spec, row }),
+            (Some(spec), Some(row)) => stored.jobs.push(StoredJob { id, spec, row }),
             (spec, state) => {
                 let (spec, state) = (spec.is_some(), state.is_some());
                 log::error!(target: "owner", "job={id} event=unreadable spec={spec} state={state}");
--- a/src/daemon/term.rs
+++ b/src/daemon/term.rs
@@ -76,7 +76,7 @@
 
     /// Updates the owner's gauges.
     pub fn update_gauges(&mut self, owner: &Owner, now: Millis) {
-        if owner.gives_up() {
+        if owner.is_resigning() {
             self.leaving_since.get_or_insert(now);
         }
         let metrics = metrics::get();
@@ -84,7 +84,7 @@
         metrics.jobs.set(jobs as i64);
         metrics.workers.set(workers as i64);
         metrics.waiting.set(waiting as i64);
-        let age = now.saturating_sub(owner.confirmed());
+        let age = now.saturating_sub(owner.last_confirmed());
         metrics.unconfirmed.set(age as i64);
         metrics.late.set(self.lateness.late() as i64);
         metrics.leaving.set(self.leaving_ms(now) as i64);
@@ -98,7 +98,7 @@
         let served = now.saturating_sub(self.began);
         let began = clock::wall().saturating_sub(served);
         let (jobs, workers, waiting) = owner.sizes();
-        let (lapsed, leaving) = (owner.lapsed(), self.leaving_ms(now));
+        let (lapsed, leaving) = (owner.lapsed_runs(), self.leaving_ms(now));
         log::info!(target: "owner", "event=owner-ends epoch={} reason={reason} began={began} served_ms={served} load_ms={} jobs={jobs} workers={workers} waiting={waiting} lapsed={lapsed} leaving_ms={leaving} late_ms={}", self.epoch, self.load_ms, self.lateness.highest());
         metrics.no_owner();
     }
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -13,7 +13,7 @@
 use crate::sched::job::{Job, Outcome, Queue};
 use crate::sched::journal::{Journal, OwnerRow};
 use crate::sched::mechanisms::Mechanisms;
-use crate::sched::owner::{Bounds, Kept, Now, Owner};
+use crate::sched::owner::{Now, Owner, OwnerSettings, StoredJob};
 use crate::sched::spec::{JobSpec, StepSpec};
 use crate::table::{Row, encode};
 
@@ -77,12 +77,12 @@
 /// Returns an owner of one job whose row was written at `now`.
 fn owner(now: u64) -> Owner {
     let row = owner_row(7);
-    let bounds = Bounds {
-        lease: 4_000,
-        unconfirmed: 10_000,
-        over: 4_000,
-        drain: 2_000,
-        remember: 60_000,
+    let bounds = OwnerSettings {
+        lease_length: 4_000,
+        max_unconfirmed: 10_000,
+        max_breach: 4_000,
+        drain_time: 2_000,
+        retention: 60_000,
         mechanisms: Mechanisms::ON,
     };
     let spec = JobSpec {
@@ -92,7 +92,7 @@
         }],
         ..JobSpec::default()
     };
-    let kept = Kept {
+    let kept = StoredJob {
         id: "j".into(),
         row: Job::new("j".into(), spec.clone(), queue(), 5).row,
         spec,
--- a/src/options/check.rs
+++ b/src/options/check.rs
@@ -59,7 +59,7 @@
     all.extend(settings.advisor.map(|a| ("platform.advisor", a)));
     distinct(&all, reader);
     reachable(&[all[1], all[3]], reader);
-    if settings.bounds.unconfirmed < settings.bounds.lease {
+    if settings.bounds.max_unconfirmed < settings.bounds.lease_length {
         let wrong = "is below workers.lease";
         let right = "make it longer, or the lease shorter";
         reader.find("workers.unconfirmed", wrong, right);
--- a/src/options/daemon.rs
+++ b/src/options/daemon.rs
@@ -7,7 +7,7 @@
 use super::reader::{Finding, Reader};
 use crate::logs::Logs;
 use crate::sched::mechanisms::Mechanisms;
-use crate::sched::owner::Bounds;
+use crate::sched::owner::OwnerSettings;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 use crate::web::server::Limits;
@@ -77,7 +77,7 @@
     /// Address of the advisor that tells which workers may run a step.
     pub advisor: Option<SocketAddr>,
     /// Bounds of decisions.
-    pub bounds: Bounds,
+    pub bounds: OwnerSettings,
     /// Milliseconds within which a planned stop is complete.
     pub stop: Millis,
     /// Bounds for callers' requests.
@@ -121,14 +121,14 @@
         metrics: reader.optional_address("box.metrics"),
         store: reader.address("platform.store"),
         advisor: reader.optional_address("platform.advisor"),
-        bounds: Bounds {
-            lease: reader
+        bounds: OwnerSettings {
+            lease_length: reader
                 .duration("workers.lease", LEASE, 500..=HOUR)
                 .min(longest),
-            unconfirmed: reader.duration("workers.unconfirmed", UNCONFIRMED, 500..=HOUR),
-            drain: reader.duration("platform.drain", DRAIN, 0..=HOUR),
-            over: reader.duration("platform.longest-over", OVER, 1_000..=HOUR),
-            remember: reader.duration("jobs.remember", REMEMBER, 1_000..=HOUR),
+            max_unconfirmed: reader.duration("workers.unconfirmed", UNCONFIRMED, 500..=HOUR),
+            drain_time: reader.duration("platform.drain", DRAIN, 0..=HOUR),
+            max_breach: reader.duration("platform.longest-over", OVER, 1_000..=HOUR),
+            retention: reader.duration("jobs.remember", REMEMBER, 1_000..=HOUR),
             mechanisms: mechanisms(&mut reader),
         },
         stop: grace - STOP_SLACK,
--- a/src/options/tests.rs
+++ b/src/options/tests.rs
@@ -113,9 +113,12 @@
         assert!(!text.contains("{{"), "{text}");
         let settings = daemon::parse("settings.conf", &text).expect("no findings");
         assert_eq!(settings.advisor.map(|a| a.port()), port);
-        assert_eq!((&*settings.name, settings.bounds.lease), ("front-1", 4_000));
+        assert_eq!(
+            (&*settings.name, settings.bounds.lease_length),
+            ("front-1", 4_000)
+        );
         let over = if port.is_some() { 4_500 } else { 4_000 };
-        assert_eq!(settings.bounds.over, over);
+        assert_eq!(settings.bounds.max_breach, over);
         assert_eq!(settings.cores, if port.is_some() { 250 } else { 1_000 });
         assert_eq!(settings.idle, if port.is_some() { 3_072 } else { 1_536 });
     }
--- a/src/sched/asks.rs
+++ b/src/sched/asks.rs
@@ -11,7 +11,7 @@
 impl Owner {
     pub(super) fn ask(&mut self, ticket: Ticket, ask: JobRequest) {
         if let JobRequest::Submit { id, .. } | JobRequest::Cancel(id) | JobRequest::Show(id) = &ask
-            && self.unreadable.contains(id)
+            && self.unreadable_jobs.contains(id)
         {
             log::warn!(target: "job", "job={id} event=in-doubt reason=unreadable-row");
             return self.reply(ticket, Answer::InDoubt);
@@ -25,7 +25,7 @@
     }
 
     fn submit(&mut self, ticket: Ticket, id: Name, spec: Box<JobSpec>, queue: Queue) {
-        if let Some(number) = self.ids.get(&id) {
+        if let Some(number) = self.job_numbers.get(&id) {
             let number = *number;
             return self.answer_kept(ticket, number, Answer::Accepted);
         }
@@ -48,10 +48,10 @@
         let steps = spec.steps.len();
         log::info!(target: "job", "job={id} event=accept queue={} steps={steps}", queue.name);
         let job = Job::new(id, *spec, queue, self.now.wall);
-        let number = self.add(job);
+        let number = self.add_job(job);
         self.journal
             .run_after_commit(number, AfterCommit::Reply(ticket, Answer::Accepted));
-        self.release(number);
+        self.queue_ready_tasks(number);
     }
 
     /// Answers once the store holds the job as it is now.
@@ -65,20 +65,20 @@
     }
 
     fn cancel(&mut self, ticket: Ticket, id: &Name) {
-        let Some(number) = self.ids.get(id).copied() else {
+        let Some(number) = self.job_numbers.get(id).copied() else {
             return match self.history.get(id) {
                 Some(_) => self.reply(ticket, Answer::Cancelled),
                 None => self.not_found(ticket, JobRequest::Cancel(id.clone())),
             };
         };
         if self.jobs[&number].is_open() {
-            self.finish(number, Outcome::Cancelled);
+            self.finish_job(number, Outcome::Cancelled);
         }
         self.answer_kept(ticket, number, Answer::Cancelled);
     }
 
     fn show(&mut self, ticket: Ticket, id: &Name) {
-        let number = self.ids.get(id);
+        let number = self.job_numbers.get(id);
         let answer = match number.map(|n| &self.jobs[n]) {
             Some(job) if job.stored => Answer::State(job.state()),
             // Its acceptance is on its way to the store, so neither word is true yet.
@@ -103,7 +103,7 @@
     /// Returns true while no other box can be the owner: one that gives the cell up may have
     /// done so by a commit without an answer.
     fn alone(&self) -> bool {
-        !self.gives_up() && failover::holds_cell(self.journal.last_confirmed(), self.now.steady)
+        !self.is_resigning() && failover::holds_cell(self.journal.last_confirmed(), self.now.steady)
     }
 
     /// Asks those that wait once more, where it has just been confirmed that this is the owner.
--- a/src/sched/breaches.rs
+++ b/src/sched/breaches.rs
@@ -81,8 +81,8 @@
         let Some(gauge) = &placement.gauge else {
             return;
         };
-        let (task, run, target) = (self.task_name(key), placement.run, placement.target);
-        let (tail, own) = (gauge.tail, gauge.own_load);
+        let (task, run, target) = (self.task_name(key), placement.run, placement.latency_target);
+        let (tail, own) = (gauge.tail_latency, gauge.own_load);
         match (before, gauge.breach) {
             (_, Some(breach)) if !breach.logged && breach.duration(now) >= LOG_AFTER => {
                 let beside = self.best_effort_text(worker);
@@ -115,7 +115,7 @@
             return;
         };
         let before = gauge.breach;
-        let breach = Breach::after_report(before, false, self.bounds.halt(), now);
+        let breach = Breach::after_report(before, false, self.settings.halt_after(), now);
         worker.update_gauge(key, Gauge { breach, ..gauge });
         self.report_breach(name, key, before);
     }
@@ -136,7 +136,7 @@
     fn best_effort_text(&self, worker: &Worker) -> String {
         let placements = worker.placements.iter().filter(|(_, p)| p.best_effort);
         let text = |(key, p): (&TaskKey, &Placement)| {
-            let used = p.in_use.map_or("?".into(), |used| used.to_string());
+            let used = p.cpu_used.map_or("?".into(), |used| used.to_string());
             let age = self.now.steady - p.throttled_at;
             let pending = match (p.throttle_pending, p.speed_confirmed) {
                 (true, _) => "+",
--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -26,7 +26,7 @@
 impl Owner {
     /// Sends what the store has to hold, if a commit is due.
     pub(super) fn commit(&mut self) {
-        let (jobs, placed) = (&mut self.jobs, &self.placed);
+        let (jobs, placed) = (&mut self.jobs, &self.placed_on);
         let rows = |number| {
             let Some(job) = jobs.get_mut(&number) else {
                 return Vec::new();
@@ -51,7 +51,7 @@
     /// Returns the removals of up to `most` rows that need not be told of any more;
     /// they go with commits that are sent anyway.
     fn expired(&mut self, most: usize) -> Vec<Write> {
-        let end = self.now.wall.saturating_sub(self.bounds.remember);
+        let end = self.now.wall.saturating_sub(self.settings.retention);
         let old = self.history.expire(end, most).iter();
         let write = |id| remove(HISTORY_TABLE, id);
         old.map(write).collect()
@@ -113,7 +113,7 @@
     pub(super) fn tidy(&mut self) {
         let ended = |job: &Job| job.stored_outcome != Outcome::Open && !job.archived;
         let jobs = self.jobs.iter().filter(|(_, job)| ended(job));
-        let free = jobs.filter(|(number, job)| unplaced(&self.placed, **number, job));
+        let free = jobs.filter(|(number, job)| unplaced(&self.placed_on, **number, job));
         let numbers: Vec<u32> = free.map(|(number, _)| *number).take(TIDIED).collect();
         for number in numbers {
             self.journal.touch(number);
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -74,7 +74,7 @@
         let open = job.is_open();
         if job.step(key).lasting && open {
             if current {
-                self.free(key);
+                self.unplace(key);
             }
             return;
         }
@@ -82,13 +82,13 @@
             return;
         }
         if current {
-            let name = self.placed.get(&key);
+            let name = self.placed_on.get(&key);
             if let Some(worker) = name.and_then(|n| self.workers.get_mut(n)) {
                 worker.failures = 0;
             }
             self.mark_done(key);
             for peer in self.peers(key) {
-                self.free(peer);
+                self.unplace(peer);
             }
         } else if open {
             // An earlier run succeeded after all: the later run is not needed.
@@ -102,9 +102,9 @@
             return;
         };
         if open && job.all_done() {
-            self.finish(key.job, Outcome::Completed);
+            self.finish_job(key.job, Outcome::Completed);
         } else {
-            self.release(key.job);
+            self.queue_ready_tasks(key.job);
         }
     }
 
@@ -125,9 +125,9 @@
         }
         self.save(key, &completion.checkpoint);
         let exhausted = !lasting && self.failures(key) >= attempts;
-        self.free(key);
+        self.unplace(key);
         if exhausted && self.jobs.get(&key.job).is_some_and(|j| j.is_open()) {
-            self.finish(key.job, Outcome::Failed);
+            self.finish_job(key.job, Outcome::Failed);
         }
     }
 
@@ -136,7 +136,7 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if !self.bounds.mechanisms.quarantine {
+        if !self.settings.mechanisms.quarantine {
             return;
         }
         worker.failures += 1;
--- a/src/sched/cordon.rs
+++ b/src/sched/cordon.rs
@@ -10,7 +10,7 @@
 impl Owner {
     /// Takes in which halls are cordoned.
     pub(super) fn set_cordoned_halls(&mut self, halls: Halls) {
-        if self.cordoned.as_ref() == Some(&halls) {
+        if self.cordoned_halls.as_ref() == Some(&halls) {
             return;
         }
         for worker in self.workers.values_mut() {
@@ -21,20 +21,22 @@
         let names: Vec<&str> = halls.iter().map(|h| &**h).collect();
         log::info!(target: "owner", "event=cordons halls={} workers={} tasks={tasks}", names.join(","), cordoned().count());
         self.break_promises();
-        self.cordoned = Some(halls);
+        self.cordoned_halls = Some(halls);
         self.ranking = None;
-        self.crowded = false;
+        self.saturated = false;
     }
 
     /// Returns true when nothing new may be started in a hall.
     pub(super) fn is_cordoned(&self, hall: &str) -> bool {
-        self.cordoned.as_ref().is_some_and(|h| h.contains(hall))
+        self.cordoned_halls
+            .as_ref()
+            .is_some_and(|h| h.contains(hall))
     }
 
     /// Has tasks look for room elsewhere for which it was made on cordoned workers.
     fn break_promises(&mut self) {
         let broken = |name: &&Name| self.workers.get(*name).is_some_and(|w| w.cordoned);
-        let broken: Vec<Name> = self.promises.values().filter(broken).cloned().collect();
+        let broken: Vec<Name> = self.reservations.values().filter(broken).cloned().collect();
         for name in broken {
             self.break_promise(&name);
         }
--- a/src/sched/crashes.rs
+++ b/src/sched/crashes.rs
@@ -99,7 +99,7 @@
 impl CrashContext {
     /// Returns how the crash counts for a run.
     fn categorize(self, cause: Cause, run: &Placement) -> CrashCategory {
-        let proven = self.evidence == CrashEvidence::Replaced && run.told.is_some();
+        let proven = self.evidence == CrashEvidence::Replaced && run.confirmed_at.is_some();
         match (proven, self.outage) {
             (true, true) if cause == Cause::Unlikely => CrashCategory::Outage,
             (true, true) if run.suspect => CrashCategory::Loss,
@@ -143,7 +143,7 @@
 /// never reported the run, which may then have started after that answer.
 pub(super) fn listed_for(worker: &Worker, run: &Placement) -> Millis {
     let age = |at| worker.last_answer.saturating_sub(at);
-    run.told.map_or(0, age)
+    run.confirmed_at.map_or(0, age)
 }
 
 /// Attributes the crash of a worker to the runs that were lost with it.
@@ -284,7 +284,7 @@
         if gives_up {
             crate::metrics::get().given_up.inc();
             log::warn!(target: "task", "task={task} run={run} event=abandoned crashes={crashes} losses={losses} cause={cause:?}");
-            self.finish(key.job, Outcome::Failed);
+            self.finish_job(key.job, Outcome::Failed);
         }
     }
 
@@ -338,10 +338,13 @@
             return;
         };
         let last_answer = worker.last_answer;
-        let lasted = |run: &Placement| run.told.is_some_and(|at| last_answer >= at + SUSPECT_AGE);
+        let lasted = |run: &Placement| {
+            run.confirmed_at
+                .is_some_and(|at| last_answer >= at + SUSPECT_AGE)
+        };
         let cleared = worker.clear_suspects(lasted);
         if !cleared.is_empty() {
-            self.crowded = false;
+            self.saturated = false;
         }
         for key in cleared {
             let task = self.task_name(key);
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -59,7 +59,7 @@
     pub(super) fn apply_listing(&mut self, id: Name, listing: Listing) {
         let now = self.now.steady;
         let cordoned = self.is_cordoned(&listing.hall);
-        self.crowded = false;
+        self.saturated = false;
         if self.workers.contains_key(&id) {
             return self.update_listing(id, listing, cordoned);
         }
@@ -171,7 +171,7 @@
     /// Takes in that a listing is gone: lapsed or removed by the worker.
     fn handle_unlisted(&mut self, id: &Name) {
         let now = self.now.steady;
-        let doubtful = now < self.store_trouble + TROUBLE;
+        let doubtful = now < self.last_store_trouble + TROUBLE;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -195,13 +195,15 @@
         if worker.leaves_at.is_some() && worker.missed_polls > 0 && silent < LEFT {
             return self.end_incarnation(id, IncarnationEnd::Left);
         }
-        worker.leaves_at.get_or_insert(now + self.bounds.drain);
+        worker
+            .leaves_at
+            .get_or_insert(now + self.settings.drain_time);
     }
 
     /// Takes listings that did not come back after trouble of the store as removed.
     pub(super) fn expire_lapsed_listings(&mut self) {
         let now = self.now.steady;
-        let drain = self.bounds.drain;
+        let drain = self.settings.drain_time;
         for (id, worker) in &mut self.workers {
             if let Presence::Lapsed(at) = worker.presence
                 && now >= at + RELISTED
@@ -228,7 +230,7 @@
                 };
                 let step = job.step(*key);
                 let last = step.checkpoints && now + STOP_TIME >= leaves;
-                if placement.running() && (step.lasting || last) {
+                if placement.is_running() && (step.lasting || last) {
                     moved.push(*key);
                 }
             }
@@ -249,8 +251,8 @@
             return true;
         };
         let at_work = |member: &TaskKey| {
-            let run = self.run_of(*member);
-            run.is_some_and(|r| r.running() && r.at_work)
+            let run = self.placement_of(*member);
+            run.is_some_and(|r| r.is_running() && r.at_work)
         };
         let members = self.members(key);
         let away = members.iter().filter(|m| **m != key && !at_work(m)).count();
@@ -260,13 +262,13 @@
     /// Gives a new worker the tasks that the store holds as placed there.
     fn adopt_tasks(&mut self, id: &Name) {
         for key in self.unadopted.remove(id).unwrap_or_default() {
-            if self.placed.get(&key) != Some(id) {
+            if self.placed_on.get(&key) != Some(id) {
                 continue;
             }
             let run = self.jobs[&key.job].task(key).map_or(0, |t| t.run);
             let placement = Placement {
                 // It began long ago, as far as is known.
-                since: 0,
+                placed_at: 0,
                 ..self.placement(key, run, Stage::Inherited)
             };
             if let Some(worker) = self.workers.get_mut(id) {
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -79,7 +79,7 @@
         if !placement.serving || placement.run != run.run {
             return None;
         }
-        let busy = busy_share(run.gauge, placement.target);
+        let busy = busy_share(run.gauge, placement.latency_target);
         let image = placement.image.clone();
         let step = key.step_key();
         if busy < MAX_BUSY
@@ -98,11 +98,11 @@
             .load
             .clamp(0.0, busy);
         let before = placement.gauge.as_ref().and_then(|g| g.breach);
-        let over = run.gauge * WHOLE_PERCENT > placement.target * OVER_PERCENT;
+        let over = run.gauge * WHOLE_PERCENT > placement.latency_target * OVER_PERCENT;
         let gauge = Gauge {
             busy,
-            tail: run.gauge,
-            breach: Breach::after_report(before, over, self.bounds.halt(), now),
+            tail_latency: run.gauge,
+            breach: Breach::after_report(before, over, self.settings.halt_after(), now),
             own_load,
         };
         let number = placement.image_number;
--- a/src/sched/history.rs
+++ b/src/sched/history.rs
@@ -129,9 +129,9 @@
 impl Owner {
     /// Takes in a page of the jobs that are over.
     pub(super) fn merge_history(&mut self, page: HistoryPage) {
-        self.unreadable.extend(page.unreadable);
+        self.unreadable_jobs.extend(page.unreadable);
         for (id, row) in page.rows {
-            if !self.ids.contains_key(&id) {
+            if !self.job_numbers.contains_key(&id) {
                 self.history.merge(id, row);
             }
         }
@@ -176,7 +176,7 @@
         let Some(job) = self.jobs.remove(&number) else {
             return;
         };
-        self.ids.remove(&job.id);
+        self.job_numbers.remove(&job.id);
         self.failed_on.retain(|key, _| key.job != number);
         self.deferred.retain(|key, _| key.job != number);
         let row = HistoryRow {
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -91,7 +91,7 @@
             // The report that follows tells.
             Stage::Inherited => Self::Kept,
             Stage::Recording => Self::Lost,
-            _ if run.told.is_some() => Self::Lost,
+            _ if run.confirmed_at.is_some() => Self::Lost,
             _ => Self::Doubtful,
         }
     }
@@ -160,7 +160,7 @@
         self.begin_incarnation(name, report.boot, carried);
         // The other members of a gang are stopped with one that is lost, on this life too.
         for key in lost {
-            self.free(key);
+            self.unplace(key);
         }
         // One that tells an earlier start was listed while that was not believed.
         if let Some(entry) = entry.filter(|e| e.boot == report.boot) {
@@ -188,7 +188,7 @@
         boot: BootTime,
         carried: Vec<(TaskKey, Placement)>,
     ) {
-        let (now, span) = (self.now.steady, self.bounds.lease);
+        let (now, span) = (self.now.steady, self.settings.lease_length);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -225,7 +225,7 @@
     /// Returns true when the known life of a worker has been silent for so long that
     /// another word on when the worker started is believed.
     pub(super) fn accepts_earlier_boot(&self, worker: &Worker) -> bool {
-        let leased = worker.lease_end().max(self.inherited);
+        let leased = worker.lease_end().max(self.inherited_leases_end);
         self.now.steady > leased.max(worker.last_answer + CONTRADICTED)
     }
 
--- a/src/sched/lost_workers.rs
+++ b/src/sched/lost_workers.rs
@@ -66,14 +66,14 @@
         };
         let keys: Vec<TaskKey> = worker.placements.keys().copied().collect();
         for key in keys {
-            self.free(key);
+            self.unplace(key);
         }
     }
 
     /// Frees what ran on workers whose leases have certainly ended.
     pub(super) fn expire_leases(&mut self) {
         let now = self.now.steady;
-        let inherited = self.inherited;
+        let inherited = self.inherited_leases_end;
         let ended = |w: &Worker| now > w.lease_end().max(inherited);
         let silent = |w: &&Worker| !w.is_answering(now) && ended(w) && w.missed_polls > 0;
         let ended: Vec<Name> = self
@@ -113,24 +113,24 @@
 
     /// Frees tasks of workers that were never listed here.
     fn release_unlisted(&mut self) {
-        if self.now.steady <= self.inherited {
+        if self.now.steady <= self.inherited_leases_end {
             return;
         }
         let unadopted = std::mem::take(&mut self.unadopted);
         for (name, keys) in unadopted {
-            let held = |key: &TaskKey| self.placed.get(key) == Some(&name);
+            let held = |key: &TaskKey| self.placed_on.get(key) == Some(&name);
             let lost: Vec<TaskKey> = keys.into_iter().filter(held).collect();
             self.count_lapsed_runs(lost.len());
             self.record_unseen_crashes(&lost, &name);
             for key in lost {
-                self.free(key);
+                self.unplace(key);
             }
         }
     }
 
     /// Counts runs whose lease has ended without a word of their worker.
     fn count_lapsed_runs(&mut self, runs: usize) {
-        self.lapsed += runs as u64;
+        self.lapsed_runs += runs as u64;
         crate::metrics::get().lapsed.inc_by(runs as u64);
     }
 }
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -85,7 +85,7 @@
         let mut last = None;
         let mut ranks: Vec<Rank> = Vec::new();
         for (key, since) in &self.ready {
-            let (step, promised) = (key.step_key(), self.promises.contains_key(key));
+            let (step, promised) = (key.step_key(), self.reservations.contains_key(key));
             if last == Some(step) && !promised {
                 continue;
             }
@@ -127,7 +127,12 @@
     fn claim(&self, job: &Job, round: usize) -> Claim {
         let (prospect, due) = prospect(job, round, self.now.wall);
         let queue = &job.row.queue.name;
-        let typical = self.typical.get(queue).copied().unwrap_or(0.0).max(1.0);
+        let typical = self
+            .typical_work
+            .get(queue)
+            .copied()
+            .unwrap_or(0.0)
+            .max(1.0);
         let worth = BASE_WORTH + (1.0 - BASE_WORTH) * whole_work(job) / typical;
         let left = work_left(job, round) / typical;
         let price = (left / worth * 1e6) as u64;
@@ -139,11 +144,11 @@
     }
 
     /// Takes in the work of a job in what is typical of its queue.
-    pub(super) fn learn_work(&mut self, number: u32) {
+    pub(super) fn learn_typical_work(&mut self, number: u32) {
         let job = &self.jobs[&number];
         let work = whole_work(job);
         let queue = job.row.queue.name.clone();
-        let typical = self.typical.entry(queue).or_insert(work);
+        let typical = self.typical_work.entry(queue).or_insert(work);
         *typical += (work - *typical) * TYPICAL_GAIN;
     }
 
@@ -156,14 +161,15 @@
         let from = step.task(0);
         let waiting = self.ready.range(from..).map(|(key, _)| *key);
         let own = waiting.take_while(|key| key.step_key() == step);
-        own.filter(|key| !self.promises.contains_key(key)).collect()
+        own.filter(|key| !self.reservations.contains_key(key))
+            .collect()
     }
 
     /// Returns true when a task that waits since then should have started,
     /// whatever else waits: one of a job that lasts.
     pub(super) fn overdue(&self, key: TaskKey, since: Millis) -> bool {
         let job = &self.jobs[&key.job];
-        let wait = if self.away.contains(&key) {
+        let wait = if self.interrupted.contains(&key) {
             BACK_WAIT
         } else {
             FIRST_WAIT
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -26,30 +26,30 @@
 
 /// Part of the time that a serving task may be over its target until it is relieved in any
 /// case: the rest is for reports and orders that get lost.
-const HALT_PART: Millis = 4;
+const HALT_DIVISOR: Millis = 4;
 
 /// Bounds that the platform and the settings give.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct OwnerSettings {
     /// Milliseconds of a lease given to a worker.
-    pub lease: Millis,
+    pub lease_length: Millis,
     /// Milliseconds that an owner goes on extending leases without a commit.
-    pub unconfirmed: Millis,
+    pub max_unconfirmed: Millis,
     /// Least milliseconds that a worker serves on after its listing is gone.
-    pub drain: Millis,
+    pub drain_time: Millis,
     /// Milliseconds that a serving task may stay over its target because of fillers.
-    pub over: Millis,
+    pub max_breach: Millis,
     /// Milliseconds for which the state of an ended job is told.
-    pub remember: Millis,
+    pub retention: Millis,
     /// Mechanisms that are on.
     pub mechanisms: Mechanisms,
 }
 
-impl Bounds {
+impl OwnerSettings {
     /// Returns the milliseconds over its target after which everything beside a serving task
     /// is halted, whatever was learned.
-    pub(super) fn halt(&self) -> Millis {
-        self.over / HALT_PART
+    pub(super) fn halt_after(&self) -> Millis {
+        self.max_breach / HALT_DIVISOR
     }
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// A job as read from the store at a takeover.
-pub struct Kept {
+pub struct StoredJob {
     /// Its id.
     pub id: Name,
     /// Its description.
@@ -74,19 +74,19 @@
 
 /// The owner of a cell.
 pub struct Owner {
-    pub(super) bounds: Bounds,
+    pub(super) settings: OwnerSettings,
     pub(super) journal: Journal,
     /// Jobs by their number at this owner.
     pub(super) jobs: BTreeMap<u32, Job>,
     /// Numbers of jobs by their id.
-    pub(super) ids: HashMap<Name, u32>,
+    pub(super) job_numbers: HashMap<Name, u32>,
     /// Starts without an answer that may still be carried out.
     pub(super) late_starts: Vec<LateStart>,
     /// Jobs that are over, of which nothing is placed any more.
     pub(super) history: History,
     /// Jobs whose rows in the store can't be read: what became of them is not
     /// known here, and their rows are left as they are.
-    pub(super) unreadable: BTreeSet<Name>,
+    pub(super) unreadable_jobs: BTreeSet<Name>,
     /// Tasks that may start, and since when.
     pub(super) ready: BTreeMap<TaskKey, Millis>,
     /// Workers by id.
@@ -95,11 +95,11 @@
     pub(super) addresses: Addresses,
     /// Halls whose workers get nothing new; none while that is not known, as a box that
     /// has just become the owner may know less than the one before.
-    pub(super) cordoned: Option<Halls>,
+    pub(super) cordoned_halls: Option<Halls>,
     /// When exchanges with them are due.
     pub(super) poll_schedule: PollSchedule,
     /// Where each placed task is.
-    pub(super) placed: HashMap<TaskKey, Name>,
+    pub(super) placed_on: HashMap<TaskKey, Name>,
     /// Tasks that the store held as placed on workers that were not listed here yet.
     pub(super) unadopted: BTreeMap<Name, Vec<TaskKey>>,
     /// The worker on which a task failed last.
@@ -109,23 +109,23 @@
     /// What is known of the workers that may run a step.
     pub(super) permits: BTreeMap<StepKey, Permits>,
     /// Lasting tasks that ran, and are stopped or wait to run again.
-    pub(super) away: BTreeSet<TaskKey>,
+    pub(super) interrupted: BTreeSet<TaskKey>,
     /// Scores of the workers for the step placed last in this pass of placing.
     pub(super) ranking: Option<Ranking>,
     /// Tasks for which room is being made, and the worker on which.
-    pub(super) promises: BTreeMap<TaskKey, Name>,
+    pub(super) reservations: BTreeMap<TaskKey, Name>,
     /// Workers looked at to place tasks, counted each time.
-    pub(super) looked: u64,
+    pub(super) workers_examined: u64,
     /// What is to be done, until the event has been taken in.
     pub(super) actions: Vec<Action>,
     /// The clocks at the present event.
     pub(super) now: Now,
     /// When leases given by earlier owners have certainly ended.
-    pub(super) inherited: Millis,
+    pub(super) inherited_leases_end: Millis,
     /// True when nothing that waits found room, until something changes.
-    pub(super) crowded: bool,
+    pub(super) saturated: bool,
     /// When tasks may be placed next.
-    pub(super) next_place: Millis,
+    pub(super) next_pass: Millis,
     pub(super) interference: InterferenceModel,
     /// Own loads of serving tasks.
     pub(super) own_loads: OwnLoads,
@@ -134,9 +134,9 @@
     /// Counted crashes that become an outage if enough others follow at once.
     pub(super) provisional_crashes: Vec<ProvisionalCrash>,
     /// When the store was last away, slow or silent.
-    pub(super) store_trouble: Millis,
+    pub(super) last_store_trouble: Millis,
     /// Declared work that is typical of a job, by queue.
-    pub(super) typical: HashMap<Name, f64>,
+    pub(super) typical_work: HashMap<Name, f64>,
     /// Backlog of best-effort work, from 0 to 1; serving tasks run at a higher load by it.
     pub(super) backlog_level: f64,
     /// When swaps of serving tasks are next considered.
@@ -148,76 +148,76 @@
     /// When what was learned is written next.
     pub(super) next_estimates: Millis,
     /// Runs freed as the lease of their worker had ended.
-    pub(super) lapsed: u64,
+    pub(super) lapsed_runs: u64,
     /// True once another box owns the cell.
     pub(super) deposed: bool,
 }
 
 /// Milliseconds without a commit that tell of trouble of the store: an idle
 /// owner commits each 300.
-const SILENT_STORE: Millis = 900;
+const STORE_SILENCE: Millis = 900;
 /// Milliseconds between two looks at what has become due or too old.
-const SWEEP: Millis = 100;
+const SWEEP_INTERVAL: Millis = 100;
 
 impl Owner {
     /// Returns the owner that goes on with what the store holds; leases given
     /// by earlier owners end at `inherited` at the latest.
     pub fn new(
-        bounds: Bounds,
+        bounds: OwnerSettings,
         journal: Journal,
-        kept: Vec<Kept>,
+        kept: Vec<StoredJob>,
         inherited: Millis,
         now: Now,
     ) -> Self {
         let mut owner = Self {
-            bounds,
+            settings: bounds,
             journal,
             jobs: BTreeMap::new(),
-            ids: HashMap::new(),
+            job_numbers: HashMap::new(),
             history: History::default(),
-            unreadable: BTreeSet::new(),
+            unreadable_jobs: BTreeSet::new(),
             ready: BTreeMap::new(),
             workers: BTreeMap::new(),
             addresses: Addresses::default(),
-            cordoned: None,
+            cordoned_halls: None,
             poll_schedule: PollSchedule::default(),
-            placed: HashMap::new(),
+            placed_on: HashMap::new(),
             unadopted: BTreeMap::new(),
             failed_on: HashMap::new(),
             deferred: HashMap::new(),
             permits: BTreeMap::new(),
-            away: BTreeSet::new(),
+            interrupted: BTreeSet::new(),
             ranking: None,
-            promises: BTreeMap::new(),
-            looked: 0,
+            reservations: BTreeMap::new(),
+            workers_examined: 0,
             actions: Vec::new(),
             now,
-            inherited,
-            crowded: false,
-            next_place: 0,
+            inherited_leases_end: inherited,
+            saturated: false,
+            next_pass: 0,
             interference: InterferenceModel::default(),
             own_loads: OwnLoads::default(),
             crash_times: VecDeque::new(),
             provisional_crashes: Vec::new(),
-            store_trouble: 0,
-            typical: HashMap::new(),
+            last_store_trouble: 0,
+            typical_work: HashMap::new(),
             late_starts: Vec::new(),
             backlog_level: 0.0,
             next_swap: 0,
             next_job: 0,
             next_sweep: 0,
             next_estimates: 0,
-            lapsed: 0,
+            lapsed_runs: 0,
             deposed: false,
         };
         for job in kept {
-            owner.load(Job::from_stored(job.id, job.spec, job.row));
+            owner.load_job(Job::from_stored(job.id, job.spec, job.row));
         }
         owner
     }
 
-    fn load(&mut self, job: Job) {
-        let number = self.add(job);
+    fn load_job(&mut self, job: Job) {
+        let number = self.add_job(job);
         let job = &self.jobs[&number];
         let placed: Vec<(TaskKey, Name)> = job
             .tasks(number)
@@ -229,17 +229,17 @@
         for (key, worker) in &placed {
             self.unadopted.entry(worker.clone()).or_default().push(*key);
         }
-        self.placed.extend(placed);
-        self.release(number);
+        self.placed_on.extend(placed);
+        self.queue_ready_tasks(number);
     }
 
     /// Adds a job and returns its number.
-    pub(super) fn add(&mut self, job: Job) -> u32 {
+    pub(super) fn add_job(&mut self, job: Job) -> u32 {
         let number = self.next_job;
         self.next_job += 1;
-        self.ids.insert(job.id.clone(), number);
+        self.job_numbers.insert(job.id.clone(), number);
         self.jobs.insert(number, job);
-        self.learn_work(number);
+        self.learn_typical_work(number);
         number
     }
 
@@ -249,29 +249,29 @@
     }
 
     /// Returns how many runs were freed as the lease of their worker had ended.
-    pub fn lapsed(&self) -> u64 {
-        self.lapsed
+    pub fn lapsed_runs(&self) -> u64 {
+        self.lapsed_runs
     }
 
     /// Returns when the last commit that took effect was sent.
-    pub fn confirmed(&self) -> Millis {
+    pub fn last_confirmed(&self) -> Millis {
         self.journal.last_confirmed()
     }
 
     /// Returns true once another box owns the cell.
-    pub fn deposed(&self) -> bool {
+    pub fn is_deposed(&self) -> bool {
         self.deposed
     }
 
     /// Returns true once the store holds that the cell was given up.
-    pub fn released(&self) -> bool {
+    pub fn is_released(&self) -> bool {
         self.journal.is_released()
     }
 
     /// Returns the milliseconds until something is due.
-    pub fn wait(&self, now: Now) -> Millis {
-        let places = !self.crowded && !self.ready.is_empty() && self.cordoned.is_some();
-        let place = places.then_some(self.next_place);
+    pub fn due_in(&self, now: Now) -> Millis {
+        let places = !self.saturated && !self.ready.is_empty() && self.cordoned_halls.is_some();
+        let place = places.then_some(self.next_pass);
         let due = self
             .next_poll()
             .into_iter()
@@ -282,8 +282,8 @@
     }
 
     /// Goes on with other bounds.
-    pub fn rebound(&mut self, bounds: Bounds) {
-        self.bounds = bounds;
+    pub fn change_settings(&mut self, bounds: OwnerSettings) {
+        self.settings = bounds;
     }
 
     /// Gives the cell up with the next commit.
@@ -292,24 +292,24 @@
     }
 
     /// Returns true once it is to give the cell up.
-    pub fn gives_up(&self) -> bool {
+    pub fn is_resigning(&self) -> bool {
         self.journal.is_releasing()
     }
 
     /// Gives the cell up to a box with more cores.
-    pub fn make_way(&mut self, cores: u32, now: Now) {
+    pub fn resign_to_larger(&mut self, cores: u32, now: Now) {
         self.journal.make_way(cores, now.steady);
     }
 
     /// Takes in that the owner before extends no lease any more.
     pub fn predecessor_ended(&mut self, now: Now) {
-        let end = now.steady + max_lease_duration(self.bounds.lease);
-        self.inherited = self.inherited.min(end);
+        let end = now.steady + max_lease_duration(self.settings.lease_length);
+        self.inherited_leases_end = self.inherited_leases_end.min(end);
         self.journal.mark_predecessors_ended();
     }
 
     /// Takes in an event and returns what is to be done.
-    pub fn step(&mut self, event: Event, now: Now) -> Vec<Action> {
+    pub fn handle_event(&mut self, event: Event, now: Now) -> Vec<Action> {
         self.now = now;
         match event {
             Event::Request(ticket, ask) => self.ask(ticket, ask),
@@ -335,12 +335,12 @@
             Event::Tick => {}
         }
         if now.steady >= self.next_sweep {
-            self.next_sweep = now.steady + SWEEP;
+            self.next_sweep = now.steady + SWEEP_INTERVAL;
             self.sweep();
         }
         // The next owner counts on it that one which gives up extends no lease.
-        if !self.deposed && !self.gives_up() {
-            if self.cordoned.is_some() {
+        if !self.deposed && !self.is_resigning() {
+            if self.cordoned_halls.is_some() {
                 self.place();
                 self.swap_serving_tasks();
             }
@@ -357,11 +357,11 @@
     }
 
     fn sweep(&mut self) {
-        if self.now.steady > self.inherited {
+        if self.now.steady > self.inherited_leases_end {
             self.journal.mark_predecessors_ended();
         }
-        if self.now.steady > self.journal.last_confirmed() + SILENT_STORE {
-            self.store_trouble = self.now.steady;
+        if self.now.steady > self.journal.last_confirmed() + STORE_SILENCE {
+            self.last_store_trouble = self.now.steady;
         }
         self.expire_lapsed_listings();
         self.expire_leases();
@@ -376,30 +376,30 @@
             .collect();
         for number in scheduled {
             self.journal.touch(number);
-            self.release(number);
+            self.queue_ready_tasks(number);
         }
         self.measure_backlog();
         self.export_longest_breach();
         self.tidy();
         self.refuse_parked();
         self.own_loads.remove_stale(self.now.steady);
-        self.crowded = false;
+        self.saturated = false;
     }
 
     /// Takes in that the rows of some jobs can't be read.
-    pub fn distrust(&mut self, ids: Vec<Name>) {
-        self.unreadable.extend(ids);
+    pub fn mark_unreadable(&mut self, ids: Vec<Name>) {
+        self.unreadable_jobs.extend(ids);
     }
 
     /// Goes on with what earlier owners learned of interference between images.
     pub fn import_interference(&mut self, known: Vec<Known>) {
-        if self.bounds.mechanisms.warm_start {
+        if self.settings.mechanisms.warm_start {
             self.interference.import(known);
         }
     }
 
     /// Puts the tasks of a job that may start now among the ready ones.
-    pub(super) fn release(&mut self, number: u32) {
+    pub(super) fn queue_ready_tasks(&mut self, number: u32) {
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
@@ -422,16 +422,16 @@
                     };
                     self.ready.entry(key).or_insert(self.now.steady);
                     if lasting && task.run > 0 {
-                        self.away.insert(key);
+                        self.interrupted.insert(key);
                     }
                 }
             }
         }
-        self.crowded = false;
+        self.saturated = false;
     }
 
     /// Ends a job, and with it all that it runs once the end is in the store.
-    pub(super) fn finish(&mut self, number: u32, outcome: Outcome) {
+    pub(super) fn finish_job(&mut self, number: u32, outcome: Outcome) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
@@ -444,8 +444,8 @@
     }
 
     /// Returns what the worker of a placed task holds of it.
-    pub(super) fn run_of(&self, key: TaskKey) -> Option<&Placement> {
-        let worker = self.workers.get(self.placed.get(&key)?)?;
+    pub(super) fn placement_of(&self, key: TaskKey) -> Option<&Placement> {
+        let worker = self.workers.get(self.placed_on.get(&key)?)?;
         worker.placements.get(&key)
     }
 
@@ -457,14 +457,14 @@
     }
 
     /// Takes a task off its worker; it waits for another start if its job goes on.
-    pub(super) fn free(&mut self, key: TaskKey) {
-        let Some(name) = self.placed.remove(&key) else {
+    pub(super) fn unplace(&mut self, key: TaskKey) {
+        let Some(name) = self.placed_on.remove(&key) else {
             return;
         };
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.remove(key, self.now.steady);
         }
-        self.crowded = false;
+        self.saturated = false;
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -480,7 +480,7 @@
                 self.ready.insert(key, self.now.steady);
             }
             if lasting {
-                self.away.insert(key);
+                self.interrupted.insert(key);
             }
             if gang {
                 self.disband(key);
--- a/src/sched/permits.rs
+++ b/src/sched/permits.rs
@@ -142,7 +142,7 @@
             known.bad.remove(&worker);
             known.good.insert(worker, Permit { token, end });
         }
-        self.crowded = false;
+        self.saturated = false;
     }
 
     /// Returns the name of a step as the advisor knows it.
--- a/src/sched/placement.rs
+++ b/src/sched/placement.rs
@@ -39,7 +39,7 @@
     /// Room that it holds.
     pub resources: Resources,
     /// Processor share that it would like beyond what it holds.
-    pub soft: u64,
+    pub unreserved_cpu: u64,
     /// True when it serves users under a latency target.
     pub serving: bool,
     /// True when it takes what others leave.
@@ -51,7 +51,7 @@
     /// Number of that image.
     pub image_number: ImageNumber,
     /// Latency that a serving task must stay under, in milliseconds.
-    pub target: Millis,
+    pub latency_target: Millis,
     /// Processor share at full speed.
     pub cpu: u64,
     /// Speed last ordered, in percent.
@@ -63,15 +63,15 @@
     /// True while a change of the speed has no answer.
     pub throttle_pending: bool,
     /// When it was placed.
-    pub since: Millis,
+    pub placed_at: Millis,
     /// When its worker first told that it runs.
-    pub told: Option<Millis>,
+    pub confirmed_at: Option<Millis>,
     /// True once a lasting task is at work.
     pub at_work: bool,
     /// Last gauge of a serving task.
     pub gauge: Option<Gauge>,
     /// Processor share in use as reported last; of a filler.
-    pub in_use: Option<u64>,
+    pub cpu_used: Option<u64>,
     /// True while a crash of the worker would be laid to it alone.
     pub suspect: bool,
 }
@@ -79,20 +79,20 @@
 impl Placement {
     /// Takes in that its worker tells that it runs.
     pub fn confirm(&mut self, now: Millis) {
-        self.told.get_or_insert(now);
+        self.confirmed_at.get_or_insert(now);
         if matches!(self.stage, Stage::Inherited | Stage::Starting) {
             self.stage = Stage::Running(now);
         }
     }
 
     /// Returns true once its worker has confirmed it.
-    pub fn has_run(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         use Stage::{Running, Stopped, Stopping};
         matches!(self.stage, Running(_) | Stopping(_) | Stopped(_))
     }
 
     /// Returns true while its worker has confirmed it and no stop was sent.
-    pub fn running(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         matches!(self.stage, Stage::Running(_))
     }
 }
@@ -103,7 +103,7 @@
     /// Busy share of its server, from 0 to 1.
     pub busy: f64,
     /// Its tail, in milliseconds.
-    pub tail: Millis,
+    pub tail_latency: Millis,
     /// The ongoing breach of the latency target.
     pub breach: Option<Breach>,
     /// The part of it that is its own load, as estimated.
--- a/src/sched/placing.rs
+++ b/src/sched/placing.rs
@@ -129,16 +129,16 @@
     /// Places ready tasks in their order, as far as there is room.
     pub(super) fn place(&mut self) {
         let now = self.now.steady;
-        if self.crowded || now < self.next_place || self.journal.in_doubt() {
+        if self.saturated || now < self.next_pass || self.journal.in_doubt() {
             return;
         }
-        self.next_place = now + PLACE_PAUSE + self.ready.len() as u64 / WAITING;
+        self.next_pass = now + PLACE_PAUSE + self.ready.len() as u64 / WAITING;
         self.ranking = None;
         self.settle_promises();
-        let before = self.looked;
+        let before = self.workers_examined;
         let count = self.pass();
-        self.next_place += (self.looked - before) / LOOKED;
-        self.crowded = count == 0;
+        self.next_pass += (self.workers_examined - before) / LOOKED;
+        self.saturated = count == 0;
     }
 
     /// Goes once through what waits; returns how many tasks were placed.
@@ -296,7 +296,7 @@
         let alike = rack.is_empty() && self.failures(key) == 0 && !self.is_suspect(key);
         let known = self.ranking.take_if(|r| alike && r.step == key.step_key());
         if known.is_none() {
-            self.looked += self.workers.len() as u64;
+            self.workers_examined += self.workers.len() as u64;
         }
         let ranked = |wish: &Wish<'_>| {
             let ranking = known.unwrap_or_else(|| Ranking::new(&self.workers, wish, now));
@@ -342,7 +342,7 @@
         let mut beside = BTreeMap::new();
         if step.max_per_worker > 0 {
             for member in self.members(key) {
-                if let Some(worker) = self.placed.get(&member) {
+                if let Some(worker) = self.placed_on.get(&member) {
                     *beside.entry(worker.clone()).or_insert(0) += 1;
                 }
             }
@@ -357,7 +357,7 @@
             last_try: !step.lasting && self.failures(key) + 1 >= job.row.queue.attempts,
             image: self.interference.image_number(&step.image),
             interference: self
-                .bounds
+                .settings
                 .mechanisms
                 .interference
                 .then_some(&self.interference),
@@ -380,14 +380,14 @@
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.insert(key, placement);
         }
-        self.placed.insert(key, name.clone());
+        self.placed_on.insert(key, name.clone());
         self.rank_again(key, &name);
     }
 
     /// Gives back the room of a task whose place was not recorded.
     fn unreserve(&mut self, key: TaskKey, name: &Name) {
         self.ranking = None;
-        self.placed.remove(&key);
+        self.placed_on.remove(&key);
         if let Some(worker) = self.workers.get_mut(name) {
             worker.remove(key, self.now.steady);
         }
@@ -420,7 +420,7 @@
             suspect,
             stage,
             resources: step.reserved(),
-            soft: if step.best_effort {
+            unreserved_cpu: if step.best_effort {
                 step.resources.cpu
             } else {
                 0
@@ -430,7 +430,7 @@
             lasting: step.lasting,
             image: step.image.clone(),
             image_number,
-            target: step.latency_target,
+            latency_target: step.latency_target,
             cpu: step.resources.cpu,
             speed: FULL_SPEED,
             // The owner before may have ordered another.
@@ -439,9 +439,9 @@
             throttle_pending: false,
             at_work: false,
             gauge: None,
-            in_use: None,
-            since: self.now.steady,
-            told: None,
+            cpu_used: None,
+            placed_at: self.now.steady,
+            confirmed_at: None,
         }
     }
 }
--- a/src/sched/predecessors.rs
+++ b/src/sched/predecessors.rs
@@ -1,7 +1,7 @@
 //! What earlier owners may still do when a new one begins.
 
 use super::journal::OwnerRow;
-use super::owner::Bounds;
+use super::owner::OwnerSettings;
 use super::worker::max_lease_duration;
 use crate::utils::clock::Millis;
 
@@ -37,12 +37,12 @@
 
     /// Returns when leases given by earlier owners have certainly ended, where
     /// the new one begins at `now`.
-    pub fn lease_end(self, bounds: &Bounds, now: Millis) -> Millis {
+    pub fn lease_end(self, bounds: &OwnerSettings, now: Millis) -> Millis {
         match self {
             Self::Absent => now,
-            Self::Ended => now + max_lease_duration(bounds.lease),
+            Self::Ended => now + max_lease_duration(bounds.lease_length),
             Self::MayServe | Self::EarlierMayServe => {
-                now + bounds.unconfirmed + max_lease_duration(bounds.lease)
+                now + bounds.max_unconfirmed + max_lease_duration(bounds.lease_length)
             }
         }
     }
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -70,24 +70,24 @@
     /// tasks were away that run again.
     pub(super) fn settle_promises(&mut self) {
         let stops = |key| {
-            let stage = self.run_of(key).map(|run| run.stage);
+            let stage = self.placement_of(key).map(|run| run.stage);
             matches!(stage, Some(Stage::Stopping(_) | Stage::Stopped(_)))
         };
         let waits = |key: &TaskKey| self.ready.contains_key(key) || stops(*key);
-        let settled = self.promises.iter().filter(|(key, _)| !waits(key));
+        let settled = self.reservations.iter().filter(|(key, _)| !waits(key));
         let settled: Vec<(TaskKey, Name)> = settled.map(|(k, n)| (*k, n.clone())).collect();
-        let runs = |key: &TaskKey| self.run_of(*key).is_none_or(Placement::running);
+        let runs = |key: &TaskKey| self.placement_of(*key).is_none_or(Placement::is_running);
         let back = |key: &&TaskKey| !self.ready.contains_key(*key) && runs(key);
-        let returned: Vec<TaskKey> = self.away.iter().filter(back).copied().collect();
+        let returned: Vec<TaskKey> = self.interrupted.iter().filter(back).copied().collect();
         for (key, name) in settled {
-            self.promises.remove(&key);
+            self.reservations.remove(&key);
             let worker = self.workers.get_mut(&name);
             if let Some(worker) = worker.filter(|w| w.reserved_task() == Some(key)) {
                 worker.promise = None;
             }
         }
         for key in returned {
-            self.away.remove(&key);
+            self.interrupted.remove(&key);
         }
     }
 
@@ -95,7 +95,7 @@
     pub(super) fn break_promise(&mut self, name: &Name) {
         let worker = self.workers.get_mut(name);
         if let Some(promise) = worker.and_then(|w| w.promise.take()) {
-            self.promises.remove(&promise.key);
+            self.reservations.remove(&promise.key);
         }
     }
 
@@ -105,7 +105,7 @@
             return;
         };
         worker.promise = Some(Reservation { key, resources });
-        self.promises.insert(key, name.clone());
+        self.reservations.insert(key, name.clone());
     }
 
     /// Makes room for a waiting task that fits nowhere.
@@ -115,14 +115,17 @@
         }
         let step = self.jobs[&key.job].step(key);
         let since = self.ready.get(&key).copied().unwrap_or(self.now.steady);
-        if step.best_effort || step.gang || self.promises.contains_key(&key) {
+        if step.best_effort || step.gang || self.reservations.contains_key(&key) {
             return;
         }
         if !step.lasting {
             search.looks -= 1;
             return self.preempt(key, search);
         }
-        if self.overdue(key, since) && self.away.contains(&key) && self.now.steady >= since + TURN {
+        if self.overdue(key, since)
+            && self.interrupted.contains(&key)
+            && self.now.steady >= since + TURN
+        {
             search.looks -= 1;
             self.preempt(key, search);
         }
@@ -130,17 +133,17 @@
 
     /// Stops the run that takes the room of a waiting task at the least cost.
     fn preempt(&mut self, key: TaskKey, search: &mut Search) {
-        if !self.bounds.mechanisms.preempt {
+        if !self.settings.mechanisms.preempt {
             return;
         }
         let step = self.jobs[&key.job].step(key);
         let resources = step.reserved();
-        let spare = self.spare_lasting() || self.away.contains(&key);
+        let spare = self.spare_lasting() || self.interrupted.contains(&key);
         let kind = (key.step_key(), spare);
         if search.kind != Some(kind) {
             search.kind = Some(kind);
             search.victims = self.victims(key, resources, spare);
-            self.looked += self.workers.len() as u64;
+            self.workers_examined += self.workers.len() as u64;
         }
         let Some((_, victim, name)) = self.next_victim(search, resources) else {
             return;
@@ -148,7 +151,7 @@
         let (task, other) = (self.task_name(victim), self.task_name(key));
         log::info!(target: "task", "task={task} event=preempted worker={name} for={other}");
         if self.jobs[&victim.job].step(victim).lasting {
-            self.away.insert(victim);
+            self.interrupted.insert(victim);
         }
         self.promise(key, resources, &name);
         self.ranking = None;
@@ -162,7 +165,7 @@
             let Some(worker) = self.workers.get(name) else {
                 return false;
             };
-            let run = worker.placements.get(key).filter(|run| run.running());
+            let run = worker.placements.get(key).filter(|run| run.is_running());
             run.is_some_and(|run| worker.fits_without(run, resources)) && self.may_disrupt(*key)
         };
         while let Some(victim) = search.victims.pop() {
@@ -201,7 +204,7 @@
         if !able || permits.is_some_and(|p| !p.allow(name, now)) {
             return Vec::new();
         }
-        let rested = |run: &Placement| now >= run.since + SPARED && (spare || !run.lasting);
+        let rested = |run: &Placement| now >= run.placed_at + SPARED && (spare || !run.lasting);
         let runs = worker.placements.iter();
         let able = runs.filter(|(_, run)| worker.fits_without(run, resources) && rested(run));
         let costs = able.filter_map(|(victim, run)| {
@@ -216,7 +219,7 @@
         let own = self.jobs.get(&key.job)?.row.queue.priority;
         let job = self.jobs.get(&victim.job).filter(|j| j.is_open())?;
         let step = job.step(victim);
-        if !run.running() || step.gang || step.best_effort {
+        if !run.is_running() || step.gang || step.best_effort {
             return None;
         }
         let other = job.row.queue.priority;
@@ -228,7 +231,7 @@
             let over = run.gauge.as_ref().is_some_and(|g| g.breach.is_some());
             return Some(if over { run.cpu / 2 } else { run.cpu });
         }
-        let done = (self.now.steady - run.since) * run.cpu / 1_000;
+        let done = (self.now.steady - run.placed_at) * run.cpu / 1_000;
         Some(if step.checkpoints {
             run.cpu
         } else {
@@ -243,10 +246,10 @@
             let since = self.ready.get(key);
             since.is_some_and(|at| self.now.steady >= at + TURN)
         };
-        if self.away.iter().any(long) {
+        if self.interrupted.iter().any(long) {
             return false;
         }
         let all: u32 = self.workers.values().map(|w| w.lasting_tasks).sum();
-        self.away.len() * AWAY_PART < all as usize
+        self.interrupted.len() * AWAY_PART < all as usize
     }
 }
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -47,8 +47,8 @@
     /// Starts the exchanges that are due.
     pub(super) fn poll_due_workers(&mut self) {
         let now = self.now.steady;
-        let confirmed = now < self.journal.last_confirmed() + self.bounds.unconfirmed;
-        let (span, epoch) = (self.bounds.lease, self.journal.epoch());
+        let confirmed = now < self.journal.last_confirmed() + self.settings.max_unconfirmed;
+        let (span, epoch) = (self.settings.lease_length, self.journal.epoch());
         let watch = WATCH * (self.workers.len() as u64).max(WATCHED) / WATCHED;
         for name in self.take_due_polls() {
             let Some(worker) = self.workers.get_mut(&name) else {
@@ -154,7 +154,7 @@
             if let Some(boot) = report.boot.filter(|b| *b > wall + CLOCKS) {
                 log::warn!(target: "worker", "worker={name} event=started-ahead boot={boot} wall={wall}");
             }
-            self.crowded = false;
+            self.saturated = false;
         }
         worker.missed_polls = 0;
         worker.unverified = false;
@@ -231,7 +231,7 @@
     /// name, and one looked up in vain would end this owner and each that follows it.
     pub(super) fn find_task(&self, name: &str) -> Option<TaskKey> {
         let (id, round, step, index) = parse_task_name(name)?;
-        let number = *self.ids.get(id)?;
+        let number = *self.job_numbers.get(id)?;
         let key = TaskKey {
             job: number,
             round,
@@ -245,7 +245,7 @@
     /// Returns true when a name is that of no task that could run: of a job that is over, or
     /// one that its job does not have.
     fn is_obsolete_task(&self, task: &str) -> bool {
-        let known = parse_task_name(task).is_some_and(|(id, ..)| self.ids.contains_key(id));
+        let known = parse_task_name(task).is_some_and(|(id, ..)| self.job_numbers.contains_key(id));
         known || self.is_finished_task(task)
     }
 
@@ -318,7 +318,7 @@
         }
         self.record_unseen_crashes(&unseen, name);
         for key in free.into_iter().chain(unseen) {
-            self.free(key);
+            self.unplace(key);
         }
     }
 }
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -35,15 +35,15 @@
 impl Owner {
     /// Starts a run whose placement is in the store.
     pub(super) fn start_run(&mut self, key: TaskKey, run: u32) {
-        let Some(name) = self.placed.get(&key).cloned() else {
+        let Some(name) = self.placed_on.get(&key).cloned() else {
             return;
         };
         let Some(job) = self.jobs.get(&key.job).filter(|j| j.is_open()) else {
-            self.free(key);
+            self.unplace(key);
             return;
         };
-        let (now, span) = (self.now.steady, self.bounds.lease);
-        let gives_up = self.gives_up();
+        let (now, span) = (self.now.steady, self.settings.lease_length);
+        let gives_up = self.is_resigning();
         let permit = self.permit(key, &name);
         let Some(worker) = self.workers.get_mut(&name) else {
             return;
@@ -67,11 +67,11 @@
         else {
             log::info!(target: "task", "task={} run={run} event=withdrawn worker={name} fits={fits} cordoned={cordoned} over_target={presses}", job.task_name(key));
             crate::metrics::get().withdrawn.inc();
-            self.free(key);
+            self.unplace(key);
             return;
         };
         placement.stage = Stage::Starting;
-        placement.since = now;
+        placement.placed_at = now;
         self.send_start(key, run, name, lease, permit);
     }
 
@@ -140,7 +140,7 @@
                 self.stop_task(key);
             }
             Reply::Lost => {}
-            Reply::NotSent => self.free(key),
+            Reply::NotSent => self.unplace(key),
             Reply::Refused(refusal) => self.handle_start_refusal(key, run, name, refusal),
         }
     }
@@ -190,7 +190,7 @@
             Refusal::NoPermit => self.permit_refused(key, name),
             Refusal::Late | Refusal::Old | Refusal::Fenced | Refusal::Replaced => {}
         }
-        self.free(key);
+        self.unplace(key);
         if refusal == Refusal::Replaced {
             self.end_incarnation(name, IncarnationEnd::Replaced);
         }
@@ -278,7 +278,7 @@
 
     /// Stops a placed task, or takes it back when its start was not sent.
     pub(super) fn stop_task(&mut self, key: TaskKey) {
-        let Some(name) = self.placed.get(&key).cloned() else {
+        let Some(name) = self.placed_on.get(&key).cloned() else {
             return;
         };
         let now = self.now.steady;
@@ -291,7 +291,7 @@
         };
         match placement.stage {
             Stage::Recording => {
-                self.free(key);
+                self.unplace(key);
                 return;
             }
             Stage::Inherited | Stage::Stopping(_) | Stage::Stopped(_) => return,
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -64,7 +64,7 @@
     /// Begins swaps that make more room for waiting fillers.
     pub(super) fn swap_serving_tasks(&mut self) {
         let now = self.now.steady;
-        if now < self.next_swap || !self.bounds.mechanisms.swap {
+        if now < self.next_swap || !self.settings.mechanisms.swap {
             return;
         }
         self.next_swap = now + LOOK;
@@ -102,8 +102,9 @@
         if images.iter().all(|image| *image == images[0]) {
             return Vec::new();
         }
-        let rested = |run: &Placement| self.now.steady >= run.since + SPARED;
-        let movable = |run: &Placement| run.serving && run.lasting && run.running() && rested(run);
+        let rested = |run: &Placement| self.now.steady >= run.placed_at + SPARED;
+        let movable =
+            |run: &Placement| run.serving && run.lasting && run.is_running() && rested(run);
         let mut misfits: BTreeMap<ImageNumber, Misfit> = BTreeMap::new();
         for (key, run) in worker.placements.iter().filter(|(_, run)| movable(run)) {
             if misfits.contains_key(&run.image_number) || !self.may_disrupt(*key) {
@@ -165,7 +166,7 @@
             log::info!(target: "task", "task={task} event=swapped worker={} with={}", one.worker, other.worker);
             let resources = self.jobs[&other.key.job].step(other.key).reserved();
             self.promise(other.key, resources, &one.worker);
-            self.away.insert(one.key);
+            self.interrupted.insert(one.key);
         }
         self.stop_task(a.key);
         self.stop_task(b.key);
--- a/src/sched/tests/cordon.rs
+++ b/src/sched/tests/cordon.rs
@@ -150,7 +150,7 @@
     assert_eq!(world.running().len(), 2);
     world.submit_with_priority("high", job(vec![step(1, 4_000)]), high);
     world.run(15);
-    let promised = world.owner.promises.values().next().cloned();
+    let promised = world.owner.reservations.values().next().cloned();
     let promised = promised.expect("a run gives way");
     let hall = world.workers[&promised].listing.hall.clone();
     world.cordon(&[&*hall]);
--- a/src/sched/tests/directory.rs
+++ b/src/sched/tests/directory.rs
@@ -66,7 +66,11 @@
         here, 2,
         "unanswered exchanges must not count as leases for ever"
     );
-    assert_eq!(world.owner.lapsed(), lost as u64, "each run counts once");
+    assert_eq!(
+        world.owner.lapsed_runs(),
+        lost as u64,
+        "each run counts once"
+    );
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
@@ -192,17 +196,17 @@
     world.submit("j0", job(vec![lasting(2, 1_000)]));
     world.submit("j1", job(vec![step(40, 1_000)]));
     world.run(3_000);
-    while !world.owner.crowded || world.now <= world.owner.next_place {
+    while !world.owner.saturated || world.now <= world.owner.next_pass {
         world.run(1);
     }
-    let next = world.owner.next_place;
+    let next = world.owner.next_pass;
     world.list();
-    assert_eq!(world.owner.next_place, next, "what waits is not looked at");
+    assert_eq!(world.owner.next_pass, next, "what waits is not looked at");
     let mut grown = world.workers["w0"].listing.clone();
     grown.capacity.cpu *= 2;
     world.step(Event::DirectoryChanged(vec![(
         "w0".into(),
         DirectoryEntry::Listed(grown),
     )]));
-    assert_ne!(world.owner.next_place, next, "a change has it looked at");
+    assert_ne!(world.owner.next_pass, next, "a change has it looked at");
 }
--- a/src/sched/tests/full.rs
+++ b/src/sched/tests/full.rs
@@ -21,14 +21,14 @@
 
 /// Returns the workers looked at in a pass of placing, as a multiple of all.
 fn looks(world: &mut World) -> f64 {
-    let (before, mut passes) = (world.owner.looked, 0);
+    let (before, mut passes) = (world.owner.workers_examined, 0);
     for _ in 0..SPAN {
-        let next = world.owner.next_place;
+        let next = world.owner.next_pass;
         world.run(1);
-        passes += u32::from(world.owner.next_place != next);
+        passes += u32::from(world.owner.next_pass != next);
     }
     assert!(passes > 0);
-    (world.owner.looked - before) as f64 / f64::from(WORKERS) / f64::from(passes)
+    (world.owner.workers_examined - before) as f64 / f64::from(WORKERS) / f64::from(passes)
 }
 
 #[test]
--- a/src/sched/tests/history.rs
+++ b/src/sched/tests/history.rs
@@ -202,8 +202,8 @@
     assert_eq!(world.ids(HISTORY_TABLE).len(), MANY);
     world.take_over(INHERITED);
     world.run(1_000);
-    world.bounds.remember = 1_000;
-    world.owner.rebound(world.bounds);
+    world.bounds.retention = 1_000;
+    world.owner.change_settings(world.bounds);
     world.run(3_000);
     assert!(world.ids(HISTORY_TABLE).is_empty(), "{}", world.rows.len());
     let shown = world.ask(JobRequest::Show("over-001".into()));
@@ -229,7 +229,7 @@
     };
     world.step(page(false));
     assert_eq!(world.shown("old"), Some(JobState::Completed));
-    world.run(BOUNDS.remember + 2_000);
+    world.run(BOUNDS.retention + 2_000);
     world.step(page(true));
     let shown = world.ask(JobRequest::Show("old".into()));
     assert_eq!(world.answers[&shown], Answer::Unknown);
--- a/src/sched/tests/order.rs
+++ b/src/sched/tests/order.rs
@@ -171,7 +171,7 @@
     // Another lasting task is away, so none that lasts may give way.
     world.submit_with_priority("away", job(vec![lasting(1, 4_000)]), 9);
     let waits: Vec<_> = world.owner.ready.keys().copied().collect();
-    world.owner.away.extend(waits);
+    world.owner.interrupted.extend(waits);
     world.submit("high", job(vec![step(1, 4_000)]));
     world.run(1_500);
     assert!(world.starts.iter().any(|s| s.0.starts_with("high")));
--- a/src/sched/tests/predecessors.rs
+++ b/src/sched/tests/predecessors.rs
@@ -44,14 +44,17 @@
 
 #[test]
 fn leases_of_earlier_owners_are_waited_for() {
-    let (now, lease) = (7_000, max_lease_duration(BOUNDS.lease));
+    let (now, lease) = (7_000, max_lease_duration(BOUNDS.lease_length));
     let end = |state: PredecessorState| state.lease_end(&BOUNDS, now) - now;
     assert_eq!(end(PredecessorState::Absent), 0);
     assert_eq!(end(PredecessorState::Ended), lease);
-    assert_eq!(end(PredecessorState::MayServe), BOUNDS.unconfirmed + lease);
+    assert_eq!(
+        end(PredecessorState::MayServe),
+        BOUNDS.max_unconfirmed + lease
+    );
     assert_eq!(
         end(PredecessorState::EarlierMayServe),
-        BOUNDS.unconfirmed + lease
+        BOUNDS.max_unconfirmed + lease
     );
 }
 
--- a/src/sched/tests/random.rs
+++ b/src/sched/tests/random.rs
@@ -208,8 +208,8 @@
     let mut random = Random::new(seed);
     let mut world = World::new(4);
     world.seed(seed ^ 1);
-    world.bounds.remember = REMEMBER;
-    world.owner.rebound(world.bounds);
+    world.bounds.retention = REMEMBER;
+    world.owner.change_settings(world.bounds);
     if machines {
         world.crashes.by_task.insert(FATAL.into(), 10);
     }
--- a/src/sched/tests/suspension.rs
+++ b/src/sched/tests/suspension.rs
@@ -57,12 +57,12 @@
 #[test]
 fn an_owner_that_wakes_extends_and_starts_nothing_on_an_old_confirmation() {
     let mut world = world();
-    let later = world.now + BOUNDS.unconfirmed + 100;
+    let later = world.now + BOUNDS.max_unconfirmed + 100;
     let woken = Now {
         steady: later,
         wall: later,
     };
-    let actions = world.owner.step(Event::Tick, woken);
+    let actions = world.owner.handle_event(Event::Tick, woken);
     for action in actions {
         match action {
             Action::Poll(hold) => assert_eq!(hold.lease, None, "{hold:?}"),
--- a/src/sched/tests/takeover.rs
+++ b/src/sched/tests/takeover.rs
@@ -30,7 +30,7 @@
     let started = world.starts.len();
     world.submit("after", job(vec![step(8, 1_000)]));
     world.run(5_000);
-    assert!(world.owner.released());
+    assert!(world.owner.is_released());
     assert_eq!(world.starts.len(), started, "{:?}", world.starts);
     // What ran goes on under the next owner, and the rest is started by it.
     world.take_over(INHERITED);
@@ -106,7 +106,7 @@
 #[test]
 fn a_job_whose_rows_cannot_be_read_is_in_doubt_and_never_taken_anew() {
     let mut world = World::new(1);
-    world.owner.distrust(vec!["torn".into()]);
+    world.owner.mark_unreadable(vec!["torn".into()]);
     let shown = world.ask(JobRequest::Show("torn".into()));
     let again = world.submit("torn", job(vec![step(1, 1_000)]));
     let cancel = world.ask(JobRequest::Cancel("torn".into()));
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -21,7 +21,7 @@
 use crate::sched::message::{
     Action, Answer, DirectoryEntry, Event, JobRequest, Poll, RunOutcome, Start,
 };
-use crate::sched::owner::{Bounds, Kept, Now, Owner};
+use crate::sched::owner::{Now, Owner, OwnerSettings, StoredJob};
 use crate::sched::spec::{JobSpec, Resources, StepSpec};
 use crate::sched::worker::Listing;
 use crate::table::encode;
@@ -29,12 +29,12 @@
 use crate::utils::clock::Millis;
 use crate::utils::random::Random;
 
-pub const BOUNDS: Bounds = Bounds {
-    lease: 4_000,
-    unconfirmed: 10_000,
-    drain: 2_000,
-    over: 4_500,
-    remember: 60_000,
+pub const BOUNDS: OwnerSettings = OwnerSettings {
+    lease_length: 4_000,
+    max_unconfirmed: 10_000,
+    drain_time: 2_000,
+    max_breach: 4_500,
+    retention: 60_000,
     mechanisms: Mechanisms::ON,
 };
 
@@ -53,7 +53,7 @@
     pub cordons_held: bool,
     /// Nothing of the jobs that are over is read.
     pub history_held: bool,
-    pub bounds: Bounds,
+    pub bounds: OwnerSettings,
     /// How long each run takes and how it ends, by task name and run.
     pub script: fn(&str, u32) -> (Millis, RunOutcome),
     /// What crashes workers, and those that have crashed.
@@ -346,7 +346,7 @@
         rows.map(|(_, id)| id.clone()).collect()
     }
 
-    fn kept(&self) -> Vec<Kept> {
+    fn kept(&self) -> Vec<StoredJob> {
         let jobs = self
             .rows
             .iter()
@@ -354,7 +354,7 @@
         jobs.map(|((_, id), value)| {
             let spec = &self.rows[&(SPEC_TABLE, id.clone())];
             let row: JobRow = serde_json::from_slice(value).expect("row");
-            Kept {
+            StoredJob {
                 id: id.clone(),
                 spec: serde_json::from_slice(spec).expect("spec"),
                 row,
@@ -395,7 +395,7 @@
     }
 
     pub fn step(&mut self, event: Event) {
-        for action in self.owner.step(event, self.clock()) {
+        for action in self.owner.handle_event(event, self.clock()) {
             let call = match action {
                 Action::Reply(ticket, answer) => {
                     self.answers.insert(ticket, answer);
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -110,7 +110,7 @@
 
     /// Extends its lease to a time on its own clock, as far as leases go.
     fn extend(&mut self, end: Millis, now: Millis) {
-        let end = (self.started + end).min(now + BOUNDS.lease);
+        let end = (self.started + end).min(now + BOUNDS.lease_length);
         self.lease = self.lease.max(end);
     }
 
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -81,7 +81,7 @@
     let capacity = worker.listing.capacity.cpu.max(1) as f64;
     let placements = worker.placements.iter().filter(|(_, p)| p.best_effort);
     placements
-        .filter(|(_, p)| p.running())
+        .filter(|(_, p)| p.is_running())
         .map(|(key, placement)| BestEffortRun {
             key: *key,
             image: placement.image_number,
@@ -95,7 +95,7 @@
 /// Returns true when a run reports more processor use than its speed allows, or none at a speed
 /// of more than half.
 fn contradicts_speed(placement: &Placement, in_use: u64, now: Millis) -> bool {
-    let settled = placement.running() && now >= placement.throttled_at + SETTLE_TIME;
+    let settled = placement.is_running() && now >= placement.throttled_at + SETTLE_TIME;
     let allowed = placement.cpu * u64::from(placement.speed) / u64::from(FULL_SPEED);
     let slack = allowed / SLACK_DIVISOR + placement.cpu / HALTED_DIVISOR;
     let too_fast = in_use > allowed + slack;
@@ -109,7 +109,7 @@
     /// Returns true when the report is the first that contradicts the ordered speed, as happens
     /// after an order that took effect late.
     pub(super) fn update_cpu_use(&mut self, in_use: u64, now: Millis) -> bool {
-        self.in_use = Some(in_use);
+        self.cpu_used = Some(in_use);
         let contradicts = contradicts_speed(self, in_use, now);
         let first = contradicts && self.speed_confirmed;
         self.speed_confirmed &= !contradicts;
@@ -126,7 +126,7 @@
         };
         let mut runs = best_effort_runs(worker);
         let margin = self.backlog_level * BACKLOG_MARGIN;
-        let (halt, now) = (self.bounds.halt(), self.now.steady);
+        let (halt, now) = (self.settings.halt_after(), self.now.steady);
         let mut high = false;
         for reported in running {
             if reported.run.gauge == 0 {
@@ -148,7 +148,7 @@
                 runs.iter_mut().for_each(|run| run.wanted = 0.0);
                 high = true;
             }
-            if !self.bounds.mechanisms.throttle {
+            if !self.settings.mechanisms.throttle {
                 continue;
             }
             let goal = GOAL_BUSY + margin;
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -223,7 +223,7 @@
     /// Puts a task there.
     pub fn insert(&mut self, key: TaskKey, placement: Placement) {
         self.allocated = self.allocated.plus(placement.resources);
-        self.wanted_cpu += placement.soft;
+        self.wanted_cpu += placement.unreserved_cpu;
         self.lasting_tasks += u32::from(placement.lasting);
         self.colocation.place(key, &placement);
         if placement.suspect {
@@ -239,13 +239,13 @@
         };
         self.colocation.release(key, &placement);
         self.update_isolation();
-        if placement.best_effort && placement.has_run() {
+        if placement.best_effort && placement.has_started() {
             let share = self.cpu_share(&placement);
             self.recently_ended
-                .record(&placement.image, share, placement.since, now);
+                .record(&placement.image, share, placement.placed_at, now);
         }
         self.allocated = self.allocated.minus(placement.resources);
-        self.wanted_cpu -= placement.soft;
+        self.wanted_cpu -= placement.unreserved_cpu;
         self.lasting_tasks -= u32::from(placement.lasting);
         if placement.serving {
             self.update_over_since();
@@ -287,7 +287,7 @@
     /// Returns the share of the worker's processors that a run there uses.
     pub fn cpu_share(&self, run: &Placement) -> f64 {
         let allowed = || run.cpu * u64::from(run.speed) / u64::from(FULL_SPEED);
-        run.in_use.unwrap_or_else(allowed) as f64 / self.listing.capacity.cpu.max(1) as f64
+        run.cpu_used.unwrap_or_else(allowed) as f64 / self.listing.capacity.cpu.max(1) as f64
     }
 
     /// Takes in how busy a serving task was.
