--- a/src/platform/advice.rs
+++ b/src/platform/advice.rs
@@ -39,7 +39,7 @@
             log::error!(target: "task", "step={} event=no-advisor", question.name);
             return Reply::NotSent;
         };
-        let body = encode(&wire::Advise {
+        let body = encode(&wire::AdviceRequest {
             step: &question.name,
             workers: &question.workers,
         });
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -25,8 +25,8 @@
     let Some(value) = value else {
         return DEFAULT_TIMEOUT;
     };
-    let number = value.to_str().ok().and_then(|t| t.parse().ok());
-    number.unwrap_or_else(|| {
+    let millis = value.to_str().ok().and_then(|t| t.parse().ok());
+    millis.unwrap_or_else(|| {
         log::warn!(target: "desk", "event=bad-deadline value={value:?} taken_ms={DEFAULT_TIMEOUT}");
         DEFAULT_TIMEOUT
     })
@@ -68,10 +68,13 @@
 
 /// Returns the specification of the job in a request's body, or the reply to an invalid one.
 fn parse_job(body: &[u8]) -> Result<JobSpec, Box<Reply>> {
-    let wrong = |text: String| Box::new(Reply::text(StatusCode::BAD_REQUEST, format!("{text}\n")));
-    let job: Job = serde_json::from_slice(body).map_err(|e| wrong(e.to_string()))?;
+    let invalid =
+        |text: String| Box::new(Reply::text(StatusCode::BAD_REQUEST, format!("{text}\n")));
+    let job: Job = serde_json::from_slice(body).map_err(|e| invalid(e.to_string()))?;
     if job.spec.len() > MAX_SPEC_BYTES {
-        return Err(wrong(format!("a spec has at most {MAX_SPEC_BYTES} bytes")));
+        return Err(invalid(format!(
+            "a spec has at most {MAX_SPEC_BYTES} bytes"
+        )));
     }
     Ok(JobSpec {
         payload: job.spec,
@@ -114,10 +117,10 @@
 pub fn to_reply(answer: &Answer) -> Reply {
     match answer {
         Answer::Accepted | Answer::Cancelled => json_reply(StatusCode::OK, json!({})),
-        Answer::State(shown) => json_reply(StatusCode::OK, json!({ "state": state_name(*shown) })),
+        Answer::State(state) => json_reply(StatusCode::OK, json!({ "state": state_name(*state) })),
         Answer::Waiting(count) => json_reply(StatusCode::OK, json!({ "pending": count })),
         Answer::Unknown => Reply::text(StatusCode::GONE, "no such job\n"),
-        Answer::Invalid(wrong) => Reply::text(StatusCode::BAD_REQUEST, format!("{wrong}\n")),
+        Answer::Invalid(reason) => Reply::text(StatusCode::BAD_REQUEST, format!("{reason}\n")),
         Answer::InDoubt => Reply::text(StatusCode::GATEWAY_TIMEOUT, "not known yet\n"),
         Answer::Refused(after) => refused_reply(*after),
     }
@@ -134,8 +137,8 @@
 }
 
 /// Returns a job's state as callers see it.
-fn state_name(shown: JobState) -> &'static str {
-    match shown {
+fn state_name(state: JobState) -> &'static str {
+    match state {
         JobState::Queued => "queued",
         JobState::Running => "running",
         JobState::Completed => "completed",
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what the platform's names are decoded into.
+//! Tests of decoding the platform's messages and of the replies to callers.
 
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_names_the_queue() {
+fn the_host_and_the_longest_matching_prefix_select_the_queue() {
     let queues = queues();
     assert_eq!(queues.version(), 7);
     let (route, rest) = queues.find("a.example", "/q/x/1").expect("a route");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_queue_with_times_of_an_advisor_needs_permits() {
+fn a_queue_with_timings_of_an_advisor_is_advised() {
     let text = CONFIG.replacen(
         "\"stretch\":1.5",
         "\"stretch\":1.5,\"advice\":{\"decide_ms\":40,\"each_ms\":2,\"valid_ms\":3000}",
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_configuration_that_does_not_decode_is_not_taken() {
+fn a_configuration_that_does_not_decode_is_rejected() {
     assert!(config::decode_queues(&row(config::KEY, "{\"version\":")).is_none());
 }
 
@@ -97,7 +97,11 @@
     assert!(second.checkpoints && second.gang && second.one_rack && second.lasting);
     assert!(second.best_effort && second.speculative);
     assert_eq!((second.latency_target, second.disruptions), (50, Some(0)));
-    assert_eq!(second.reserved().cpu, 0, "a filler reserves no processors");
+    assert_eq!(
+        second.reserved().cpu,
+        0,
+        "a best-effort step reserves no processors"
+    );
     let schedule = spec.schedule.expect("a schedule");
     assert_eq!(
         (schedule.rounds, schedule.first, schedule.interval),
@@ -106,7 +110,7 @@
 }
 
 #[test]
-fn wrong_requests_are_told_what_is_wrong() {
+fn invalid_requests_get_a_status_that_says_what_is_wrong() {
     let post = |path, body| refused(Method::POST, path, body).status;
     assert_eq!(post("/none/1", ""), StatusCode::NOT_FOUND);
     assert_eq!(post("/q/short", "{}"), StatusCode::BAD_REQUEST);
@@ -119,7 +123,7 @@
 }
 
 #[test]
-fn answers_say_what_is_true_and_when_to_come_back() {
+fn answers_become_replies_with_their_status_and_retry_time() {
     let refused = ingress::to_reply(&Answer::Refused(500));
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(refused.headers[http::header::RETRY_AFTER], "1");
@@ -148,7 +152,7 @@
 }
 
 #[test]
-fn the_directory_is_decoded() {
+fn entries_of_the_directory_are_decoded() {
     let entries = entries(vec![row("i-1", ENTRY)]);
     assert_eq!(entries[0], ("i-gone".into(), DirectoryEntry::Removed));
     let DirectoryEntry::Listed(worker) = &entries[1].1 else {
@@ -162,13 +166,13 @@
 }
 
 #[test]
-fn entries_of_other_writers_name_no_worker_and_hide_none() {
+fn malformed_entries_are_unusable_and_hide_no_other_entry() {
     let changed = |from: &str, to: &str| {
         let text = ENTRY.replacen(from, to, 1);
         assert_ne!(text, ENTRY, "{from}");
         text
     };
-    let flawed = [
+    let malformed = [
         "".into(),
         "{}".into(),
         "null".into(),
@@ -192,15 +196,15 @@
         changed("{\"", "{\"born\":-5,\""),
         changed("{\"", "{\"born\":1.5,\""),
     ];
-    for text in flawed {
+    for text in malformed {
         let entries = entries(vec![
             row("i-0", ENTRY),
             row("i-1", &text),
             row("i-2", ENTRY),
         ]);
-        let sound = |entry: &DirectoryEntry| matches!(entry, DirectoryEntry::Listed(_));
+        let listed = |entry: &DirectoryEntry| matches!(entry, DirectoryEntry::Listed(_));
         assert_eq!(entries.len(), 4, "{text}");
-        assert!(sound(&entries[1].1) && sound(&entries[3].1), "{text}");
+        assert!(listed(&entries[1].1) && listed(&entries[3].1), "{text}");
         assert_eq!(
             entries[2],
             ("i-1".into(), DirectoryEntry::Unusable),
@@ -217,7 +221,7 @@
 }
 
 #[test]
-fn an_entry_tells_when_its_worker_started_or_does_not() {
+fn the_boot_time_in_an_entry_is_optional() {
     for (start, born) in [
         ("", None),
         ("\"born\":7,", Some(7)),
@@ -233,7 +237,7 @@
 }
 
 #[test]
-fn a_service_without_a_queue_is_named_all_the_same() {
+fn a_service_without_a_queue_still_counts_as_named() {
     let named = CONFIG.replacen("{\"name\":\"s1\"}", "{\"name\":\"s3\"}", 1);
     let queues = config::decode_queues(&row(config::KEY, &named)).expect("decodes");
     assert!(["s1", "s2", "s3"].iter().all(|s| queues.names_service(s)));
@@ -241,12 +245,12 @@
 }
 
 quickcheck::quickcheck! {
-    /// Any bytes in the place of an entry decode to none to use, and hide no other.
-    fn bytes_of_any_kind_hide_no_entry(bytes: Vec<u8>, length: usize) -> bool {
+    /// Arbitrary bytes in place of an entry decode as unusable and hide no other entry.
+    fn arbitrary_bytes_are_unusable_and_hide_no_other_entry(bytes: Vec<u8>, length: usize) -> bool {
         let cut = ENTRY.as_bytes()[..length % ENTRY.len()].to_vec();
         let value = |bytes: Vec<u8>| Row { value: bytes.into(), ..row("i-1", "") };
         let entries = entries(vec![value(bytes), value(cut), row("i-2", ENTRY)]);
-        let flawed = entries[1..3].iter().all(|e| e.1 == DirectoryEntry::Unusable);
-        flawed && matches!(entries[3].1, DirectoryEntry::Listed(_))
+        let malformed = entries[1..3].iter().all(|e| e.1 == DirectoryEntry::Unusable);
+        malformed && matches!(entries[3].1, DirectoryEntry::Listed(_))
     }
 }
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -157,7 +157,7 @@
 
 /// A question to the advisor: which of these workers may run a step.
 #[derive(Serialize)]
-pub struct Advise<'a> {
+pub struct AdviceRequest<'a> {
     pub step: &'a str,
     pub workers: &'a [Name],
 }
