--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -26,31 +26,28 @@
         if completion.number <= worker.last_completion {
             // A completion that is not stored yet is listed in every report.
             if !worker.pending_completions.contains(&completion.number) {
-                let (task, run, how) = (&completion.task, completion.run, completion.outcome);
-                let (number, top) = (completion.number, worker.last_completion);
-                log::info!(target: "task", "task={task} run={run} event=end-passed-over how={how:?} worker={name} number={number} taken_in={top}");
+                let (task, run, outcome) = (&completion.task, completion.run, completion.outcome);
+                let (number, last) = (completion.number, worker.last_completion);
+                log::info!(target: "task", "task={task} run={run} event=end-passed-over how={outcome:?} worker={name} number={number} taken_in={last}");
             }
             return;
         }
         worker.last_completion = completion.number;
         let EndedRun {
-            task,
-            run,
-            outcome: how,
-            ..
+            task, run, outcome, ..
         } = completion;
         let Some(key) = self.find_task(task) else {
             // Its job was removed: nothing has to be stored before the worker may forget it.
-            log::info!(target: "task", "task={task} run={run} event=unknown-end how={how:?} worker={name}");
+            log::info!(target: "task", "task={task} run={run} event=unknown-end how={outcome:?} worker={name}");
             return;
         };
         let Some(incarnation) = self.workers.get(name).map(Worker::incarnation) else {
             return;
         };
-        log::info!(target: "task", "task={task} run={run} event=ended how={how:?} worker={incarnation}");
+        log::info!(target: "task", "task={task} run={run} event=ended how={outcome:?} worker={incarnation}");
         self.mark_begun(key);
         let current = self.workers.get(name).and_then(|w| w.placements.get(&key));
-        let current = current.is_some_and(|s| s.run == completion.run);
+        let current = current.is_some_and(|p| p.run == completion.run);
         if completion.outcome == RunOutcome::Done {
             self.complete_task(key, current);
         } else if current {
@@ -148,7 +145,7 @@
     }
 
     /// Records that a completion is stored, so that the worker may forget it.
-    pub(super) fn acknowledge_completion(&mut self, incarnation: &Incarnation, completion: u64) {
+    pub(super) fn acknowledge_completion(&mut self, incarnation: &Incarnation, number: u64) {
         let now = self.now.steady;
         let name = &incarnation.id;
         // A later incarnation numbers its ends from 1 again.
@@ -159,7 +156,7 @@
         let Some(worker) = worker else {
             return;
         };
-        worker.pending_completions.remove(&completion);
+        worker.pending_completions.remove(&number);
         if worker.pending_completions.is_empty() && matches!(worker.poll, PollState::Due(_)) {
             self.schedule_poll(name, now + BATCH_DELAY);
         }
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -1,8 +1,8 @@
-//! Swapping the places of serving tasks, so that those which the same fillers
-//! slow share their workers.
+//! Swaps of serving tasks between workers, which bring together tasks that suffer from the same
+//! best-effort tasks.
 //!
-//! A filler has to suit all serving tasks beside it. Where a task that bears a
-//! filler stands among tasks that do not, the room beside it is of no use.
+//! A best-effort task has to suit all serving tasks beside it. Where a serving task that tolerates
+//! it runs among tasks that do not, the free capacity beside that task can't be used.
 
 use std::collections::BTreeMap;
 
@@ -15,34 +15,35 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds between two looks.
-const LOOK: Millis = 500;
-/// Fillers that have to wait before places are swapped: else there is room enough.
-const WAITING: usize = 20;
-/// Least gain of a swap, in distances between two images: that of one pair
-/// which differs by a whole in the pressure of two fillers.
-const GAIN: f64 = 2.0;
-/// Swaps that are begun at one look.
-const AT_ONCE: usize = 4;
-/// Tasks that are looked at, those that fit worst: all pairs of them are compared.
-const LOOKED_AT: usize = 80;
+/// Milliseconds between two searches for swaps.
+const SEARCH_INTERVAL: Millis = 500;
+/// Waiting best-effort tasks from which on swaps are made: with fewer there is enough capacity.
+const MIN_WAITING: usize = 20;
+/// Least gain of a swap, as a sum of image distances: that of one pair of images whose
+/// interference factors differ by 1 for two best-effort images.
+const MIN_GAIN: f64 = 2.0;
+/// Most swaps that are begun in one search.
+const MAX_SWAPS: usize = 4;
+/// Most candidates that are compared, pair by pair: those that match their workers worst.
+const MAX_CANDIDATES: usize = 80;
 
-/// A serving task that stands among tasks unlike it.
-struct Misfit {
+/// A serving task that runs beside serving tasks of other images.
+struct Candidate {
     key: TaskKey,
     worker: Name,
     image: ImageNumber,
-    /// Sum of its distances to the other tasks of its worker.
+    /// Sum of the distances of its image to those of the serving tasks of its worker.
     distance: f64,
     /// Images of the serving tasks of its worker.
     images: Vec<ImageNumber>,
 }
 
-fn images(worker: &Worker) -> Vec<ImageNumber> {
+/// Returns the images of the serving tasks of a worker, one for each task.
+fn serving_images(worker: &Worker) -> Vec<ImageNumber> {
     worker.colocation.serving.iter().map(|s| s.image).collect()
 }
 
-/// Returns the sum of the distances of an image to others.
+/// Returns the sum of the distances of an image to other images.
 fn distance_to(distances: &ImageDistances, image: ImageNumber, others: &[ImageNumber]) -> f64 {
     others
         .iter()
@@ -50,9 +51,10 @@
         .sum()
 }
 
-/// Returns by how much less the tasks of both workers are unlike each other after a swap.
-fn gain(distances: &ImageDistances, a: &Misfit, b: &Misfit) -> f64 {
-    // Each takes the place of the other, which is not beside it then.
+/// Returns by how much a swap of two tasks lowers the sum of their distances to the other tasks
+/// of their workers.
+fn swap_gain(distances: &ImageDistances, a: &Candidate, b: &Candidate) -> f64 {
+    // After the swap neither of the two tasks runs beside the other one.
     let apart = distances.between(a.image, b.image);
     let after = distance_to(distances, a.image, &b.images) - apart
         + distance_to(distances, b.image, &a.images)
@@ -61,86 +63,87 @@
 }
 
 impl Owner {
-    /// Begins swaps that make more room for waiting fillers.
+    /// Begins swaps that free capacity for waiting best-effort tasks.
     pub(super) fn swap_serving_tasks(&mut self) {
         let now = self.now.steady;
         if now < self.next_swap || !self.settings.mechanisms.swap {
             return;
         }
-        self.next_swap = now + LOOK;
-        let waits = |key: &&TaskKey| self.jobs[&key.job].step(**key).best_effort;
-        if self.ready.keys().filter(waits).count() < WAITING {
+        self.next_swap = now + SEARCH_INTERVAL;
+        let best_effort = |key: &&TaskKey| self.jobs[&key.job].step(**key).best_effort;
+        if self.ready.keys().filter(best_effort).count() < MIN_WAITING {
             return;
         }
         let distances = self.interference.distances();
-        let mut misfits = self.misfits(&distances);
-        for _ in 0..AT_ONCE {
-            let Some((a, b)) = self.best_swap(&misfits, &distances) else {
+        let mut candidates = self.swap_candidates(&distances);
+        for _ in 0..MAX_SWAPS {
+            let Some((a, b)) = self.best_swap(&candidates, &distances) else {
                 return;
             };
             self.swap(a, b);
             let workers = [a.worker.clone(), b.worker.clone()];
-            misfits.retain(|m| !workers.contains(&m.worker));
+            candidates.retain(|c| !workers.contains(&c.worker));
         }
     }
 
-    /// Returns the tasks that are most unlike the others of their workers, for each
-    /// worker one of each image at most.
-    fn misfits(&self, distances: &ImageDistances) -> Vec<Misfit> {
+    /// Returns the tasks that match the other tasks of their workers worst, at most one of each
+    /// image per worker.
+    fn swap_candidates(&self, distances: &ImageDistances) -> Vec<Candidate> {
         let open = |w: &&Worker| w.promise.is_none() && w.accepts_tasks(self.now.steady);
         let workers = self.workers.values().filter(open);
-        let mut misfits: Vec<Misfit> = workers
-            .flat_map(|w| self.misfits_of(w, distances))
+        let mut candidates: Vec<Candidate> = workers
+            .flat_map(|w| self.worker_candidates(w, distances))
             .collect();
-        misfits.sort_by(|a, b| b.distance.total_cmp(&a.distance));
-        misfits.truncate(LOOKED_AT);
-        misfits
+        candidates.sort_by(|a, b| b.distance.total_cmp(&a.distance));
+        candidates.truncate(MAX_CANDIDATES);
+        candidates
     }
 
-    fn misfits_of(&self, worker: &Worker, distances: &ImageDistances) -> Vec<Misfit> {
-        let images = images(worker);
+    /// Returns the movable serving tasks of a worker, one of each image.
+    fn worker_candidates(&self, worker: &Worker, distances: &ImageDistances) -> Vec<Candidate> {
+        let images = serving_images(worker);
         if images.iter().all(|image| *image == images[0]) {
             return Vec::new();
         }
-        let rested = |run: &Placement| self.now.steady >= run.placed_at + SPARED;
+        let settled = |run: &Placement| self.now.steady >= run.placed_at + SPARED;
         let movable =
-            |run: &Placement| run.serving && run.lasting && run.is_running() && rested(run);
-        let mut misfits: BTreeMap<ImageNumber, Misfit> = BTreeMap::new();
+            |run: &Placement| run.serving && run.lasting && run.is_running() && settled(run);
+        let mut candidates: BTreeMap<ImageNumber, Candidate> = BTreeMap::new();
         for (key, run) in worker.placements.iter().filter(|(_, run)| movable(run)) {
-            if misfits.contains_key(&run.image_number) || !self.may_disrupt(*key) {
+            if candidates.contains_key(&run.image_number) || !self.may_disrupt(*key) {
                 continue;
             }
-            let misfit = Misfit {
+            let candidate = Candidate {
                 key: *key,
                 worker: worker.listing.id.clone(),
                 image: run.image_number,
                 distance: distance_to(distances, run.image_number, &images),
                 images: images.clone(),
             };
-            misfits.insert(run.image_number, misfit);
+            candidates.insert(run.image_number, candidate);
         }
-        misfits.into_values().collect()
+        candidates.into_values().collect()
     }
 
-    /// Returns the two tasks whose swap brings most, if it brings enough.
+    /// Returns the two tasks whose swap gains most, if that is more than `MIN_GAIN`.
     fn best_swap<'a>(
         &self,
-        misfits: &'a [Misfit],
+        candidates: &'a [Candidate],
         distances: &ImageDistances,
-    ) -> Option<(&'a Misfit, &'a Misfit)> {
-        let mut best = GAIN;
+    ) -> Option<(&'a Candidate, &'a Candidate)> {
+        let mut best = MIN_GAIN;
         let mut pair = None;
-        for (place, a) in misfits.iter().enumerate() {
-            for b in &misfits[place + 1..] {
-                // A swap can't gain more than both tasks lose where they are.
+        for (index, a) in candidates.iter().enumerate() {
+            for b in &candidates[index + 1..] {
+                // A swap gains at most the distances of both tasks on their present workers.
                 if a.distance + b.distance <= best {
                     break;
                 }
                 if a.image == b.image || a.worker == b.worker {
                     continue;
                 }
-                let gain = gain(distances, a, b);
-                if gain > best && self.fit_swapped(a, b) {
+                let gain = swap_gain(distances, a, b);
+                if gain > best && self.can_swap(a, b) {
                     best = gain;
                     pair = Some((a, b));
                 }
@@ -149,24 +152,28 @@
         pair
     }
 
-    /// Returns true when each fits in the place of the other.
-    fn fit_swapped(&self, a: &Misfit, b: &Misfit) -> bool {
-        let (here, there) = (&self.workers[&a.worker], &self.workers[&b.worker]);
-        let (Some(x), Some(y)) = (here.placements.get(&a.key), there.placements.get(&b.key)) else {
+    /// Returns true when each of two tasks fits on the worker of the other in its place.
+    fn can_swap(&self, a: &Candidate, b: &Candidate) -> bool {
+        let (worker_a, worker_b) = (&self.workers[&a.worker], &self.workers[&b.worker]);
+        let (Some(run_a), Some(run_b)) = (
+            worker_a.placements.get(&a.key),
+            worker_b.placements.get(&b.key),
+        ) else {
             return false;
         };
-        let fits = here.fits_without(x, y.resources) && there.fits_without(y, x.resources);
-        fits && self.could_run_on(a.key, there) && self.could_run_on(b.key, here)
+        let fits = worker_a.fits_without(run_a, run_b.resources)
+            && worker_b.fits_without(run_b, run_a.resources);
+        fits && self.could_run_on(a.key, worker_b) && self.could_run_on(b.key, worker_a)
     }
 
-    /// Stops both tasks, and keeps the place of each for the other.
-    fn swap(&mut self, a: &Misfit, b: &Misfit) {
-        for (one, other) in [(a, b), (b, a)] {
-            let task = self.task_name(one.key);
-            log::info!(target: "task", "task={task} event=swapped worker={} with={}", one.worker, other.worker);
+    /// Stops both tasks, and reserves the resources of each for the other.
+    fn swap(&mut self, a: &Candidate, b: &Candidate) {
+        for (mover, other) in [(a, b), (b, a)] {
+            let task = self.task_name(mover.key);
+            log::info!(target: "task", "task={task} event=swapped worker={} with={}", mover.worker, other.worker);
             let resources = self.jobs[&other.key.job].step(other.key).reserved();
-            self.promise(other.key, resources, &one.worker);
-            self.interrupted.insert(one.key);
+            self.promise(other.key, resources, &mover.worker);
+            self.interrupted.insert(mover.key);
         }
         self.stop_task(a.key);
         self.stop_task(b.key);
