--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -102,7 +102,7 @@
     }
     *before = ready;
     let (config, owner) = (shared.queues().version(), shared.owner());
-    let epoch = owner.map_or(0, |seen| seen.row.epoch);
+    let epoch = owner.map_or(0, |known| known.row.epoch);
     let store_serves = shared.store_serves();
     log::info!(target: "daemon", "event=ready ready={ready} config={config} epoch={epoch} store_serves={store_serves}");
 }
@@ -126,8 +126,8 @@
     }
 }
 
-/// Reads the settings again. Bounds take effect at once; addresses, cores and names need a
-/// restart, and the log line says so when addresses or cores have changed.
+/// Reads the settings again. The owner's settings take effect at once; addresses, cores and names
+/// need a restart, and the log line says so when addresses or cores have changed.
 fn reload(shared: &Shared, file: &str) {
     let settings = match daemon::load(file) {
         Ok(settings) => settings,
@@ -144,5 +144,5 @@
     let cores_changed = settings.cores != old.cores;
     let restart_needed = addresses_changed || cores_changed;
     log::info!(target: "daemon", "event=reload addresses_changed={addresses_changed} cores_changed={cores_changed} restart_needed={restart_needed}");
-    shared.set_bounds(settings.bounds);
+    shared.set_owner_settings(settings.bounds);
 }
--- a/src/daemon/commits.rs
+++ b/src/daemon/commits.rs
@@ -50,15 +50,15 @@
 ) -> CommitOutcome {
     let mut commit = pin!(commit_if_version(shared, version, writes, COMMIT_TIMEOUT));
     let pause = pin!(sleep(Duration::from_millis(answer_wait)));
-    if let Either::Left((written, _)) = select(commit.as_mut(), pause).await {
-        return written;
+    if let Either::Left((outcome, _)) = select(commit.as_mut(), pause).await {
+        return outcome;
     }
     // The silence may come from a dead connection rather than from the store.
     shared.store.reconnect();
     loop {
         let asked = clock::now();
         let stored = match select(commit.as_mut(), pin!(read_owner(shared))).await {
-            Either::Left((written, _)) => return written,
+            Either::Left((outcome, _)) => return outcome,
             Either::Right((stored, _)) => stored,
         };
         let took = clock::now() - asked;
@@ -75,8 +75,8 @@
             Err(e) => log::debug!(target: "store", "event=owner-unread cause=\"{e}\""),
         }
         let pause = pin!(sleep(Duration::from_millis(READ_PAUSE)));
-        if let Either::Left((written, _)) = select(commit.as_mut(), pause).await {
-            return written;
+        if let Either::Left((outcome, _)) = select(commit.as_mut(), pause).await {
+            return outcome;
         }
     }
 }
--- a/src/daemon/message.rs
+++ b/src/daemon/message.rs
@@ -19,8 +19,8 @@
     PredecessorEnded(u64),
     /// An owner of this later epoch exists.
     Superseded(u64),
-    /// New bounds from reloaded settings.
-    Bounds(OwnerSettings),
+    /// The owner's settings, reloaded.
+    Settings(OwnerSettings),
     /// A box with more cores (this many thousandths) could be the owner.
     StrongerBox(u32),
     /// Release the cell.
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -104,7 +104,7 @@
         (Message::Superseded(epoch), Some(current)) if epoch > current.term.epoch => {
             end_term(shared, local, "superseded");
         }
-        (Message::Bounds(bounds), Some(local)) => local.owner.change_settings(bounds),
+        (Message::Settings(settings), Some(local)) => local.owner.change_settings(settings),
         (Message::StrongerBox(cores), Some(local)) => {
             local.yield_to_stronger(shared.settings.cores, cores)
         }
@@ -156,8 +156,8 @@
 impl LocalOwner {
     /// Passes an event to the owner and performs the actions that it returns.
     fn apply_event(&mut self, shared: &Rc<Shared>, event: Event) {
-        if let Event::CommitEnded(_, written) = &event {
-            self.adapt_answer_wait(written);
+        if let Event::CommitEnded(_, outcome) = &event {
+            self.adapt_answer_wait(outcome);
         }
         let (kind, begun) = (event.kind(), clock::micros());
         let actions = self.owner.handle_event(event, now());
@@ -181,11 +181,11 @@
 
     /// Records how long the last commit took, and waits longer for the next one while the store
     /// is slow.
-    fn adapt_answer_wait(&mut self, written: &CommitOutcome) {
+    fn adapt_answer_wait(&mut self, outcome: &CommitOutcome) {
         let took = clock::now() - self.commit_sent;
         let seconds = took as f64 / 1_000.0;
         crate::metrics::get().commit_seconds.observe(seconds);
-        let wanted = match written {
+        let wanted = match outcome {
             CommitOutcome::Unknown => self.answer_wait,
             _ => took * ANSWER_SPREAD,
         };
@@ -202,10 +202,10 @@
                     let _ = reply.send(answer);
                 }
             }
-            Action::Poll(hold) => {
+            Action::Poll(poll) => {
                 spawn_call(shared, epoch, async move |shared| {
-                    let reply = shared.workers.poll(&hold).await;
-                    Event::Polled(hold, reply)
+                    let reply = shared.workers.poll(&poll).await;
+                    Event::Polled(poll, reply)
                 });
             }
             Action::Start(start) => {
@@ -246,9 +246,9 @@
                 self.commit_sent = clock::now();
                 let answer_wait = self.answer_wait;
                 spawn_call(shared, epoch, async move |shared| {
-                    let written =
+                    let outcome =
                         commit_as_owner(&shared, number, version, &writes, answer_wait).await;
-                    Event::CommitEnded(number, written)
+                    Event::CommitEnded(number, outcome)
                 });
             }
         }
--- a/src/daemon/pings.rs
+++ b/src/daemon/pings.rs
@@ -101,7 +101,7 @@
     let Some(row) = decode::<OwnerRow>(&stored) else {
         return;
     };
-    let known = shared.owner().map_or(0, |seen| seen.row.epoch);
+    let known = shared.owner().map_or(0, |known| known.row.epoch);
     if row.epoch <= known || shared.is_own_row(&row) {
         return;
     }
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -84,7 +84,7 @@
     downtime: Downtime,
     confirmed: Cell<u64>,
     store_answered: Cell<Millis>,
-    bounds: Cell<OwnerSettings>,
+    owner_settings: Cell<OwnerSettings>,
     stopping: Cell<bool>,
     channels: RefCell<HashMap<SocketAddr, Channel>>,
     peer_addresses: RefCell<PeerAddresses>,
@@ -102,7 +102,7 @@
             store: Store::new(settings.store),
             workers: Workers::new(settings.idle),
             advisor: Advisor::new(settings.advisor),
-            bounds: Cell::new(settings.bounds),
+            owner_settings: Cell::new(settings.bounds),
             settings,
             incarnation,
             owner_sender,
@@ -303,15 +303,15 @@
         self.queues().version() > 0 && found && !self.is_stopping()
     }
 
-    /// Returns the bounds in force for the owner's decisions.
-    pub fn bounds(&self) -> OwnerSettings {
-        self.bounds.get()
+    /// Returns the owner's settings in force.
+    pub fn owner_settings(&self) -> OwnerSettings {
+        self.owner_settings.get()
     }
 
-    /// Puts other bounds in force, also for an owner in this process.
-    pub fn set_bounds(&self, bounds: OwnerSettings) {
-        self.bounds.set(bounds);
-        self.send_to_owner(Message::Bounds(bounds));
+    /// Puts other settings of the owner in force, also for an owner in this process.
+    pub fn set_owner_settings(&self, settings: OwnerSettings) {
+        self.owner_settings.set(settings);
+        self.send_to_owner(Message::Settings(settings));
     }
 
     /// Returns true once a planned stop has begun.
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -65,8 +65,8 @@
     let sent = clock::now();
     match commit_if_version(shared, version, &[owner_write(&row)], ACQUIRE_TIMEOUT).await {
         CommitOutcome::Done(version) => take_over(shared, row, version, sent, before).await,
-        written => {
-            log::info!(target: "member", "event=not-acquired epoch={} outcome={}", row.epoch, outcome_label(&written));
+        outcome => {
+            log::info!(target: "member", "event=not-acquired epoch={} outcome={}", row.epoch, outcome_label(&outcome));
             match read_owner(shared).await {
                 Ok(Some(known)) if known.row.same_owner(&row) => {
                     let (row, version) = (known.row, known.version);
@@ -80,8 +80,8 @@
 }
 
 /// Returns the outcome as logged.
-fn outcome_label(written: &CommitOutcome) -> &'static str {
-    match written {
+fn outcome_label(outcome: &CommitOutcome) -> &'static str {
+    match outcome {
         CommitOutcome::Done(_) => "done",
         CommitOutcome::Conflict(_) => "conflict",
         CommitOutcome::NotDone => "not-done",
@@ -111,9 +111,9 @@
     let Some(confirmed) = confirm_ownership(shared, &row).await else {
         return shared.set_loading(None);
     };
-    let (bounds, now) = (shared.bounds(), now());
+    let (settings, now) = (shared.owner_settings(), now());
     let predecessor = PredecessorState::from_row(before.as_ref().map(|b| &b.row), &row.name);
-    let inherited = predecessor.lease_end(&bounds, now.steady);
+    let inherited = predecessor.lease_end(&settings, now.steady);
     let took = now.steady - sent;
     log::info!(target: "owner", "event=owner-begins epoch={epoch} jobs={} unreadable={} load_ms={took}", stored.jobs.len(), stored.unreadable.len());
     shared.set_owner(Some(KnownOwner {
@@ -129,7 +129,7 @@
     // store as soon as it serves.
     let owner_row = row.clone();
     let journal = Journal::new(row, version, confirmed);
-    let mut owner = Owner::new(bounds, journal, stored.jobs, inherited, now);
+    let mut owner = Owner::new(settings, journal, stored.jobs, inherited, now);
     owner.mark_unreadable(stored.unreadable);
     owner.import_interference(stored.interference);
     shared.send_to_owner(Message::Begin(Box::new(owner), epoch, took));
@@ -148,9 +148,9 @@
         released: true,
         ..row
     };
-    let written =
+    let outcome =
         commit_if_version(shared, version, &[owner_write(&released)], ACQUIRE_TIMEOUT).await;
-    log::info!(target: "owner", "event=stops-loading epoch={} outcome={}", released.epoch, outcome_label(&written));
+    log::info!(target: "owner", "event=stops-loading epoch={} outcome={}", released.epoch, outcome_label(&outcome));
 }
 
 /// Returns the write that stores an owner's row.
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -77,7 +77,7 @@
 /// Returns an owner of one job whose row was written at `now`.
 fn owner(now: u64) -> Owner {
     let row = owner_row(7);
-    let bounds = OwnerSettings {
+    let settings = OwnerSettings {
         lease_length: 4_000,
         max_unconfirmed: 10_000,
         max_breach: 4_000,
@@ -92,7 +92,7 @@
         }],
         ..JobSpec::default()
     };
-    let kept = StoredJob {
+    let stored = StoredJob {
         id: "j".into(),
         row: Job::new("j".into(), spec.clone(), queue(), 5).row,
         spec,
@@ -101,7 +101,7 @@
         steady: now,
         wall: now,
     };
-    Owner::new(bounds, Journal::new(row, 1, now), vec![kept], now, at)
+    Owner::new(settings, Journal::new(row, 1, now), vec![stored], now, at)
 }
 
 #[test]
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -74,14 +74,14 @@
     }
 
     /// Polls a worker: extends its lease and returns its report.
-    pub async fn poll(&self, hold: &Poll) -> Reply<Report> {
+    pub async fn poll(&self, poll: &Poll) -> Reply<Report> {
         let body = encode(&wire::Hold {
-            deadline_ms: hold.lease,
-            fence: hold.epoch,
-            last_seen: hold.acknowledged,
-            wait_ms: hold.wait,
+            deadline_ms: poll.lease,
+            fence: poll.epoch,
+            last_seen: poll.acknowledged,
+            wait_ms: poll.wait,
         });
-        let reply = self.send_order(hold.address, "/hold", body, &hold.incarnation.id, hold.wait);
+        let reply = self.send_order(poll.address, "/hold", body, &poll.incarnation.id, poll.wait);
         reply.await.map(to_report)
     }
 
