--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -83,7 +83,7 @@
             self.reservations.remove(&key);
             let worker = self.workers.get_mut(&name);
             if let Some(worker) = worker.filter(|w| w.reserved_task() == Some(key)) {
-                worker.promise = None;
+                worker.reservation = None;
             }
         }
         for key in returned {
@@ -94,7 +94,7 @@
     /// Has a task look for room elsewhere for which it was made on a worker.
     pub(super) fn break_promise(&mut self, name: &Name) {
         let worker = self.workers.get_mut(name);
-        if let Some(promise) = worker.and_then(|w| w.promise.take()) {
+        if let Some(promise) = worker.and_then(|w| w.reservation.take()) {
             self.reservations.remove(&promise.key);
         }
     }
@@ -104,7 +104,7 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        worker.promise = Some(Reservation { key, resources });
+        worker.reservation = Some(Reservation { key, resources });
         self.reservations.insert(key, name.clone());
     }
 
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -89,7 +89,7 @@
     /// Returns the tasks that match the other tasks of their workers worst, at most one of each
     /// image per worker.
     fn swap_candidates(&self, distances: &ImageDistances) -> Vec<Candidate> {
-        let open = |w: &&Worker| w.promise.is_none() && w.accepts_tasks(self.now.steady);
+        let open = |w: &&Worker| w.reservation.is_none() && w.accepts_tasks(self.now.steady);
         let workers = self.workers.values().filter(open);
         let mut candidates: Vec<Candidate> = workers
             .flat_map(|w| self.worker_candidates(w, distances))
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -137,7 +137,7 @@
     /// True when it runs something that is not known here.
     pub unknown_runs: bool,
     /// Room that is being made there for a task.
-    pub promise: Option<Reservation>,
+    pub reservation: Option<Reservation>,
     /// Job of the suspects there, which may crash it: no others are started
     /// meanwhile, as they would go with it and hide whose fault it was.
     pub isolated_job: Option<u32>,
@@ -176,7 +176,7 @@
             quarantined_until: 0,
             cordoned: false,
             unknown_runs: false,
-            promise: None,
+            reservation: None,
             isolated_job: None,
             recently_ended: RecentlyEnded::default(),
             clock_reading: None,
@@ -319,7 +319,7 @@
 
     /// Returns true when it fits beside that and what was promised to another.
     pub fn fits_beside_reservation(&self, key: TaskKey, resources: Resources) -> bool {
-        let other = self.promise.as_ref().filter(|p| p.key != key);
+        let other = self.reservation.as_ref().filter(|p| p.key != key);
         self.fits(other.map_or(resources, |p| resources.plus(p.resources)))
     }
 
@@ -341,14 +341,14 @@
 
     /// Returns the task for which room is kept there.
     pub fn reserved_task(&self) -> Option<TaskKey> {
-        self.promise.as_ref().map(|p| p.key)
+        self.reservation.as_ref().map(|p| p.key)
     }
 
     /// Returns true when a task of this room would fit without a run that is
     /// there, and nothing is promised to another.
     pub fn fits_without(&self, run: &Placement, resources: Resources) -> bool {
         let whole = self.allocated.plus(resources);
-        self.promise.is_none() && whole.within(self.listing.capacity.plus(run.resources))
+        self.reservation.is_none() && whole.within(self.listing.capacity.plus(run.resources))
     }
 
     /// Returns how much of a room is free, in thousandths of its scarcest part.
