--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -1,4 +1,4 @@
-//! Commits of the owner: what they write, and what goes on once they are kept.
+//! The owner's commits: the rows that they write, and what follows once the rows are stored.
 
 use std::collections::HashMap;
 
@@ -15,32 +15,32 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Jobs that are over and still have their large rows, archived at a look at most:
-/// after an upgrade there may be thousands, and starts wait behind them.
-const TIDIED: usize = 8;
+/// Most finished jobs that one pass archives: after an upgrade there may be thousands with
+/// large rows, and starts wait behind their writes.
+const MAX_ARCHIVED: usize = 8;
 
-/// Milliseconds between two writes of what was learned: it is learned anew
-/// within some seconds, at the cost of those.
+/// Milliseconds between two writes of the estimates. A new owner without them learns them
+/// again, which takes some seconds of worse placement.
 const ESTIMATES_INTERVAL: Millis = 3_000;
 
 impl Owner {
-    /// Sends what the store has to hold, if a commit is due.
-    pub(super) fn commit(&mut self) {
+    /// Sends the changed rows if a commit is due.
+    pub(super) fn commit_if_due(&mut self) {
         let (jobs, placed) = (&mut self.jobs, &self.placed_on);
         let rows = |number| {
             let Some(job) = jobs.get_mut(&number) else {
                 return Vec::new();
             };
-            job.archived = job.stored && !job.is_open() && unplaced(placed, number, job);
-            rows(job)
+            job.archived = job.stored && !job.is_open() && is_unplaced(placed, number, job);
+            job_writes(job)
         };
         let Some((number, version, mut writes)) = self.journal.build_commit(self.now.steady, rows)
         else {
             return;
         };
-        writes.extend(self.estimates());
+        writes.extend(self.estimates_write());
         let most = spare_entries(&writes);
-        writes.extend(self.expired(most));
+        writes.extend(self.expiry_writes(most));
         self.actions.push(Action::Commit {
             number,
             version,
@@ -48,59 +48,59 @@
         });
     }
 
-    /// Returns the removals of up to `most` rows that need not be told of any more;
-    /// they go with commits that are sent anyway.
-    fn expired(&mut self, most: usize) -> Vec<Write> {
+    /// Returns the removals of up to `most` finished jobs that ended too long ago to be
+    /// remembered. They are added to commits that are sent anyway.
+    fn expiry_writes(&mut self, most: usize) -> Vec<Write> {
         let end = self.now.wall.saturating_sub(self.settings.retention);
-        let old = self.history.expire(end, most).iter();
+        let expired = self.history.expire(end, most).iter();
         let write = |id| remove(HISTORY_TABLE, id);
-        old.map(write).collect()
+        expired.map(write).collect()
     }
 
-    /// Returns the row of what was learned, now and then.
-    fn estimates(&mut self) -> Option<Write> {
+    /// Returns the write of the interference estimates once per interval.
+    fn estimates_write(&mut self) -> Option<Write> {
         if self.now.steady < self.next_estimates {
             return None;
         }
         self.next_estimates = self.now.steady + ESTIMATES_INTERVAL;
-        let known = self.interference.export()?;
+        let factors = self.interference.export()?;
         Some(Write {
             table: ESTIMATES_TABLE,
             key: INTERFERENCE_KEY.into(),
-            value: Some(crate::table::encode(&known)),
+            value: Some(crate::table::encode(&factors)),
         })
     }
 
-    /// Takes in how a commit went.
-    pub(super) fn written(&mut self, number: u64, written: CommitOutcome) {
-        match self.journal.resolve(number, written, self.now.steady) {
+    /// Handles the outcome of a commit.
+    pub(super) fn commit_ended(&mut self, number: u64, outcome: CommitOutcome) {
+        match self.journal.resolve(number, outcome, self.now.steady) {
             Resolution::Retry => self.history.finish_expiry(false),
             Resolution::Deposed => {
                 self.deposed = true;
             }
             Resolution::Stored(jobs) => {
                 self.history.finish_expiry(true);
-                for (number, afters) in jobs {
-                    self.kept(number, afters);
+                for (number, actions) in jobs {
+                    self.job_stored(number, actions);
                 }
             }
         }
     }
 
-    /// Goes on with what has waited for a job's row to be in the store.
-    fn kept(&mut self, number: u32, afters: Vec<AfterCommit>) {
+    /// Records that a job's rows are in the store and runs the actions that waited for them.
+    fn job_stored(&mut self, number: u32, actions: Vec<AfterCommit>) {
         if let Some(job) = self.jobs.get_mut(&number) {
             job.stored = true;
             job.stored_outcome = job.sent_outcome;
             let ended = job.stored_outcome != Outcome::Open;
             if job.archived {
-                self.archived(number);
+                self.move_to_history(number);
             } else if ended {
                 self.stop_job(number);
             }
         }
-        for after in afters {
-            match after {
+        for action in actions {
+            match action {
                 AfterCommit::Reply(ticket, answer) => self.reply(ticket, answer),
                 AfterCommit::Start(key, run) => self.start_run(key, run),
                 AfterCommit::Acknowledge(worker, end) => self.acknowledge_completion(&worker, end),
@@ -108,21 +108,22 @@
         }
     }
 
-    /// Has some jobs archived that are over and of which nothing is placed any more:
-    /// those that a release before this one left, and those freed without a change.
-    pub(super) fn tidy(&mut self) {
-        let ended = |job: &Job| job.stored_outcome != Outcome::Open && !job.archived;
-        let jobs = self.jobs.iter().filter(|(_, job)| ended(job));
-        let free = jobs.filter(|(number, job)| unplaced(&self.placed_on, **number, job));
-        let numbers: Vec<u32> = free.map(|(number, _)| *number).take(TIDIED).collect();
+    /// Marks some finished jobs without placed tasks as changed, so that the next commit
+    /// archives them: jobs left by an earlier release of the software, and jobs whose last
+    /// task was freed without a change of the row.
+    pub(super) fn archive_finished(&mut self) {
+        let finished = |job: &Job| job.stored_outcome != Outcome::Open && !job.archived;
+        let jobs = self.jobs.iter().filter(|(_, job)| finished(job));
+        let free = jobs.filter(|(number, job)| is_unplaced(&self.placed_on, **number, job));
+        let numbers: Vec<u32> = free.map(|(number, _)| *number).take(MAX_ARCHIVED).collect();
         for number in numbers {
             self.journal.touch(number);
         }
     }
 }
 
-/// Returns true when no task of a job is on a worker, as far as is known.
-fn unplaced(placed: &HashMap<TaskKey, Name>, number: u32, job: &Job) -> bool {
+/// Returns true when no task of a job is known to be on a worker.
+fn is_unplaced(placed: &HashMap<TaskKey, Name>, number: u32, job: &Job) -> bool {
     !job.tasks(number).any(|(key, _)| placed.contains_key(&key))
 }
 
@@ -142,8 +143,8 @@
     }
 }
 
-/// Returns the writes that bring the rows of a job up to date.
-fn rows(job: &mut Job) -> Vec<Write> {
+/// Returns the writes that bring the stored rows of a job up to date.
+fn job_writes(job: &mut Job) -> Vec<Write> {
     job.sent_outcome = job.row.outcome;
     if job.archived {
         let finished = HistoryRow {
@@ -156,9 +157,9 @@
             remove(SPEC_TABLE, &job.id),
         ];
     }
-    let mut rows = vec![put(JOB_TABLE, &job.id, &job.row)];
+    let mut writes = vec![put(JOB_TABLE, &job.id, &job.row)];
     if !job.stored {
-        rows.push(put(SPEC_TABLE, &job.id, &*job.spec));
+        writes.push(put(SPEC_TABLE, &job.id, &*job.spec));
     }
-    rows
+    writes
 }
--- a/src/sched/history.rs
+++ b/src/sched/history.rs
@@ -172,7 +172,7 @@
     }
 
     /// Goes on with the small row of a job whose commit has removed the others.
-    pub(super) fn archived(&mut self, number: u32) {
+    pub(super) fn move_to_history(&mut self, number: u32) {
         let Some(job) = self.jobs.remove(&number) else {
             return;
         };
--- a/src/sched/journal.rs
+++ b/src/sched/journal.rs
@@ -1,8 +1,8 @@
-//! Group commits: changed jobs are written together, one commit at a time.
+//! The owner's group commits: changed jobs are written together, one commit at a time.
 //!
-//! Each commit also rewrites the owner's row on the condition of its version.
-//! So an owner that was replaced writes nothing more, and a commit without an
-//! answer can no longer take effect once a later one has.
+//! Each commit also rewrites the owner's row, on the condition that the row still has the
+//! expected version. An owner that was replaced therefore writes nothing more, and a commit
+//! without an answer can no longer take effect once a later commit has.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, VecDeque};
@@ -18,43 +18,44 @@
 
 /// Table of the owner's row.
 pub const OWNER_TABLE: &str = "owner";
-/// Table of the specifications of jobs, written once.
+/// Table of the specifications of jobs; a specification is written once.
 pub const SPEC_TABLE: &str = "spec";
 /// Table of the states of jobs.
 pub const JOB_TABLE: &str = "job";
-/// Table of jobs that are over.
+/// Table of finished jobs.
 pub const HISTORY_TABLE: &str = "past";
-/// Table of what owners learned.
+/// Table of estimates that owners learned from measurements.
 pub const ESTIMATES_TABLE: &str = "belief";
 /// Key of the interference factors between images.
 pub const INTERFERENCE_KEY: &str = "pressure";
 /// Key of the owner's row.
 pub const OWNER_KEY: &str = "owner";
 
-/// Entries that the store takes in one commit.
-const ENTRIES: usize = 100;
-/// Those beside the rows of jobs: the owner's row, the condition on it and the row of
-/// what was learned.
-const OTHER_ENTRIES: usize = 3;
-/// Most that a job needs: its small row put and the two others removed.
-const JOB_ENTRIES: usize = 3;
-/// Bytes of rows in one commit, half of the store's bound, as rows grow by
-/// a third on the wire.
-const BYTES_LIMIT: usize = 500_000;
-/// Milliseconds between two commits, to let changes gather.
-const PAUSE: Millis = 4;
-/// Milliseconds until a commit that had no effect is tried again, and between
-/// one that is in doubt and the next.
-const RETRY: Millis = 60;
-/// Milliseconds after which an idle owner confirms that it still is the owner.
-const CONFIRM: Millis = 300;
-
-/// Milliseconds in which an owner that gives the cell up writes what has changed
-/// before it says so: some commits. With 1,100 starts a second changes never ceased,
-/// and a planned stop held the cell for the 5.2 s until its process ended.
-const LAST: Millis = 100;
-
-/// The owner's row.
+/// Most entries that the store accepts in one commit.
+const MAX_COMMIT_ENTRIES: usize = 100;
+/// Entries reserved beside the rows of jobs: the owner's row, the condition on it and the
+/// row of estimates.
+const RESERVED_ENTRIES: usize = 3;
+/// Most entries of one job: its history row is put, its state and specification are removed.
+const MAX_JOB_ENTRIES: usize = 3;
+/// Bytes of rows after which no more jobs are added to a commit: half of the store's limit,
+/// as rows grow by a third on the wire.
+const COMMIT_BYTES: usize = 500_000;
+/// Milliseconds between two commits, in which changes gather.
+const COMMIT_PAUSE: Millis = 4;
+/// Milliseconds until a commit that had no effect is retried, and from the sending of a
+/// commit that is in doubt to the next.
+const RETRY_PAUSE: Millis = 60;
+/// Milliseconds after which an owner without changes commits its row, to confirm that it
+/// still is the owner.
+const CONFIRM_INTERVAL: Millis = 300;
+
+/// Milliseconds in which an owner that releases the cell still writes pending changes before
+/// it writes the release: some commits. At 1,100 starts a second changes never cease; without
+/// this limit a planned stop held the cell for 5.2 s, until its process ended.
+const MAX_RELEASE_DELAY: Millis = 100;
+
+/// The row that names the owner of the cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerRow {
     /// Name of the owning box.
@@ -62,28 +63,28 @@
     /// Incarnation of the owning process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Where other boxes reach it.
+    /// Address at which other boxes reach the owner.
     pub address: std::net::SocketAddr,
-    /// Counts owners.
+    /// Epoch of the owner: one higher than that of the owner before.
     pub epoch: u64,
-    /// Counts its commits.
+    /// Number of the owner's last commit.
     pub seq: u64,
-    /// True once no owner before it can extend a lease on a worker.
+    /// True once no earlier owner can extend a lease on a worker.
     #[serde(default)]
     pub settled: bool,
-    /// True once it has given the cell up.
+    /// True once the owner has released the cell.
     #[serde(default)]
     pub released: bool,
-    /// Thousandths of cores that an owner should have: most that one had, or that
-    /// a box has for which the cell was given up.
+    /// Thousandths of cores that an owner should have: the most that any owner had, or those
+    /// of the box for which the cell was released.
     #[serde(default)]
     pub cores: u32,
 }
 
 impl OwnerRow {
-    /// Returns true when both were written by the same life of the same box as
-    /// the same owner. Boxes that start in the same millisecond share the
-    /// number of their life.
+    /// Returns true when both rows were written by the same incarnation of the same box in
+    /// the same epoch. The name is compared as well because boxes that start in the same
+    /// millisecond have the same incarnation number.
     pub fn same_owner(&self, other: &Self) -> bool {
         self.name == other.name
             && self.incarnation == other.incarnation
@@ -91,90 +92,90 @@
     }
 }
 
-/// What waits for a job's row to be in the store.
+/// An action that waits until a job's row is in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AfterCommit {
-    /// The answer to a caller.
+    /// Answers a caller.
     Reply(Ticket, Answer),
-    /// The start of a run.
+    /// Starts a run.
     Start(TaskKey, u32),
-    /// The acknowledgement of an end to a worker.
+    /// Acknowledges a completion to the worker that reported it.
     Acknowledge(Incarnation, u64),
 }
 
-/// Returns how many more writes a commit with these has room for.
+/// Returns how many more writes fit into a commit with the given ones.
 pub fn spare_entries(writes: &[Write]) -> usize {
-    // One is the condition.
-    ENTRIES.saturating_sub(writes.len() + 1)
+    // One entry is the condition.
+    MAX_COMMIT_ENTRIES.saturating_sub(writes.len() + 1)
 }
 
-/// How the last commit changed what is known.
+/// What the outcome of a commit means for the jobs in it.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Resolution {
-    /// The jobs are in the store as they were when it was built.
+    /// The jobs are in the store as they were when the commit was built.
     Stored(Vec<(u32, Vec<AfterCommit>)>),
-    /// Nothing is settled; it will be written again.
+    /// The jobs will be written again.
     Retry,
     /// Another box owns the cell.
     Deposed,
 }
 
-/// A commit on its way.
-struct Flight {
+/// A commit that was sent and has not ended.
+struct InFlight {
     number: u64,
     sent: Millis,
     released: bool,
     jobs: Vec<(u32, Vec<AfterCommit>)>,
 }
 
-/// The owner's commits.
+/// The changes that are to be written, and the state of the owner's commits.
 pub struct Journal {
     row: OwnerRow,
     /// Version of the owner's row in the store.
     version: u64,
     /// Changed jobs in the order in which they are written.
-    order: VecDeque<u32>,
-    /// The same jobs, with what waits for their rows.
-    waiting: BTreeMap<u32, Vec<AfterCommit>>,
-    flight: Option<Flight>,
+    queue: VecDeque<u32>,
+    /// The same jobs, with the actions that wait for their rows.
+    changed: BTreeMap<u32, Vec<AfterCommit>>,
+    in_flight: Option<InFlight>,
     /// When the next commit may be sent.
-    next: Millis,
-    /// When the store last confirmed that this is the owner: when a commit that took
-    /// effect was sent, or the read after the load.
+    next_commit: Millis,
+    /// When the last call was sent by which the store confirmed this owner: a commit that
+    /// took effect, or the read after the load.
     confirmed: Millis,
-    /// When an idle owner confirms it again. A new one does so at once: its row has not
-    /// changed while it loaded, and others may wait for that.
-    idle: Millis,
-    /// Milliseconds that the last commit took.
-    took: Millis,
-    /// True while the outcome of a commit is not known.
+    /// When an owner without changes confirms itself again. A new owner does so at once: its
+    /// row did not change while it loaded, and other boxes may wait for such a change.
+    next_confirm: Millis,
+    /// Milliseconds that the last successful commit took.
+    last_duration: Millis,
+    /// True while the outcome of a commit is unknown.
     in_doubt: bool,
     /// True when the last commit that ended is not known to have taken effect.
     failed: bool,
-    /// Since when the cell is to be given up.
-    leaving: Option<Millis>,
-    /// True once the store holds that the cell was given up.
-    left: bool,
+    /// Since when the cell is being released.
+    releasing_since: Option<Millis>,
+    /// True once the release is in the store.
+    released: bool,
 }
 
 impl Journal {
-    /// Returns the journal of an owner whose row was written as `version`, and which the
-    /// store confirmed by a call sent at `now`.
+    /// Returns the journal of an owner whose row has the given version, and which the store
+    /// confirmed by a call sent at `now`.
     pub fn new(row: OwnerRow, version: u64, now: Millis) -> Self {
         Self {
             row,
             version,
-            order: VecDeque::new(),
-            waiting: BTreeMap::new(),
-            flight: None,
-            next: now,
+            queue: VecDeque::new(),
+            changed: BTreeMap::new(),
+            in_flight: None,
+            next_commit: now,
             confirmed: now,
-            idle: now,
-            took: 0,
+            next_confirm: now,
+            last_duration: 0,
             in_doubt: false,
             failed: false,
-            leaving: None,
-            left: false,
+            releasing_since: None,
+            released: false,
         }
     }
 
@@ -183,17 +184,17 @@
         self.row.epoch
     }
 
-    /// Returns when the last commit that took effect was sent.
+    /// Returns when the last call was sent by which the store confirmed this owner.
     pub fn last_confirmed(&self) -> Millis {
         self.confirmed
     }
 
-    /// Returns the milliseconds that the last commit took.
+    /// Returns the milliseconds that the last successful commit took.
     pub fn last_commit_duration(&self) -> Millis {
-        self.took
+        self.last_duration
     }
 
-    /// Returns true while the outcome of a commit is not known.
+    /// Returns true while the outcome of a commit is unknown.
     pub fn in_doubt(&self) -> bool {
         self.in_doubt
     }
@@ -205,89 +206,94 @@
 
     /// Marks a job as changed.
     pub fn touch(&mut self, job: u32) {
-        if let Entry::Vacant(entry) = self.waiting.entry(job) {
+        if let Entry::Vacant(entry) = self.changed.entry(job) {
             entry.insert(Vec::new());
-            self.order.push_back(job);
+            self.queue.push_back(job);
         }
     }
 
-    /// Marks a job as changed, with what waits for its row.
-    pub fn run_after_commit(&mut self, job: u32, after: AfterCommit) {
+    /// Marks a job as changed, with an action to run once its row is stored.
+    pub fn run_after_commit(&mut self, job: u32, action: AfterCommit) {
         self.touch(job);
-        if let Some(list) = self.waiting.get_mut(&job) {
-            list.push(after);
+        if let Some(list) = self.changed.get_mut(&job) {
+            list.push(action);
         }
     }
 
-    /// Has the row say that no owner before can extend a lease any more.
+    /// Records in the owner's row that no earlier owner can extend a lease any more.
     pub fn mark_predecessors_ended(&mut self) {
         self.row.settled = true;
     }
 
-    /// Gives the cell up once what has changed is written, or soon.
+    /// Releases the cell once all changes are written, or after a short delay.
     pub fn release(&mut self, now: Millis) {
-        self.leaving.get_or_insert(now);
-        self.next = now;
+        self.releasing_since.get_or_insert(now);
+        self.next_commit = now;
     }
 
-    /// Gives the cell up to a box with so many thousandths of cores.
+    /// Releases the cell for a box with this many thousandths of cores.
     pub fn make_way(&mut self, cores: u32, now: Millis) {
         self.row.cores = cores;
         self.release(now);
     }
 
-    /// Returns true once the cell is to be given up.
+    /// Returns true once the cell is being released.
     pub fn is_releasing(&self) -> bool {
-        self.leaving.is_some()
+        self.releasing_since.is_some()
     }
 
-    /// Returns true once the store holds the release. Changes that it does not hold
-    /// are found by the next owner as after a lost one.
+    /// Returns true once the release is in the store. The next owner recovers changes that
+    /// are not in the store as after an owner that failed.
     pub fn is_released(&self) -> bool {
-        self.left
+        self.released
     }
 
-    /// Returns when the next commit is due, unless one is on its way.
+    /// Returns when the next commit is due; `None` while one is in flight.
     pub fn next_due(&self) -> Option<Millis> {
-        let idle = match self.order.is_empty() && !self.is_releasing() {
-            true => self.idle,
+        let confirm = match self.queue.is_empty() && !self.is_releasing() {
+            true => self.next_confirm,
             false => 0,
         };
-        self.flight.is_none().then_some(self.next.max(idle))
+        self.in_flight
+            .is_none()
+            .then_some(self.next_commit.max(confirm))
     }
 
-    /// Returns the next commit when one is due; `rows` gives the rows of a job.
+    /// Returns the next commit if one is due: its number, the version that the owner's row
+    /// must have, and the writes. `rows` returns the writes of a job.
     pub fn build_commit(
         &mut self,
         now: Millis,
         mut rows: impl FnMut(u32) -> Vec<Write>,
     ) -> Option<(u64, u64, Vec<Write>)> {
-        let idle = now >= self.idle || self.is_releasing();
-        let waits = self.flight.is_some() || now < self.next || self.left;
-        if waits || (self.order.is_empty() && !idle) {
+        let confirm = now >= self.next_confirm || self.is_releasing();
+        let blocked = self.in_flight.is_some() || now < self.next_commit || self.released;
+        if blocked || (self.queue.is_empty() && !confirm) {
             return None;
         }
         self.row.seq += 1;
         let mut writes = Vec::new();
         let mut jobs = Vec::new();
         let mut bytes = 0;
-        let most = ENTRIES - OTHER_ENTRIES - JOB_ENTRIES;
-        while writes.len() <= most && bytes < BYTES_LIMIT {
-            let Some(job) = self.order.pop_front() else {
+        let most = MAX_COMMIT_ENTRIES - RESERVED_ENTRIES - MAX_JOB_ENTRIES;
+        while writes.len() <= most && bytes < COMMIT_BYTES {
+            let Some(job) = self.queue.pop_front() else {
                 break;
             };
-            let list = self.waiting.remove(&job).unwrap_or_default();
-            let made = rows(job);
+            let actions = self.changed.remove(&job).unwrap_or_default();
+            let job_writes = rows(job);
             let size = |w: &Write| w.value.as_ref().map_or(0, Bytes::len);
-            bytes += made.iter().map(size).sum::<usize>();
-            writes.extend(made);
-            jobs.push((job, list));
+            bytes += job_writes.iter().map(size).sum::<usize>();
+            writes.extend(job_writes);
+            jobs.push((job, actions));
         }
-        let last = self.leaving.is_some_and(|since| now >= since + LAST);
-        self.row.released |= last || (self.is_releasing() && self.order.is_empty());
-        writes.push(self.own_row());
+        let overdue = self
+            .releasing_since
+            .is_some_and(|since| now >= since + MAX_RELEASE_DELAY);
+        self.row.released |= overdue || (self.is_releasing() && self.queue.is_empty());
+        writes.push(self.owner_write());
         let number = self.row.seq;
-        self.flight = Some(Flight {
+        self.in_flight = Some(InFlight {
             number,
             sent: now,
             released: self.row.released,
@@ -296,7 +302,7 @@
         Some((number, self.version, writes))
     }
 
-    fn own_row(&self) -> Write {
+    fn owner_write(&self) -> Write {
         Write {
             table: OWNER_TABLE,
             key: OWNER_KEY.into(),
@@ -304,41 +310,43 @@
         }
     }
 
-    /// Takes in how a commit ended.
-    pub fn resolve(&mut self, number: u64, written: CommitOutcome, now: Millis) -> Resolution {
-        let Some(flight) = self.flight.take_if(|f| f.number == number) else {
+    /// Records the outcome of a commit and returns what it means for the jobs in it.
+    pub fn resolve(&mut self, number: u64, outcome: CommitOutcome, now: Millis) -> Resolution {
+        let Some(commit) = self.in_flight.take_if(|c| c.number == number) else {
             return Resolution::Retry;
         };
-        self.failed = matches!(written, CommitOutcome::NotDone | CommitOutcome::Unknown);
-        match written {
+        self.failed = matches!(outcome, CommitOutcome::NotDone | CommitOutcome::Unknown);
+        match outcome {
             CommitOutcome::Done(version) => {
                 self.version = version;
-                self.confirmed = flight.sent;
-                self.idle = flight.sent + CONFIRM;
-                self.took = now - flight.sent;
+                self.confirmed = commit.sent;
+                self.next_confirm = commit.sent + CONFIRM_INTERVAL;
+                self.last_duration = now - commit.sent;
                 self.in_doubt = false;
-                self.left = flight.released;
-                self.next = now + PAUSE;
-                return Resolution::Stored(flight.jobs);
+                self.released = commit.released;
+                self.next_commit = now + COMMIT_PAUSE;
+                return Resolution::Stored(commit.jobs);
             }
             CommitOutcome::Conflict(row) => {
                 if !self.adopt(row) {
                     return Resolution::Deposed;
                 }
-                self.next = now;
+                self.next_commit = now;
             }
-            CommitOutcome::NotDone => self.next = now + RETRY,
+            CommitOutcome::NotDone => self.next_commit = now + RETRY_PAUSE,
             CommitOutcome::Unknown => {
                 self.in_doubt = true;
-                // A store that resets connections would be asked without a pause.
-                self.next = now.max(flight.sent + RETRY);
+                // Without a pause, a store that resets connections would be called in a
+                // busy loop.
+                self.next_commit = now.max(commit.sent + RETRY_PAUSE);
             }
         }
-        self.restore(flight.jobs);
+        self.restore(commit.jobs);
         Resolution::Retry
     }
 
-    /// Accepts the version of a row that an earlier commit of this owner wrote.
+    /// Adopts the version of the stored row if an earlier commit of this owner wrote it;
+    /// returns false otherwise.
     fn adopt(&mut self, row: Option<(u64, Bytes)>) -> bool {
         let Some((version, value)) = row else {
             return false;
@@ -357,17 +365,17 @@
         own
     }
 
-    /// Puts jobs whose commit had no effect back in front.
+    /// Puts the jobs of a commit that is to be written again back to the front of the queue.
     fn restore(&mut self, jobs: Vec<(u32, Vec<AfterCommit>)>) {
-        for (job, mut list) in jobs.into_iter().rev() {
-            match self.waiting.get_mut(&job) {
+        for (job, mut actions) in jobs.into_iter().rev() {
+            match self.changed.get_mut(&job) {
                 Some(later) => {
-                    list.append(later);
-                    *later = list;
+                    actions.append(later);
+                    *later = actions;
                 }
                 None => {
-                    self.waiting.insert(job, list);
-                    self.order.push_front(job);
+                    self.changed.insert(job, actions);
+                    self.queue.push_front(job);
                 }
             }
         }
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -328,7 +328,7 @@
             }
             Event::Advised(step, asked, reply) => self.advice(step, asked, reply),
             Event::CommitEnded(number, written) => {
-                self.written(number, written);
+                self.commit_ended(number, written);
                 self.answer_parked();
             }
             Event::History(page) => self.merge_history(page),
@@ -347,7 +347,7 @@
             self.poll_due_workers();
         }
         if !self.deposed {
-            self.commit();
+            self.commit_if_due();
         }
         std::mem::take(&mut self.actions)
     }
@@ -380,7 +380,7 @@
         }
         self.measure_backlog();
         self.export_longest_breach();
-        self.tidy();
+        self.archive_finished();
         self.refuse_parked();
         self.own_loads.remove_stale(self.now.steady);
         self.saturated = false;
