--- a/src/sched/tests/crashes.rs
+++ b/src/sched/tests/crashes.rs
@@ -1,18 +1,10 @@
-//! Tasks that crash the workers that start them.
+//! Crashes of workers that are caused by the tasks they start.
 //!
-//! Some tasks brought down each worker that started them, and workers fell silent 200 times
-//! in 100 s. The owner put such a task back among those that wait whenever the life of its
-//! worker ended, as it did with all that ran there, and gave it the next worker: nothing was
-//! counted but runs that a worker reports as failed, and one that is gone reports nothing.
-//!
-//! ```text
-//! 25.806 task=A run=6 event=start worker=i-97 job_age_ms=16626
-//! 25.818 worker=i-97 event=silent reply=Lost
-//! 29.154 worker=i-97 event=over reason=another-life
-//! 29.171 task=A run=7 event=start worker=i-b5 job_age_ms=19990
-//! ```
-//!
-//! The four tasks begun beside run 6 were in their sixth run as well, by no fault of theirs.
+//! Guards against a task that crashes one worker after the other. The owner used to requeue every
+//! task of a worker that was gone and counted only runs that a worker reports as failed; a crashed
+//! worker reports nothing. Such tasks crashed each worker that started them, 12 ms after the start
+//! order, and workers became silent 200 times in 100 s. Tasks that ran beside them were restarted
+//! five times through no fault of their own.
 
 use super::world::{World, job, lasting, step};
 use crate::sched::job::JobState;
@@ -21,11 +13,11 @@
 use crate::sched::spec::StepSpec;
 use crate::utils::clock::Millis;
 
-/// Milliseconds after its start at which such a task crashed its worker.
-const AT_ONCE: Millis = 10;
+/// Milliseconds from the start of a crashing task to the crash of its worker.
+const CRASH_DELAY: Millis = 10;
 
-/// Returns a world whose workers run a lasting job, and a job of three tasks the first of
-/// which crashes its worker.
+/// Returns a world whose workers run a lasting job and a job of three tasks, the first of which
+/// crashes its worker `after` milliseconds.
 fn world(after: Millis) -> World {
     let mut world = World::new(6);
     world.script = |task, _| match task.starts_with("beside") {
@@ -45,17 +37,17 @@
 
 #[test]
 fn a_task_that_crashes_its_workers_is_given_up_after_two() {
-    let mut world = world(AT_ONCE);
+    let mut world = world(CRASH_DELAY);
     world.run(40_000);
     assert_eq!(starts(&world, "bad.0.0.0"), 2, "{:?}", world.crashes.all);
     assert_eq!(world.shown("bad"), Some(JobState::Failed));
     assert_eq!(world.shown("beside"), Some(JobState::Running));
-    assert_eq!(world.running().len(), 12, "all of the other job is at work");
+    assert_eq!(world.running().len(), 12, "all tasks of the other job run");
 }
 
 #[test]
-fn tasks_begun_beside_it_go_on() {
-    let mut world = world(AT_ONCE);
+fn tasks_started_beside_a_crashing_task_complete() {
+    let mut world = world(CRASH_DELAY);
     for number in 0..6 {
         world.submit(&format!("good-{number}"), job(vec![step(4, 300)]));
     }
@@ -69,12 +61,12 @@
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
-/// A worker may be back only after its lease has ended, or not at all: then it may as well
-/// be out of reach, and more of them are needed to tell.
+/// A worker may come back only after its lease has ended, or not at all. It may then just be out
+/// of reach, so that more such losses are needed until the task is given up.
 #[test]
-fn a_crash_counts_when_no_other_life_comes_in_time() {
+fn a_crash_counts_when_the_worker_does_not_come_back_in_time() {
     for back in [9_000, 600_000] {
-        let mut world = world(AT_ONCE);
+        let mut world = world(CRASH_DELAY);
         world.crashes.back = back;
         world.run(60_000);
         let crashes = world.crashes.under("bad.0.0.0");
@@ -87,17 +79,17 @@
     }
 }
 
-/// Workers that are cut off run on. A task is not given up for them, though it was just
-/// started there each time.
+/// Workers that are cut off keep running. A task is not given up because of them, although it
+/// had just been started there each time.
 #[test]
-fn workers_out_of_reach_have_not_crashed() {
+fn workers_out_of_reach_do_not_count_as_crashed() {
     let mut world = World::new(6);
     world.script = |_, _| (4_000, RunOutcome::Done);
     world.submit("j", job(vec![step(1, 500)]));
     for _ in 0..3 {
         world.run(20);
-        let on = world.running()[0].1.clone();
-        world.workers.get_mut(&on).expect("worker").cut = true;
+        let id = world.running()[0].1.clone();
+        world.workers.get_mut(&id).expect("worker").cut = true;
         world.run(5_300);
     }
     world.run(10_000);
@@ -121,8 +113,8 @@
 }
 
 #[test]
-fn counts_outlast_the_owner() {
-    let mut world = world(AT_ONCE);
+fn crash_counts_survive_a_change_of_owner() {
+    let mut world = world(CRASH_DELAY);
     for _ in 0..4 {
         world.run(5_000);
         world.take_over(0);
@@ -134,10 +126,10 @@
     assert_eq!(world.shown("beside"), Some(JobState::Running));
 }
 
-/// Each owner ends while the worker is away, so that none sees it crash.
+/// Each owner is replaced while the worker is away, so that no owner sees the crash.
 #[test]
-fn crashes_that_no_owner_has_seen_count_as_well() {
-    let mut world = world(AT_ONCE);
+fn crashes_that_no_owner_has_seen_are_counted() {
+    let mut world = world(CRASH_DELAY);
     let mut owners = 1;
     while world.shown("bad") != Some(JobState::Failed) {
         if world.crashes.under("bad.0.0.0") >= owners {
@@ -145,14 +137,14 @@
             owners += 1;
         }
         world.run(50);
-        assert!(world.now < 60_000, "it is given up in the end");
+        assert!(world.now < 60_000, "the task is not given up");
     }
     let crashes = world.crashes.under("bad.0.0.0");
     assert!(crashes <= 5, "two starts after the third crash: {crashes}");
 }
 
 #[test]
-fn a_task_is_not_given_up_for_crashes_that_it_has_nothing_to_do_with() {
+fn a_task_is_not_given_up_for_crashes_that_it_did_not_cause() {
     let mut world = World::new(3);
     world.script = |_, _| (600_000, RunOutcome::Done);
     world.submit("long", job(vec![lasting(6, 500)]));
@@ -167,27 +159,27 @@
 }
 
 #[test]
-fn a_worker_that_leaves_as_it_said_has_not_crashed() {
+fn a_worker_that_announced_that_it_leaves_has_not_crashed() {
     let mut world = World::new(2);
     world.script = |_, _| (600_000, RunOutcome::Done);
     world.submit("j", job(vec![step(2, 500)]));
     world.run(500);
     for _ in 0..5 {
-        let on = world.running()[0].1.clone();
-        let worker = world.workers.get_mut(&on).expect("worker");
+        let id = world.running()[0].1.clone();
+        let worker = world.workers.get_mut(&id).expect("worker");
         worker.listing.leaving = true;
         let entry = DirectoryEntry::Listed(worker.listing.clone());
-        world.step(Event::DirectoryChanged(vec![(on.clone(), entry)]));
-        world.crash(&on);
+        world.step(Event::DirectoryChanged(vec![(id.clone(), entry)]));
+        world.crash(&id);
         world.run(6_000);
     }
     assert_eq!(world.shown("j"), Some(JobState::Running));
 }
 
-/// Each worker that turns a start away as unfit gets nothing for a while, so a task that
-/// none can read took all of them out of use: 52 starts in 10 s, and other work waited.
+/// A worker that refuses a start as unfit gets no tasks for a while, so a task that no worker can
+/// read blocked all workers: it was started 52 times in 10 s, while other tasks waited.
 #[test]
-fn a_task_that_no_worker_can_read_does_not_take_them_out_of_use() {
+fn a_task_that_no_worker_can_read_does_not_block_the_workers() {
     let mut world = World::new(4);
     world.workers.values_mut().for_each(|w| w.unfit = true);
     world.submit("bad", job(vec![step(1, 500)]));
@@ -201,10 +193,10 @@
     assert_eq!(world.shown("bad"), Some(JobState::Completed));
 }
 
-/// A worker may list a task that its job does not have: one of an earlier job with the same
-/// id, say. An owner that ends by that is followed by another that reads the same.
+/// A worker may list a task that its job does not have, for example one of an earlier job with the
+/// same id. An owner that crashed on such a report would be followed by one that reads the same.
 #[test]
-fn a_task_that_its_job_does_not_have_ends_no_owner() {
+fn a_report_of_a_task_outside_its_job_does_not_crash_the_owner() {
     let mut world = World::new(1);
     world.script = |_, _| (5_000, RunOutcome::Done);
     world.submit("j", job(vec![step(1, 500)]));
@@ -220,10 +212,10 @@
 }
 
 #[test]
-fn a_gang_one_of_whose_members_crashes_its_workers_is_given_up() {
+fn a_gang_with_a_crashing_member_is_given_up() {
     let mut world = World::new(6);
     world.script = |_, _| (60_000, RunOutcome::Done);
-    world.crashes.by_task.insert("g.0.0.1".into(), AT_ONCE);
+    world.crashes.by_task.insert("g.0.0.1".into(), CRASH_DELAY);
     let gang = StepSpec {
         gang: true,
         ..step(4, 2_000)
@@ -234,13 +226,16 @@
     assert_eq!(world.shown("g"), Some(JobState::Failed));
 }
 
-/// Suspects take a quarter of the workers at most; other work goes on.
+/// At most a quarter of the workers is isolated for suspects, so that other tasks go on.
 #[test]
-fn many_suspects_are_tried_a_few_at_a_time() {
+fn many_suspects_are_started_a_few_at_a_time() {
     let mut world = World::new(8);
     for number in 0..8 {
         let id = format!("bad-{number}");
-        world.crashes.by_task.insert(format!("{id}.0.0.0"), AT_ONCE);
+        world
+            .crashes
+            .by_task
+            .insert(format!("{id}.0.0.0"), CRASH_DELAY);
         world.submit(&id, job(vec![step(1, 2_500)]));
     }
     world.run(3_300);
@@ -252,8 +247,11 @@
     world.run(200);
     while world.crashes.all.len() < 16 {
         world.run(10);
-        assert!(world.workers.len() >= 6, "two of eight are away at most");
-        assert!(world.now < 60_000, "all are tried in the end");
+        assert!(
+            world.workers.len() >= 6,
+            "more than two of eight workers are away"
+        );
+        assert!(world.now < 60_000, "not all suspects were started again");
     }
     world.run(5_000);
     for number in 0..8 {
@@ -262,17 +260,16 @@
     }
 }
 
-/// A third of the workers starts again every three seconds, and another owner takes over
-/// each time or does not. The tasks there are hit by that again and again, some just after
-/// their start, and are none of the cause.
+/// A third of the workers restarts every 3 s, with and without a change of owner each time. Tasks
+/// lose their workers again and again, some just after their start, without being the cause.
 #[test]
-fn tasks_are_not_given_up_where_many_workers_start_again_at_once() {
-    for replaced in [false, true] {
-        start_many_again(replaced);
+fn tasks_are_not_given_up_when_many_workers_restart_at_once() {
+    for new_owner in [false, true] {
+        restart_many_workers(new_owner);
     }
 }
 
-fn start_many_again(replaced: bool) {
+fn restart_many_workers(new_owner: bool) {
     let mut world = World::new(12);
     world.script = |task, _| match task.starts_with("lasting") {
         true => (600_000, RunOutcome::Done),
@@ -286,7 +283,7 @@
             let id = format!("w{}", (wave * 5 + place * 3) % 12);
             world.restart(&id);
         }
-        match replaced {
+        match new_owner {
             true => world.take_over(0),
             false => world.list(),
         }
--- a/src/sched/tests/interference.rs
+++ b/src/sched/tests/interference.rs
@@ -1,4 +1,4 @@
-//! Learned pressure between images.
+//! Interference between images: learning, storing, and halting of best-effort tasks.
 
 use super::world::{World, job, serving, step};
 use crate::sched::interference::InterferenceModel;
@@ -10,67 +10,69 @@
     shares.iter().map(|(i, s)| ((*i).into(), *s)).collect()
 }
 
+/// Returns a model that has learned a noisy and a quiet image beside a serving image.
 fn learned() -> InterferenceModel {
     let mut model = InterferenceModel::default();
     for _ in 0..40 {
-        model.learn(&"serving".into(), &mix(&[("loud", 0.1)]), 0.2, 0.0);
-        model.learn(&"serving".into(), &mix(&[("soft", 0.1)]), 0.0, 0.0);
-        let both = mix(&[("loud", 0.1), ("soft", 0.1)]);
+        model.learn(&"serving".into(), &mix(&[("noisy", 0.1)]), 0.2, 0.0);
+        model.learn(&"serving".into(), &mix(&[("quiet", 0.1)]), 0.0, 0.0);
+        let both = mix(&[("noisy", 0.1), ("quiet", 0.1)]);
         model.learn(&"serving".into(), &both, 0.2, 0.0);
     }
     model
 }
 
+/// Returns the factor of an image on the serving image, without caution.
 fn factor(model: &InterferenceModel, image: &str) -> f64 {
     model.mix_load("serving", &mix(&[(image, 1.0)])).0
 }
 
 #[test]
-fn factors_are_learned_from_what_fillers_take() {
+fn factors_are_learned_from_the_added_load() {
     let model = learned();
-    assert!((factor(&model, "loud") - 2.0).abs() < 0.2);
-    assert!(factor(&model, "soft").abs() < 0.2);
+    assert!((factor(&model, "noisy") - 2.0).abs() < 0.2);
+    assert!(factor(&model, "quiet").abs() < 0.2);
 }
 
 #[test]
-fn the_next_owner_goes_on_with_what_was_learned() {
+fn the_next_owner_adopts_the_learned_factors() {
     let mut before = learned();
     let mut after = InterferenceModel::default();
     after.import(before.export().expect("something was learned"));
-    assert_eq!(factor(&before, "loud"), factor(&after, "loud"));
+    assert_eq!(factor(&before, "noisy"), factor(&after, "noisy"));
     assert!(before.export().is_none(), "nothing new was learned");
 }
 
 #[test]
-fn a_filler_does_not_reserve_processors() {
+fn a_best_effort_task_does_not_reserve_processors() {
     let mut world = World::new(1);
-    let filler = StepSpec {
+    let best_effort = StepSpec {
         best_effort: true,
         ..step(3, 3_000)
     };
-    world.submit("j1", job(vec![filler]));
+    world.submit("j1", job(vec![best_effort]));
     world.run(3_000);
     assert_eq!(world.starts.len(), 3, "only memory bounds them");
 }
 
 #[test]
-fn everything_is_halted_beside_a_task_that_stays_at_its_target() {
+fn all_best_effort_tasks_are_halted_beside_a_task_that_stays_at_its_target() {
     let mut world = World::new(1);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
-    let filler = StepSpec {
+    let best_effort = StepSpec {
         best_effort: true,
         image: "filler".into(),
         ..step(1, 1_000)
     };
     world.submit("serving", job(vec![serving()]));
-    world.submit("filler", job(vec![filler]));
+    world.submit("filler", job(vec![best_effort]));
     world.run(300);
     let run = ActiveRun {
         task: "serving.0.0.0".into(),
         run: 1,
         checkpoint: "".into(),
         progress: 100,
-        // Below where fillers are slowed by what was learned.
+        // Below the tail at which the learned factors slow best-effort tasks.
         gauge: 97,
     };
     for _ in 0..5 {
--- a/src/sched/tests/loads.rs
+++ b/src/sched/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Own loads of serving tasks.
+//! Estimates of the own loads of serving tasks.
 
 use crate::sched::job::StepKey;
 use crate::sched::loads::OwnLoads;
@@ -10,12 +10,12 @@
 };
 
 #[test]
-fn tasks_without_fillers_tell_the_load_of_their_step() {
+fn undisturbed_tasks_determine_the_load_of_their_step() {
     let mut loads = OwnLoads::default();
     for index in 0..3 {
         loads.record(STEP, index, 0.4, 0.0, 1_000);
     }
-    // One beside fillers whose pressure is guessed far too high.
+    // The interference on this task is estimated far too high, with a large variance.
     loads.record(STEP, 3, 0.1, 0.1, 1_000);
     let others = loads
         .estimate_from_others(STEP, 3, 1_100)
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn tasks_that_differ_from_their_step_are_told_by_their_own_readings() {
+fn own_readings_determine_the_load_of_a_task_unlike_its_step() {
     let mut loads = OwnLoads::default();
     for round in 0..100 {
         let now = 1_000 + round * 100;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn old_readings_say_nothing() {
+fn old_readings_are_ignored() {
     let mut loads = OwnLoads::default();
     loads.record(STEP, 0, 0.4, 0.0, 1_000);
     assert!(loads.estimate_from_others(STEP, 1, 10_000).is_none());
--- a/src/sched/tests/overload.rs
+++ b/src/sched/tests/overload.rs
@@ -1,4 +1,4 @@
-//! More work than fits: what callers see of a burst.
+//! Overload: starts and throttling while more work is submitted than the workers can run.
 
 use super::world::{World, job, serving, step};
 use crate::sched::job::JobState;
@@ -6,8 +6,8 @@
 use crate::sched::spec::{RESOURCE_LIMIT, Resources, StepSpec, TIME_LIMIT};
 use crate::utils::clock::Millis;
 
-/// Returns the starts of the last second, with so many tasks waiting behind them.
-fn starts_a_second(waiting: u32) -> usize {
+/// Returns the number of starts in one second after this many tasks were submitted.
+fn starts_per_second(waiting: u32) -> usize {
     let mut world = World::new(60);
     world.script = |_, _| (400, RunOutcome::Done);
     for number in 0..waiting / 20 {
@@ -20,16 +20,16 @@
     world.starts.iter().filter(|s| s.3 > from).count()
 }
 
-/// Room for 16 tasks on each of 60 workers, each for 400 ms and the way there and back.
+/// Each of 60 workers has capacity for 16 tasks, which run for 400 ms plus the delay of the calls.
 #[test]
-fn a_long_queue_holds_no_start_up() {
-    let (short, long) = (starts_a_second(5_000), starts_a_second(14_000));
+fn a_long_queue_does_not_slow_starts() {
+    let (short, long) = (starts_per_second(5_000), starts_per_second(14_000));
     assert!(short > 1_500, "{short}");
     assert!(long * 10 >= short * 9, "{long} of {short}");
 }
 
-/// A step of fillers of one image, of which a worker holds at most two by their memory.
-fn fillers(count: u32) -> StepSpec {
+/// Returns a step of best-effort tasks of one image, of which a worker has memory for two.
+fn best_effort(count: u32) -> StepSpec {
     StepSpec {
         count,
         best_effort: true,
@@ -43,24 +43,26 @@
     }
 }
 
-/// Returns a serving task and two fillers on one worker, and so many fillers that wait.
+/// Returns a world with a serving task and two best-effort tasks on one worker, while `waiting`
+/// more best-effort tasks wait.
 fn beside_serving(waiting: u32) -> World {
     let mut world = World::new(1);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("serving", job(vec![serving()]));
     world.run(100);
-    world.submit("run", job(vec![fillers(2)]));
+    world.submit("run", job(vec![best_effort(2)]));
     world.run(2_500);
     if waiting > 0 {
-        world.submit("wait", job(vec![fillers(waiting)]));
+        world.submit("wait", job(vec![best_effort(waiting)]));
     }
     world.run(300);
     world
 }
 
-/// Returns the lowest pace that is ordered while the tail of the serving task is at this;
-/// reports without a tail, which the fake worker sends between, raise it again.
-fn pace_at(world: &mut World, tail: u64) -> u32 {
+/// Returns the lowest speed that is ordered while the serving task has this tail.
+///
+/// Reports without a tail, which the fake worker sends in between, raise the speed again.
+fn speed_at(world: &mut World, tail: u64) -> u32 {
     let run = ActiveRun {
         task: "serving.0.0.0".into(),
         run: 1,
@@ -78,32 +80,35 @@
 }
 
 #[test]
-fn serving_tasks_make_way_a_little_while_fillers_wait_and_never_beyond_their_target() {
+fn a_backlog_raises_the_load_of_serving_tasks_but_never_beyond_their_target() {
     let (mut calm, mut strained) = (beside_serving(0), beside_serving(40));
     assert_eq!(
         (calm.owner.backlog_level, strained.owner.backlog_level),
         (0.0, 1.0)
     );
     let tails = [25, 30, 35, 40, 45, 50, 55, 60, 65, 70, 75, 80];
-    let calm: u32 = tails.iter().map(|t| pace_at(&mut calm, *t)).sum();
-    let held: u32 = tails.iter().map(|t| pace_at(&mut strained, *t)).sum();
-    assert!(held > calm, "{held}, {calm}");
-    assert_eq!(pace_at(&mut strained, 110), 0, "over its target");
+    let calm_speeds: u32 = tails.iter().map(|t| speed_at(&mut calm, *t)).sum();
+    let strained_speeds: u32 = tails.iter().map(|t| speed_at(&mut strained, *t)).sum();
+    assert!(
+        strained_speeds > calm_speeds,
+        "{strained_speeds}, {calm_speeds}"
+    );
+    assert_eq!(speed_at(&mut strained, 110), 0, "over its target");
 }
 
 #[test]
-fn what_can_earn_nothing_any_more_is_no_strain() {
+fn jobs_whose_value_is_lost_do_not_count_as_backlog() {
     let mut world = beside_serving(40);
-    // Three times the aim of 500 ms beyond twice the run time has passed.
+    // More than three times the goal of the jobs, 500 ms plus twice the run time, has passed.
     world.run(9_000);
     assert!(!world.owner.ready.is_empty());
     assert_eq!(world.owner.backlog_level, 0.0);
 }
 
-/// Callers may declare any run time and size: what is absurd is told so, and what is only
-/// huge ends no owner and holds nobody up.
+/// Callers may declare any run time and size. Absurd declarations are rejected, and merely huge
+/// ones neither crash the owner nor delay other jobs.
 #[test]
-fn huge_declarations_hold_nobody_up() {
+fn huge_declarations_delay_no_other_jobs() {
     let mut world = World::new(1);
     world.script = |_, _| (300, RunOutcome::Done);
     let declared = |cpu: u64, estimate: Millis| {
--- a/src/sched/tests/swaps.rs
+++ b/src/sched/tests/swaps.rs
@@ -1,4 +1,4 @@
-//! Swaps of places between serving tasks.
+//! Swaps of serving tasks between workers.
 
 use super::world::{World, job, lasting, step};
 use crate::sched::message::RunOutcome;
@@ -14,8 +14,8 @@
     }])
 }
 
-/// Returns a job of more fillers than there is memory for.
-fn fillers() -> JobSpec {
+/// Returns a job of more best-effort tasks than fit into the memory of the workers.
+fn best_effort() -> JobSpec {
     let resources = Resources {
         cpu: 100,
         memory: 4_000,
@@ -29,9 +29,9 @@
     }])
 }
 
-/// Returns two workers with a task of each of two images on both; a filler
-/// presses on the images by these factors, and many fillers wait.
-fn mixed(factors: [f64; 2]) -> World {
+/// Returns two workers that each run a serving task of both images, beside which best-effort tasks
+/// interfere by these factors, while many best-effort tasks wait.
+fn mixed_world(factors: [f64; 2]) -> World {
     let mut world = World::new(2);
     world.script = |task, _| match task.starts_with("blocker") {
         true => (500, RunOutcome::Done),
@@ -52,13 +52,13 @@
             model.learn(&image.into(), &mix, factor * 0.2, 0.0);
         }
     }
-    assert_eq!(mixes(&world), 2);
-    world.submit("fillers", fillers());
+    assert_eq!(mixed_workers(&world), 2);
+    world.submit("fillers", best_effort());
     world
 }
 
-/// Returns how many workers run serving tasks of both images.
-fn mixes(world: &World) -> usize {
+/// Returns the number of workers that run serving tasks of both images.
+fn mixed_workers(world: &World) -> usize {
     let runs = |prefix: &str, tasks: &[&String]| tasks.iter().any(|t| t.starts_with(prefix));
     let tasks = world.workers.values().map(|w| w.tasks().collect());
     let mixed = |tasks: &Vec<&String>| runs("even", tasks) && runs("odd", tasks);
@@ -66,19 +66,23 @@
 }
 
 #[test]
-fn tasks_that_bear_a_filler_are_brought_together_while_fillers_wait() {
-    let mut world = mixed([0.0, 4.0]);
+fn tasks_that_tolerate_interference_are_brought_together_while_best_effort_tasks_wait() {
+    let mut world = mixed_world([0.0, 4.0]);
     world.run(8_000);
-    assert_eq!(mixes(&world), 0);
+    assert_eq!(mixed_workers(&world), 0);
     let running = world.running();
     let serving = running.iter().filter(|(t, _)| !t.starts_with("fill"));
-    assert_eq!(serving.count(), 4, "all serve again: {running:?}");
+    assert_eq!(
+        serving.count(),
+        4,
+        "all serving tasks run again: {running:?}"
+    );
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
 #[test]
-fn tasks_that_bear_fillers_alike_stay_where_they_are() {
-    let mut world = mixed([4.0, 4.0]);
+fn tasks_with_equal_interference_are_not_swapped() {
+    let mut world = mixed_world([4.0, 4.0]);
     let before = world.starts.iter().filter(|s| !s.0.starts_with("fill"));
     let before = before.count();
     world.run(8_000);
