--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -1,4 +1,4 @@
-//! What the owner knows of one worker: its room, its tasks and its lease.
+//! The owner's state of one worker: its resources, tasks, polls and lease.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,143 +14,144 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Slowest that a worker's clock runs, in hundredths (the platform's bound).
-const CLOCK_RATE: u64 = 98;
+/// Lowest rate of a worker's clock that the platform allows, in percent of real time.
+const MIN_CLOCK_RATE: u64 = 98;
 /// Milliseconds added to the computed end of a lease, for timers that fire late.
-const LAPSE_MARGIN: Millis = 250;
-/// Milliseconds without an answer after which a worker gets no new tasks: a
-/// long poll and half of one more.
-const SILENT_AFTER: Millis = 1_800;
+const TIMER_MARGIN: Millis = 250;
+/// Milliseconds without an answer after which a worker gets no new tasks: longer than
+/// one long poll and half of the next.
+const ANSWER_TIMEOUT: Millis = 1_800;
 
-/// Returns the longest that a lease of `span` milliseconds may last.
+/// Returns the real time in milliseconds within which a lease of `span` milliseconds on a
+/// worker's clock has ended, however slow that clock is.
 pub fn max_lease_duration(span: Millis) -> Millis {
-    span * 100 / CLOCK_RATE + LAPSE_MARGIN
+    span * 100 / MIN_CLOCK_RATE + TIMER_MARGIN
 }
 
-/// A worker as the platform's directory lists it.
+/// A worker as listed in the platform's directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing {
-    /// Its id, under which it may start again.
+    /// Id of the worker; a restart may keep it.
     pub id: Name,
-    /// When it started.
+    /// When the worker started.
     pub boot: BootTime,
-    /// Service that it belongs to.
+    /// Service that the worker belongs to.
     pub service: Name,
-    /// Where it takes orders.
+    /// Address that accepts orders.
     pub address: SocketAddr,
-    /// Hall in which it stands.
+    /// Hall of the worker.
     pub hall: Name,
-    /// Labels, the rack among them.
+    /// Labels, including the rack.
     pub labels: Vec<Name>,
-    /// Rack in which it stands; empty when that is not known.
+    /// Rack of the worker; empty when unknown.
     pub rack: Name,
-    /// Its whole room.
+    /// Resources of the whole worker.
     pub capacity: Resources,
-    /// True once it has said that it will leave.
+    /// True once the worker has announced that it will leave.
     pub leaving: bool,
-    /// Least milliseconds that it stays once it leaves, from when it was listed.
+    /// Milliseconds that a leaving worker stays at least, from when this was listed.
     pub min_stay: Millis,
 }
 
-/// Processor shares of fillers by image.
+/// Shares of a worker's processors that best-effort tasks use, by image.
 pub(super) type ImageShares = BTreeMap<Name, f64>;
 
-/// A report of a worker's clock.
+/// A reading of a worker's clock.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     /// Milliseconds on the clock of the worker.
     clock: Millis,
-    /// When its report arrived.
-    at: Millis,
+    /// When the reading arrived, on the clock of this box.
+    received: Millis,
 }
 
-/// The exchange with a worker.
+/// State of the next poll of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PollState {
-    /// The next exchange is due at this time.
+    /// The next poll is due at this time.
     Due(Millis),
-    /// An exchange sent at this time has no answer yet.
+    /// The poll sent at this time has no answer yet.
     InFlight(Millis),
 }
 
 /// Whether the directory lists a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Presence {
-    /// It is listed.
+    /// The directory lists the worker.
     Listed,
-    /// Its listing lapsed at this time, around trouble of the store: it may
-    /// come back.
+    /// The listing disappeared at this time, close to an outage of the store: it may come
+    /// back.
     Lapsed(Millis),
-    /// Its entry names no worker to use: another may have written it.
+    /// The entry names no usable worker; another writer may have written it.
     Unusable,
-    /// Its listing was removed.
+    /// The listing was removed.
     Removed,
 }
 
-/// A worker at the owner.
+/// The owner's state of one worker; all but the listing is that of one incarnation.
 #[derive(Clone, Debug)]
 pub(super) struct Worker {
-    /// As listed last; its start may be another than that of the life that is known.
+    /// The last listing, which may be that of another incarnation.
     pub listing: Listing,
-    /// An entry that was passed over, as it is of an earlier start.
+    /// A listing that was ignored because it tells an earlier start.
     pub ignored_listing: Option<Box<Listing>>,
-    /// Start of the life that all else here is known of.
+    /// Start of the known incarnation.
     pub boot: BootTime,
-    /// True from news of another life until its next report.
+    /// True from a sign of another incarnation until the next report.
     pub unverified: bool,
-    /// The most room that it has had: what has shrunk may grow again.
+    /// Largest capacity seen: a worker that has shrunk may grow again.
     pub max_capacity: Resources,
-    /// Whether the directory lists it.
+    /// Whether the directory lists the worker.
     pub presence: Presence,
-    /// When it ends at the earliest, once it is known to leave.
+    /// Earliest time at which the worker ends; none while it is not known to leave.
     pub leaves_at: Option<Millis>,
-    /// Tasks placed there.
+    /// Tasks placed on the worker.
     pub placements: BTreeMap<TaskKey, Placement>,
-    /// Room held by them.
+    /// Resources reserved for these tasks.
     pub allocated: Resources,
-    /// Processor share that fillers there would like.
+    /// Thousandths of cores that best-effort tasks could use beyond what they reserve.
     pub wanted_cpu: u64,
     /// Its serving and best-effort tasks, reduced to what they mean for each other.
     pub colocation: Colocation,
-    /// Lasting tasks there.
+    /// Number of lasting tasks placed on the worker.
     pub lasting_tasks: u32,
-    /// Since when a serving task there is over its target; none while none is.
+    /// Since when a serving task of the worker is over its latency target; none while none is.
     pub over_target_since: Option<Millis>,
-    /// The exchange with it.
+    /// State of the next poll.
     pub poll: PollState,
-    /// Exchanges without an answer in a row.
+    /// Consecutive polls without an answer.
     pub missed_polls: u32,
-    /// When it answered last; 0 for never.
+    /// When the worker last answered a poll; 0 for never.
     pub last_answer: Millis,
-    /// Highest end that was taken in.
+    /// Highest number of a received completion.
     pub last_completion: u64,
-    /// Ends taken in that the store does not hold yet.
+    /// Received completions that are not in the store yet.
     pub pending_completions: BTreeSet<u64>,
-    /// Highest end that it was told to forget, in an exchange that it answered.
+    /// Highest completion that was acknowledged in a poll that the worker answered.
     pub acknowledged: u64,
-    /// Failed runs without a good one between.
+    /// Consecutive failed runs.
     pub failures: u32,
-    /// Until when it gets no new tasks.
+    /// Until when the worker gets no new tasks.
     pub quarantined_until: Millis,
-    /// True while its hall is cordoned.
+    /// True while the worker's hall is cordoned.
     pub cordoned: bool,
-    /// True when it runs something that is not known here.
+    /// True while the worker reports runs that the owner does not know.
     pub unknown_runs: bool,
-    /// Room that is being made there for a task.
+    /// Resources that are being freed on the worker for a task.
     pub reservation: Option<Reservation>,
-    /// Job of the suspects there, which may crash it: no others are started
-    /// meanwhile, as they would go with it and hide whose fault it was.
+    /// Job of the suspects on the worker. No other tasks are started beside them: a crash
+    /// would end these too and hide which task had caused it.
     pub isolated_job: Option<u32>,
     /// Best-effort tasks that ended within the last gauge window.
     pub recently_ended: RecentlyEnded,
-    /// Its clock as reported last.
+    /// Last reading of the worker's clock.
     clock_reading: Option<ClockReading>,
-    /// When every lease given to it here has certainly ended.
+    /// When every lease granted by this owner has certainly ended.
     leases_end: Millis,
 }
 
 impl Worker {
-    /// Returns a worker that was just listed.
+    /// Returns the state of a worker that was listed for the first time.
     pub fn new(listing: Listing, now: Millis) -> Self {
         Self {
             max_capacity: listing.capacity,
@@ -184,9 +185,9 @@
         }
     }
 
-    /// Forgets all but how it is listed and what its contact is: a later life is there.
-    /// Leases given to it end at `granted` at the latest.
-    pub fn begin_incarnation(&mut self, boot: BootTime, granted: Millis) {
+    /// Resets the state for a later incarnation, except for the listing and the poll.
+    /// Leases that orders in flight may still grant end at `leases_end` at the latest.
+    pub fn begin_incarnation(&mut self, boot: BootTime, leases_end: Millis) {
         let next = Self::new(self.listing.clone(), 0);
         let before = std::mem::replace(self, next);
         self.boot = boot;
@@ -194,20 +195,20 @@
         self.leaves_at = before.leaves_at;
         self.cordoned = before.cordoned;
         self.poll = before.poll;
-        self.leases_end = granted.max(before.leases_end);
+        self.leases_end = leases_end.max(before.leases_end);
     }
 
-    /// Returns the life that is known.
+    /// Returns the known incarnation.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation {
             id: self.listing.id.clone(),
             boot: self.boot,
-            clock: self.clock_reading.map_or(0, |h| h.clock),
+            clock: self.clock_reading.map_or(0, |reading| reading.clock),
         }
     }
 
-    /// Returns true when its entry is of the life that is known, as far as that is told:
-    /// room, labels and whether it leaves are those of one life.
+    /// Returns true unless the listing is certainly that of another incarnation. Capacity,
+    /// labels and the leaving flag hold for the incarnation that wrote them only.
     pub fn listing_is_current(&self) -> bool {
         match (self.listing.boot, self.boot) {
             (Some(listed), Some(known)) => listed == known,
@@ -215,12 +216,12 @@
         }
     }
 
-    /// Returns true when it is certain that the known life takes the next order.
+    /// Returns true when the next order certainly reaches the known incarnation.
     pub fn is_incarnation_certain(&self) -> bool {
         self.missed_polls == 0 && !self.unverified
     }
 
-    /// Puts a task there.
+    /// Places a task on the worker.
     pub fn insert(&mut self, key: TaskKey, placement: Placement) {
         self.allocated = self.allocated.plus(placement.resources);
         self.wanted_cpu += placement.unreserved_cpu;
@@ -232,7 +233,7 @@
         self.placements.insert(key, placement);
     }
 
-    /// Takes a task away.
+    /// Removes a task from the worker.
     pub fn remove(&mut self, key: TaskKey, now: Millis) {
         let Some(placement) = self.placements.remove(&key) else {
             return;
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Ends the isolation once no suspect is there.
+    /// Ends the isolation once the worker has no suspect.
     fn update_isolation(&mut self) {
         if self.isolated_job.is_some() {
             let mut suspects = self.placements.iter().filter(|(_, run)| run.suspect);
@@ -260,11 +261,11 @@
         }
     }
 
-    /// Clears the suspects for which `lasted` is true, and returns them.
-    pub fn clear_suspects(&mut self, lasted: impl Fn(&Placement) -> bool) -> Vec<TaskKey> {
+    /// Clears the suspects for which `has_lasted` returns true, and returns them.
+    pub fn clear_suspects(&mut self, has_lasted: impl Fn(&Placement) -> bool) -> Vec<TaskKey> {
         let mut cleared = Vec::new();
         for (key, run) in &mut self.placements {
-            if run.suspect && lasted(run) {
+            if run.suspect && has_lasted(run) {
                 run.suspect = false;
                 cleared.push(*key);
             }
@@ -273,24 +274,27 @@
         cleared
     }
 
-    /// Returns true when a task, a suspect or not, may start beside the suspects there.
+    /// Returns true when a task may start beside the suspects on the worker; `suspect` tells
+    /// whether the task is one itself.
     pub fn admits(&self, key: TaskKey, suspect: bool) -> bool {
         self.isolated_job
             .is_none_or(|job| suspect && job == key.job)
     }
 
-    /// Returns true while a serving task there is over its target: it takes no fillers.
+    /// Returns true while a serving task of the worker is over its latency target: the
+    /// worker gets no best-effort tasks then.
     pub fn is_over_target(&self) -> bool {
         self.over_target_since.is_some()
     }
 
-    /// Returns the share of the worker's processors that a run there uses.
+    /// Returns the share of the worker's processors that a run uses, from 0 to 1: as last
+    /// reported, otherwise as much as its speed allows.
     pub fn cpu_share(&self, run: &Placement) -> f64 {
         let allowed = || run.cpu * u64::from(run.speed) / u64::from(FULL_SPEED);
         run.cpu_used.unwrap_or_else(allowed) as f64 / self.listing.capacity.cpu.max(1) as f64
     }
 
-    /// Takes in how busy a serving task was.
+    /// Records the load and latency of a serving task.
     pub fn update_gauge(&mut self, key: TaskKey, gauge: Gauge) {
         self.colocation.set_own_load(key, gauge.own_load);
         if let Some(placement) = self.placements.get_mut(&key) {
@@ -303,70 +307,75 @@
     fn update_over_since(&mut self) {
         let gauges = self.placements.values().filter_map(|p| p.gauge.as_ref());
         let breaches = gauges.filter_map(|g| g.breach);
-        let current = breaches.filter(|s| s.current);
-        self.over_target_since = current.map(|s| s.since).min();
+        let current = breaches.filter(|breach| breach.current);
+        self.over_target_since = current.map(|breach| breach.since).min();
     }
 
-    /// Returns the processor share that work other than fillers takes.
+    /// Returns the reserved thousandths of cores less those that serving tasks leave idle.
     pub fn busy_cpu(&self) -> u64 {
         self.allocated.cpu - self.colocation.idle_cpu
     }
 
-    /// Returns true when a task of this room fits beside what is there.
+    /// Returns true when a task with these resources fits beside the allocated ones.
     pub fn fits(&self, resources: Resources) -> bool {
         self.allocated.plus(resources).within(self.listing.capacity)
     }
 
-    /// Returns true when it fits beside that and what was promised to another.
+    /// Returns true when a task fits beside the allocated resources and a reservation for
+    /// another task.
     pub fn fits_beside_reservation(&self, key: TaskKey, resources: Resources) -> bool {
-        let other = self.reservation.as_ref().filter(|p| p.key != key);
-        self.fits(other.map_or(resources, |p| resources.plus(p.resources)))
+        let other = self.reservation.as_ref().filter(|r| r.key != key);
+        self.fits(other.map_or(resources, |r| resources.plus(r.resources)))
     }
 
-    /// Returns how many runs there never give way: fillers, and those that last unless
-    /// some of these can be spared.
-    pub fn non_preemptible(&self, spare: bool) -> usize {
-        let fillers = self.colocation.best_effort.len();
+    /// Returns how many runs are never preempted: best-effort tasks, and also lasting ones
+    /// unless `spare_lasting` allows to preempt these.
+    pub fn non_preemptible(&self, spare_lasting: bool) -> usize {
+        let best_effort = self.colocation.best_effort.len();
         let both = self
             .colocation
             .best_effort
             .iter()
-            .filter(|f| f.lasting)
+            .filter(|task| task.lasting)
             .count();
-        match spare {
-            true => fillers,
-            false => fillers + self.lasting_tasks as usize - both,
+        match spare_lasting {
+            true => best_effort,
+            false => best_effort + self.lasting_tasks as usize - both,
         }
     }
 
-    /// Returns the task for which room is kept there.
+    /// Returns the task for which resources are being freed on the worker.
     pub fn reserved_task(&self) -> Option<TaskKey> {
-        self.reservation.as_ref().map(|p| p.key)
+        self.reservation.as_ref().map(|r| r.key)
     }
 
-    /// Returns true when a task of this room would fit without a run that is
-    /// there, and nothing is promised to another.
+    /// Returns true when a task would fit in place of a run, and nothing is reserved for
+    /// another task.
     pub fn fits_without(&self, run: &Placement, resources: Resources) -> bool {
-        let whole = self.allocated.plus(resources);
-        self.reservation.is_none() && whole.within(self.listing.capacity.plus(run.resources))
+        let total = self.allocated.plus(resources);
+        self.reservation.is_none() && total.within(self.listing.capacity.plus(run.resources))
     }
 
-    /// Returns how much of a room is free, in thousandths of its scarcest part.
+    /// Returns how often these resources are free, in thousandths, by the scarcest of them.
     pub fn headroom(&self, resources: Resources) -> u64 {
-        let all = self.listing.capacity;
-        let part = |all: u64, used: u64, wanted: u64| match wanted {
+        let capacity = self.listing.capacity;
+        let ratio = |capacity: u64, allocated: u64, wanted: u64| match wanted {
             0 => u64::MAX,
-            wanted => all.saturating_sub(used) * 1_000 / wanted,
+            wanted => capacity.saturating_sub(allocated) * 1_000 / wanted,
         };
-        part(all.cpu, self.allocated.cpu, resources.cpu)
-            .min(part(all.memory, self.allocated.memory, resources.memory))
-            .min(part(all.gpu, self.allocated.gpu, resources.gpu))
+        ratio(capacity.cpu, self.allocated.cpu, resources.cpu)
+            .min(ratio(
+                capacity.memory,
+                self.allocated.memory,
+                resources.memory,
+            ))
+            .min(ratio(capacity.gpu, self.allocated.gpu, resources.gpu))
     }
 
-    /// Returns true when new tasks may be sent there.
+    /// Returns true when new tasks may be started on the worker.
     pub fn accepts_tasks(&self, now: Millis) -> bool {
-        let offered = !matches!(self.presence, Presence::Removed | Presence::Unusable);
-        offered
+        let usable = !matches!(self.presence, Presence::Removed | Presence::Unusable);
+        usable
             && self.leaves_at.is_none()
             && self.is_answering(now)
             && now >= self.quarantined_until
@@ -376,33 +385,37 @@
             && self.listing_is_current()
     }
 
-    /// Returns true while it answers.
+    /// Returns true while the worker answers its polls.
     pub fn is_answering(&self, now: Millis) -> bool {
-        self.last_answer > 0 && self.missed_polls == 0 && now < self.last_answer + SILENT_AFTER
+        self.last_answer > 0 && self.missed_polls == 0 && now < self.last_answer + ANSWER_TIMEOUT
     }
 
-    /// Takes in a report of its clock.
+    /// Records the clock that the worker sent with its answer to a poll.
     pub fn record_clock(&mut self, clock: Millis, now: Millis) {
-        self.clock_reading = Some(ClockReading { clock, at: now });
+        self.clock_reading = Some(ClockReading {
+            clock,
+            received: now,
+        });
         self.last_answer = now;
     }
 
-    /// Returns the time on its clock at which a lease of `span` ends, and counts it as given.
+    /// Returns the time on the worker's clock at which a lease of `span` milliseconds that is
+    /// granted now ends; none before the clock is known.
     pub fn grant_lease(&mut self, span: Millis, now: Millis) -> Option<Millis> {
-        let heard = self.clock_reading?;
-        let clock = heard.clock + (now - heard.at) * CLOCK_RATE / 100;
+        let reading = self.clock_reading?;
+        let clock = reading.clock + (now - reading.received) * MIN_CLOCK_RATE / 100;
         let end = clock + span;
-        let last = heard.at + max_lease_duration(end - heard.clock);
+        let last = reading.received + max_lease_duration(end - reading.clock);
         self.leases_end = self.leases_end.max(last);
         Some(end)
     }
 
-    /// Returns when every lease given to it here has certainly ended.
+    /// Returns when every lease granted by this owner has certainly ended.
     pub fn lease_end(&self) -> Millis {
         self.leases_end
     }
 
-    /// Returns the highest end up to which all are in the store.
+    /// Returns the highest completion up to which all are in the store.
     fn last_stored_completion(&self) -> u64 {
         match self.pending_completions.first() {
             Some(first) => first - 1,
@@ -410,8 +423,9 @@
         }
     }
 
-    /// Returns up to which end it may forget now; 0 for none. It is told once, and only
-    /// where it is certain which life hears it: a later one would forget ends of its own.
+    /// Returns the completion up to which the worker may forget its ended runs; 0 when there
+    /// is nothing new to acknowledge. Returns 0 also while another incarnation could receive
+    /// it: completions are numbered anew there, and it would forget unreported ones.
     pub fn next_acknowledgement(&self) -> u64 {
         let stored = self.last_stored_completion();
         match self.is_incarnation_certain() && stored > self.acknowledged {
