--- a/src/sched/addresses.rs
+++ b/src/sched/addresses.rs
@@ -1,29 +1,29 @@
-//! Which workers are known at which address.
+//! Index of the known workers by address.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
 use crate::utils::Name;
 
-/// Ids of workers by their addresses, at which several may have been listed.
+/// Ids of the workers at each address; several workers may be listed at one address.
 #[derive(Default)]
 pub(super) struct Addresses {
     ids: HashMap<SocketAddr, BTreeSet<Name>>,
 }
 
 impl Addresses {
-    /// Adds a worker to those at an address.
+    /// Adds a worker at an address.
     pub fn add(&mut self, address: SocketAddr, id: Name) {
         self.ids.entry(address).or_default().insert(id);
     }
 
-    /// Removes a worker from those at an address.
+    /// Removes a worker from an address.
     pub fn remove(&mut self, address: SocketAddr, id: &Name) {
-        let Some(there) = self.ids.get_mut(&address) else {
+        let Some(ids) = self.ids.get_mut(&address) else {
             return;
         };
-        there.remove(id);
-        if there.is_empty() {
+        ids.remove(id);
+        if ids.is_empty() {
             self.ids.remove(&address);
         }
     }
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -114,7 +114,7 @@
         worker.listing = listing;
         worker.cordoned = cordoned;
         if news == BootOrder::Later {
-            self.doubt_incarnation(&id, "entry");
+            self.verify_incarnation(&id, "entry");
         }
     }
 
@@ -126,7 +126,7 @@
             let known = self.workers[&other].boot;
             match compare_boots(known, listing.boot) {
                 BootOrder::Later => self.end_incarnation(&other, IncarnationEnd::Replaced),
-                BootOrder::Same => self.doubt_incarnation(&other, "entry-of-another"),
+                BootOrder::Same => self.verify_incarnation(&other, "entry-of-another"),
                 BootOrder::Earlier => {
                     self.log_earlier_incarnation(id, listing.boot, known, "entry");
                     return false;
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -1,14 +1,15 @@
-//! Lives of workers: one from each start to its end.
+//! Tracks incarnations of workers: each lasts from one start of a worker to its end.
 //!
-//! A worker may start again, under its id or as another at its address. It then holds and
-//! knows nothing of before, and its counts and its clock begin anew. So all that is known of
-//! a worker is known of one life: its runs, the ends that were taken in and acknowledged,
-//! its leases, its clock, its permits and how it fared. News of an earlier life changes
-//! nothing for a later one, whichever way and in whichever order it comes.
+//! A worker may restart under its id, or under another id at its address. A restarted worker
+//! has no runs, and its completion numbers and its clock begin anew. All state of a worker
+//! therefore belongs to one incarnation: its runs, the received and acknowledged completions,
+//! its leases, its clock, its permits and its failures. A message of an earlier incarnation
+//! never changes the state of a later one, from whatever source and in whatever order it
+//! arrives.
 //!
-//! Only a report moves on to a later life, as it lists all that the worker runs. Other news
-//! of one, by the directory or the answer to an order, has a report asked for at once, and
-//! nothing new is started until then.
+//! Only a report switches the state to a later incarnation, as it lists everything that the
+//! worker runs. Another sign of a later incarnation, in the directory or in the answer to an
+//! order, only triggers a poll at once, and nothing new is started until the report arrives.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -24,22 +25,22 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds after the last word of the known life from which one that says that it
-/// started earlier is believed: a clock may have been set back between two starts.
-const CONTRADICTED: Millis = 5_000;
+/// Milliseconds without an answer of the known incarnation after which a report with an
+/// earlier start is accepted: the worker's clock may have been set back before a restart.
+const EARLIER_BOOT_DELAY: Millis = 5_000;
 
-/// When a worker started, in milliseconds since the Unix epoch by its own clock; none
-/// where it does not tell.
+/// When a worker started, in milliseconds since the Unix epoch by its own clock; none if it
+/// does not report that.
 pub type BootTime = Option<Millis>;
 
-/// A worker from one start on.
+/// A worker from one start to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Incarnation {
     /// Id of the worker.
     pub id: Name,
     /// When it started.
     pub boot: BootTime,
-    /// Time on its clock that it had told by then; 0 for none.
+    /// Last reading of the worker's clock when this value was created; 0 for none.
     pub clock: Millis,
 }
 
@@ -52,18 +53,18 @@
     }
 }
 
-/// What news of a worker is about, next to the life that is known.
+/// How a reported incarnation of a worker compares with the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BootOrder {
-    /// The same life, as far as that is told.
+    /// It is the same one, or the start of either is unknown.
     Same,
-    /// A later one.
+    /// It started after the known one.
     Later,
-    /// An earlier one.
+    /// It started before the known one.
     Earlier,
 }
 
-/// Returns which life is told of, where `known` is the one that is known.
+/// Compares the reported start of a worker with that of the known incarnation.
 pub(super) fn compare_boots(known: BootTime, reported: BootTime) -> BootOrder {
     match (known, reported) {
         (Some(known), Some(reported)) if reported > known => BootOrder::Later,
@@ -72,23 +73,23 @@
     }
 }
 
-/// What becomes of a run that was known on a worker when a later life of it reports.
+/// What becomes of a run of an earlier incarnation when a later one reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Resolution {
-    /// The later life has it: its start reached that one.
+    /// The later incarnation has the run: the start reached that one.
     Kept,
-    /// Its start may still reach the later life.
+    /// The start may still reach the later incarnation.
     Doubtful,
-    /// It ended with the earlier life, or never began.
+    /// The run ended with the earlier incarnation, or never began.
     Lost,
 }
 
 impl Resolution {
-    /// Returns the fate of a run; `reported` when the later life lists it.
+    /// Returns the resolution of a run; `reported` tells whether the later incarnation lists it.
     fn of(run: &Placement, reported: bool) -> Self {
         match run.stage {
             _ if reported => Self::Kept,
-            // The report that follows tells.
+            // Resolved when the runs of the same report are reconciled.
             Stage::Inherited => Self::Kept,
             Stage::Recording => Self::Lost,
             _ if run.confirmed_at.is_some() => Self::Lost,
@@ -97,8 +98,8 @@
     }
 }
 
-/// Returns a run as it stands on a later life: which of the two has answered a stop or a
-/// change of speed is not known.
+/// Returns the placement of a run on the later incarnation. Its stage and speed are reset, as
+/// it is unknown which incarnation has answered a stop or a change of speed.
 fn carry_over(run: Placement, resolution: Resolution) -> Placement {
     let stage = match run.stage {
         Stage::Starting | Stage::Running(_) | Stage::Inherited
@@ -117,9 +118,9 @@
     }
 }
 
-/// Takes the runs off an earlier life that the later one has or may have, by what it has
-/// reported, and returns them as they stand there.
-fn remove_carried(
+/// Removes the runs that the later incarnation has or may have, and returns their placements
+/// on that one; `reported` holds the runs that it lists.
+fn remove_carried_runs(
     worker: &mut Worker,
     reported: &BTreeSet<(TaskKey, u32)>,
     now: Millis,
@@ -138,14 +139,14 @@
 }
 
 impl Owner {
-    /// Goes on with the later life of a worker, whose first report this is.
+    /// Switches the state of a worker to a later incarnation on its first report.
     pub(super) fn handle_restart(&mut self, name: &Name, report: &Report) {
         let reported = self.reported_runs(report);
         let now = self.now.steady;
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let carried = remove_carried(worker, &reported, now);
+        let carried = remove_carried_runs(worker, &reported, now);
         let doubtful = carried.iter().filter(|(_, r)| r.stage == Stage::Doubt);
         let doubtful: Vec<TaskKey> = doubtful.map(|(key, _)| *key).collect();
         let (boot, tasks) = (worker.boot, carried.len());
@@ -158,21 +159,22 @@
         self.log_incarnation_end(name, IncarnationEnd::Replaced);
         self.record_crash(name, CrashEvidence::Replaced);
         self.begin_incarnation(name, report.boot, carried);
-        // The other members of a gang are stopped with one that is lost, on this life too.
+        // This also stops the other members of a lost run's gang, those on the later
+        // incarnation too.
         for key in lost {
             self.unplace(key);
         }
-        // One that tells an earlier start was listed while that was not believed.
+        // A listing with an earlier start was ignored until the report confirmed that start.
         if let Some(entry) = entry.filter(|e| e.boot == report.boot) {
             self.apply_listing(name.clone(), *entry);
         }
-        // Once a stop of it was answered, the later life refuses a start that comes late.
+        // An incarnation that has answered a stop refuses a late start of the same run.
         for key in doubtful {
             self.stop_task(key);
         }
     }
 
-    /// Returns the runs of known tasks that a report tells of, as going on or ended.
+    /// Returns the runs of known tasks that a report lists as running or ended.
     fn reported_runs(&self, report: &Report) -> BTreeSet<(TaskKey, u32)> {
         let running = report.running.iter().map(|r| (&r.task, r.run));
         let ended = report.ended.iter().map(|e| (&e.task, e.run));
@@ -181,7 +183,7 @@
             .collect()
     }
 
-    /// Puts a later life in the place of the one before, with the runs that it may have.
+    /// Replaces the state of a worker by that of a later incarnation with the carried runs.
     fn begin_incarnation(
         &mut self,
         name: &Name,
@@ -192,15 +194,14 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        // An order to the earlier life that is on its way may extend the lease of this one
-        // as far as leases go.
+        // An order in flight to the earlier incarnation may grant this one a full lease.
         worker.begin_incarnation(boot, now + max_lease_duration(span));
         for (key, run) in carried {
             worker.insert(key, run);
         }
     }
 
-    /// Passes over news of an earlier life of a worker.
+    /// Logs and counts a message of an earlier incarnation that is ignored.
     pub(super) fn log_earlier_incarnation(
         &self,
         name: &Name,
@@ -212,8 +213,8 @@
         crate::metrics::get().earlier_lives.inc();
     }
 
-    /// Has a worker report at once: it may not be the life that is known.
-    pub(super) fn doubt_incarnation(&mut self, name: &Name, by: &str) {
+    /// Polls a worker at once that may be another incarnation than the known one.
+    pub(super) fn verify_incarnation(&mut self, name: &Name, by: &str) {
         let Some(worker) = self.workers.get_mut(name).filter(|w| !w.unverified) else {
             return;
         };
@@ -222,14 +223,14 @@
         self.schedule_poll(name, self.now.steady);
     }
 
-    /// Returns true when the known life of a worker has been silent for so long that
-    /// another word on when the worker started is believed.
+    /// Returns true when the known incarnation has been silent for so long that a report with
+    /// an earlier start is accepted as that of its successor.
     pub(super) fn accepts_earlier_boot(&self, worker: &Worker) -> bool {
-        let leased = worker.lease_end().max(self.inherited_leases_end);
-        self.now.steady > leased.max(worker.last_answer + CONTRADICTED)
+        let leases_end = worker.lease_end().max(self.inherited_leases_end);
+        self.now.steady > leases_end.max(worker.last_answer + EARLIER_BOOT_DELAY)
     }
 
-    /// Ends the lives that were known at the address at which a worker now answers.
+    /// Ends all other workers that are known at the address where this worker answers.
     pub(super) fn end_others_at_address(&mut self, name: &Name) {
         let Some(address) = self.workers.get(name).map(|w| w.listing.address) else {
             return;
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -165,7 +165,7 @@
         // Its clock goes on from what it had told before the order was sent.
         let another = later || word.clock < incarnation.clock;
         if another {
-            self.doubt_incarnation(&incarnation.id, "answer");
+            self.verify_incarnation(&incarnation.id, "answer");
         }
         !another
     }
