--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -23,7 +23,7 @@
 };
 use crate::sched::message::{CommitOutcome, Write};
 use crate::sched::owner::{Owner, StoredJob};
-use crate::sched::predecessors::{PredecessorState, predecessors};
+use crate::sched::predecessors::{PredecessorState, owners_to_notify};
 use crate::sched::spec::JobSpec;
 use crate::table::{Row, decode, encode};
 use crate::utils::Name;
@@ -135,7 +135,7 @@
     shared.send_to_owner(Message::Begin(Box::new(owner), epoch, took));
     let notice = pings::takeover_notice(shared, &owner_row, version);
     let before = before.map(|b| b.row);
-    for (row, last) in predecessors(before, shared.last_followed(), &owner_row) {
+    for (row, last) in owners_to_notify(before, shared.last_followed(), &owner_row) {
         let call = notify_predecessor(shared.clone(), row, notice.clone(), last);
         monoio::spawn(call);
     }
--- a/src/sched/history.rs
+++ b/src/sched/history.rs
@@ -1,7 +1,7 @@
-//! Jobs that are over: small rows apart from those of open jobs, which a new owner
-//! reads while it already serves.
+//! The history of finished jobs: small rows in a table of their own, which a new owner reads
+//! while it already serves.
 //!
-//! Read with the others, they would keep a new owner from serving for seconds.
+//! Loading them together with the open jobs would delay a new owner's service by seconds.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -14,11 +14,11 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Requests that may wait until all jobs that are over are known: five times the jobs
-/// handed in during the 1.45 s that a caller's box waits, at 28 a second.
-const PARKED: usize = 200;
+/// Most requests that may wait until the history is complete: five times the jobs submitted
+/// during the 1.45 s that a caller's box waits, at 28 jobs a second.
+const MAX_PARKED: usize = 200;
 
-/// Names no task: for runs of jobs that are over, or that no job has.
+/// A key that names no task, for runs whose job is finished or unknown.
 pub(super) const NO_TASK: TaskKey = TaskKey {
     job: u32::MAX,
     round: 0,
@@ -26,81 +26,82 @@
     index: 0,
 };
 
-/// The row of a job that is over.
+/// The row of a finished job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryRow {
-    /// How it ended.
+    /// Final outcome of the job.
     #[serde(rename = "o")]
     pub outcome: Outcome,
-    /// Milliseconds since the Unix epoch of its end.
+    /// When the job ended, in milliseconds since the Unix epoch.
     #[serde(rename = "e")]
     pub ended: Millis,
 }
 
-/// A page of the jobs that are over, as read from the store.
+/// A page of finished jobs, as read from the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HistoryPage {
     /// Jobs by id.
     pub rows: Vec<(Name, HistoryRow)>,
-    /// Ids of those whose rows can't be read.
+    /// Ids of jobs whose rows cannot be read.
     pub unreadable: Vec<Name>,
     /// True when no page follows.
     pub last: bool,
 }
 
-/// The jobs that are over, as far as they are known.
+/// The finished jobs that are known so far.
 #[derive(Default)]
 pub(super) struct History {
-    known: HashMap<Name, HistoryRow>,
-    /// The same jobs by their end, so that a look for expired ones is cheap.
-    order: BTreeSet<(Millis, Name)>,
-    /// Those whose rows the commit on its way removes.
-    leaving: Vec<Name>,
-    /// Those whose rows were removed while older pages may still come.
+    rows: HashMap<Name, HistoryRow>,
+    /// The same jobs by the time of their end, so that expired jobs are found cheaply.
+    by_end: BTreeSet<(Millis, Name)>,
+    /// Jobs whose rows the commit in flight removes.
+    expiring: Vec<Name>,
+    /// Jobs whose rows were removed, kept until all pages were read: an older page may
+    /// still contain them.
     removed: HashSet<Name>,
     /// True once all rows were read.
     is_complete: bool,
-    /// Requests until then about jobs that may be over already.
+    /// Requests that wait until it is known whether their job is finished.
     parked: Vec<(Ticket, JobRequest)>,
 }
 
 impl History {
-    /// Returns a job that is over.
+    /// Returns the row of a finished job.
     pub fn get(&self, id: &str) -> Option<&HistoryRow> {
-        self.known.get(id)
+        self.rows.get(id)
     }
 
-    /// Returns true once an id that is not found here is that of no job.
+    /// Returns true once all rows were read.
     pub fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// Adds a job whose row is in the store.
+    /// Adds a finished job whose row is in the store.
     pub fn add(&mut self, id: Name, row: HistoryRow) {
-        self.order.insert((row.ended, id.clone()));
-        self.known.insert(id, row);
+        self.by_end.insert((row.ended, id.clone()));
+        self.rows.insert(id, row);
     }
 
-    /// Adds a job out of a page that may be older than what this owner wrote.
+    /// Adds a job of a page, which may be older than what this owner has written since.
     fn merge(&mut self, id: Name, row: HistoryRow) {
-        if !self.removed.contains(&id) && !self.known.contains_key(&id) {
+        if !self.removed.contains(&id) && !self.rows.contains_key(&id) {
             self.add(id, row);
         }
     }
 
-    /// Returns up to `most` jobs that ended before `end`, for a commit to remove.
+    /// Returns up to `most` jobs that ended before `end`, for the next commit to remove.
     pub fn expire(&mut self, end: Millis, most: usize) -> &[Name] {
-        let old = self.order.iter().take_while(|(ended, _)| *ended < end);
-        self.leaving = old.take(most).map(|(_, id)| id.clone()).collect();
-        &self.leaving
+        let expired = self.by_end.iter().take_while(|(ended, _)| *ended < end);
+        self.expiring = expired.take(most).map(|(_, id)| id.clone()).collect();
+        &self.expiring
     }
 
-    /// Takes in whether the commit that was to remove rows took effect.
-    pub fn finish_expiry(&mut self, done: bool) {
-        let leaving = std::mem::take(&mut self.leaving);
-        for id in leaving.into_iter().filter(|_| done) {
-            if let Some(row) = self.known.remove(&id) {
-                self.order.remove(&(row.ended, id.clone()));
+    /// Forgets the expiring jobs if the commit that removes their rows took effect.
+    pub fn finish_expiry(&mut self, committed: bool) {
+        let expiring = std::mem::take(&mut self.expiring);
+        for id in expiring.into_iter().filter(|_| committed) {
+            if let Some(row) = self.rows.remove(&id) {
+                self.by_end.remove(&(row.ended, id.clone()));
             }
             if !self.is_complete {
                 self.removed.insert(id);
@@ -108,26 +109,27 @@
         }
     }
 
-    /// Takes in that there are no more rows; returns the requests that waited for that.
+    /// Records that all rows were read; returns the requests that waited for this.
     fn mark_complete(&mut self) -> Vec<(Ticket, JobRequest)> {
         self.is_complete = true;
         self.removed = HashSet::new();
         self.take_parked()
     }
 
-    /// Returns true while requests wait.
+    /// Returns true while requests are parked.
     pub fn has_parked(&self) -> bool {
         !self.parked.is_empty()
     }
 
-    /// Returns the requests that wait, which wait no more.
+    /// Removes and returns the parked requests.
     pub fn take_parked(&mut self) -> Vec<(Ticket, JobRequest)> {
         std::mem::take(&mut self.parked)
     }
 }
 
 impl Owner {
-    /// Takes in a page of the jobs that are over.
+    /// Merges a page of finished jobs into the history; after the last page, handles the
+    /// requests that waited for it.
     pub(super) fn merge_history(&mut self, page: HistoryPage) {
         self.unreadable_jobs.extend(page.unreadable);
         for (id, row) in page.rows {
@@ -139,24 +141,25 @@
             return;
         }
         let parked = self.history.mark_complete();
-        let (jobs, waited) = (self.history.known.len(), parked.len());
-        log::info!(target: "owner", "event=past-known jobs={jobs} parked={waited}");
-        for (ticket, ask) in parked {
-            self.ask(ticket, ask);
+        let (jobs, count) = (self.history.rows.len(), parked.len());
+        log::info!(target: "owner", "event=past-known jobs={jobs} parked={count}");
+        for (ticket, request) in parked {
+            self.ask(ticket, request);
         }
     }
 
-    /// Has a request wait until it is known whether its job is over, or held by a later owner.
-    pub(super) fn park(&mut self, ticket: Ticket, ask: JobRequest) {
-        if self.history.parked.len() >= PARKED {
-            log::info!(target: "job", "job={} event=refused reason=too-many-parked", ask.subject());
+    /// Parks a request until it is known that its job is not finished, and that no later owner
+    /// holds the job. Refuses the request when too many are parked.
+    pub(super) fn park(&mut self, ticket: Ticket, request: JobRequest) {
+        if self.history.parked.len() >= MAX_PARKED {
+            log::info!(target: "job", "job={} event=refused reason=too-many-parked", request.subject());
             return self.reply(ticket, Answer::Refused(COME_BACK));
         }
-        log::info!(target: "job", "job={} event=parked", ask.subject());
-        self.history.parked.push((ticket, ask));
+        log::info!(target: "job", "job={} event=parked", request.subject());
+        self.history.parked.push((ticket, request));
     }
 
-    /// Refuses the requests that wait, as new jobs are, while the store is away.
+    /// Refuses the parked requests while the store is unreachable, as new jobs are refused.
     pub(super) fn refuse_parked(&mut self) {
         if self.history.parked.is_empty() {
             return;
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Goes on with the small row of a job whose commit has removed the others.
+    /// Moves a job to the history once the commit that archives its rows took effect.
     pub(super) fn move_to_history(&mut self, number: u32) {
         let Some(job) = self.jobs.remove(&number) else {
             return;
@@ -186,7 +189,7 @@
         self.history.add(job.id, row);
     }
 
-    /// Returns true when a task, by its name, is of a job that is over.
+    /// Returns true when the named task belongs to a finished job.
     pub(super) fn is_finished_task(&self, task: &str) -> bool {
         parse_task_name(task).is_some_and(|(id, ..)| self.history.get(id).is_some())
     }
--- a/src/sched/predecessors.rs
+++ b/src/sched/predecessors.rs
@@ -1,26 +1,26 @@
-//! What earlier owners may still do when a new one begins.
+//! What earlier owners may still do to workers when a new owner begins.
 
 use super::journal::OwnerRow;
 use super::owner::OwnerSettings;
 use super::worker::max_lease_duration;
 use crate::utils::clock::Millis;
 
-/// What earlier owners may still do to workers.
+/// The state of earlier owners, in ascending order of what they may still do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PredecessorState {
-    /// There was none.
+    /// There was no earlier owner.
     Absent,
-    /// The last one has ended; its leases run out.
+    /// The last owner has ended; the leases that it granted expire.
     Ended,
-    /// The last one may still extend leases, until it hears of its end.
+    /// The last owner may still extend leases, until it learns that it was replaced.
     MayServe,
-    /// One before the last one may.
+    /// An owner before the last one may still extend leases.
     EarlierMayServe,
 }
 
 impl PredecessorState {
-    /// Returns what the owner of the row `before` may still do when the box
-    /// `name` takes its place; a box that follows itself has ended that owner.
+    /// Returns the state of earlier owners when the box `name` replaces the owner of the row
+    /// `before`. A box that replaces itself has already ended its earlier term.
     pub fn from_row(before: Option<&OwnerRow>, name: &str) -> Self {
         match before {
             None => Self::Absent,
@@ -30,31 +30,32 @@
         }
     }
 
-    /// Returns true when no earlier owner can extend a lease any more.
+    /// Returns true when no earlier owner can extend a lease.
     pub fn all_ended(self) -> bool {
         self <= Self::Ended
     }
 
-    /// Returns when leases given by earlier owners have certainly ended, where
-    /// the new one begins at `now`.
-    pub fn lease_end(self, bounds: &OwnerSettings, now: Millis) -> Millis {
+    /// Returns when all leases granted by earlier owners have certainly ended, for a new
+    /// owner that begins at `now`.
+    pub fn lease_end(self, settings: &OwnerSettings, now: Millis) -> Millis {
         match self {
             Self::Absent => now,
-            Self::Ended => now + max_lease_duration(bounds.lease_length),
+            Self::Ended => now + max_lease_duration(settings.lease_length),
             Self::MayServe | Self::EarlierMayServe => {
-                now + bounds.max_unconfirmed + max_lease_duration(bounds.lease_length)
+                now + settings.max_unconfirmed + max_lease_duration(settings.lease_length)
             }
         }
     }
 }
 
-/// Returns the owners in other boxes that a new one tells of itself, each with whether no
-/// other could still act: the one `before` it by the store, and the one that its box
-/// `followed` last.
+/// Returns the owners on other boxes that a new owner notifies of its epoch, each with true
+/// when no other owner could still act: the owner `before` it in the store, and the owner
+/// that its box `followed` last.
 ///
-/// A box whose first load failed finds its own row before it. Told to that alone, the owner
-/// before went on unaware where the store had turned it away, and its followers with it.
-pub fn predecessors(
+/// A box whose first load failed finds its own row before it. If it notified that row's owner
+/// only, an earlier owner that is cut off from the store would go on serving, with its
+/// followers.
+pub fn owners_to_notify(
     before: Option<OwnerRow>,
     followed: Option<OwnerRow>,
     own: &OwnerRow,
@@ -63,8 +64,8 @@
     if state < PredecessorState::MayServe {
         return Vec::new();
     }
-    let known = before.as_ref().map(|b| (b.name.clone(), b.epoch));
-    let followed = followed.filter(|f| Some((f.name.clone(), f.epoch)) != known);
+    let stored = before.as_ref().map(|b| (b.name.clone(), b.epoch));
+    let followed = followed.filter(|f| Some((f.name.clone(), f.epoch)) != stored);
     let before = before.map(|b| (b, state == PredecessorState::MayServe));
     let all = before.into_iter().chain(followed.map(|f| (f, false)));
     let others = all.filter(|(row, _)| row.name != own.name && row.epoch < own.epoch);
--- a/src/sched/tests/predecessors.rs
+++ b/src/sched/tests/predecessors.rs
@@ -2,7 +2,7 @@
 
 use super::world::{BOUNDS, owner_row};
 use crate::sched::journal::OwnerRow;
-use crate::sched::predecessors::{PredecessorState, predecessors};
+use crate::sched::predecessors::{PredecessorState, owners_to_notify};
 use crate::sched::worker::max_lease_duration;
 
 #[test]
@@ -73,19 +73,19 @@
         settled: false,
         ..owner_row(2)
     };
-    let told = predecessors(Some(failed), Some(served.clone()), &own);
+    let told = owners_to_notify(Some(failed), Some(served.clone()), &own);
     assert_eq!(told, [(served, false)]);
 }
 
 #[test]
 fn an_owner_that_has_ended_is_not_told() {
     let (served, own) = (owner_row(1), owner_row(2));
-    let told = predecessors(Some(served.clone()), Some(served.clone()), &own);
+    let told = owners_to_notify(Some(served.clone()), Some(served.clone()), &own);
     assert_eq!(told, [(served.clone(), true)]);
     let released = OwnerRow {
         released: true,
         ..served.clone()
     };
-    assert_eq!(predecessors(Some(released), Some(served), &own), []);
-    assert_eq!(predecessors(None, None, &own), []);
+    assert_eq!(owners_to_notify(Some(released), Some(served), &own), []);
+    assert_eq!(owners_to_notify(None, None, &own), []);
 }
