--- a/src/daemon/frontend.rs
+++ b/src/daemon/frontend.rs
@@ -14,7 +14,7 @@
 use crate::proto::cluster_client::ClusterClient;
 use crate::proto::{AskReply, AskRequest};
 use crate::rpc::client::CallError;
-use crate::sched::COME_BACK;
+use crate::sched::RETRY_AFTER;
 use crate::sched::message::{Answer, JobRequest};
 use crate::utils::clock::{self, Millis};
 use crate::web::{Reply, Request};
@@ -41,7 +41,7 @@
     let queues = shared.queues();
     if queues.version() == 0 {
         log::info!(target: "desk", "event=refused reason=no-config");
-        return ingress::to_reply(&Answer::Refused(COME_BACK));
+        return ingress::to_reply(&Answer::Refused(RETRY_AFTER));
     }
     let job_request = match ingress::parse_request(&request, &queues) {
         Ok(job_request) => job_request,
@@ -122,7 +122,7 @@
     log::info!(target: "desk", "job={id} event=given-up ask={kind} reason={reason} doubt={in_doubt} spent_ms={spent}");
     match in_doubt && changes_state(request) {
         true => Answer::InDoubt,
-        false => Answer::Refused(COME_BACK),
+        false => Answer::Refused(RETRY_AFTER),
     }
 }
 
--- a/src/sched.rs
+++ b/src/sched.rs
@@ -53,7 +53,7 @@
 mod throttling;
 pub mod worker;
 
-pub use admission::COME_BACK;
+pub use admission::RETRY_AFTER;
 
 #[cfg(test)]
 mod tests;
--- a/src/sched/asks.rs
+++ b/src/sched/asks.rs
@@ -9,7 +9,7 @@
 use crate::utils::Name;
 
 impl Owner {
-    pub(super) fn ask(&mut self, ticket: Ticket, ask: JobRequest) {
+    pub(super) fn handle_request(&mut self, ticket: Ticket, ask: JobRequest) {
         if let JobRequest::Submit { id, .. } | JobRequest::Cancel(id) | JobRequest::Show(id) = &ask
             && self.unreadable_jobs.contains(id)
         {
@@ -20,14 +20,14 @@
             JobRequest::Submit { id, spec, queue } => self.submit(ticket, id, spec, queue),
             JobRequest::Cancel(id) => self.cancel(ticket, &id),
             JobRequest::Show(id) => self.show(ticket, &id),
-            JobRequest::Count(queue) => self.count(ticket, &queue),
+            JobRequest::Count(queue) => self.count_waiting(ticket, &queue),
         }
     }
 
     fn submit(&mut self, ticket: Ticket, id: Name, spec: Box<JobSpec>, queue: Queue) {
         if let Some(number) = self.job_numbers.get(&id) {
             let number = *number;
-            return self.answer_kept(ticket, number, Answer::Accepted);
+            return self.answer_once_stored(ticket, number, Answer::Accepted);
         }
         if self.history.get(&id).is_some() {
             return self.reply(ticket, Answer::Accepted);
@@ -37,10 +37,10 @@
             log::warn!(target: "job", "job={id} event=invalid findings={findings:?}");
             return self.reply(ticket, Answer::Invalid(findings.join("; ")));
         }
-        if let Some(obstacle) = self.obstacle(&spec, &queue.service) {
+        if let Some(obstacle) = self.rejection(&spec, &queue.service) {
             let workers = self.workers.len();
             log::info!(target: "job", "job={id} event=refused reason={obstacle:?} workers={workers}");
-            return self.reply(ticket, Answer::Refused(obstacle.come_back()));
+            return self.reply(ticket, Answer::Refused(obstacle.retry_after()));
         }
         if !self.history.is_complete() {
             return self.park(ticket, JobRequest::Submit { id, spec, queue });
@@ -55,7 +55,7 @@
     }
 
     /// Answers once the store holds the job as it is now.
-    fn answer_kept(&mut self, ticket: Ticket, number: u32, answer: Answer) {
+    fn answer_once_stored(&mut self, ticket: Ticket, number: u32, answer: Answer) {
         let job = &self.jobs[&number];
         if job.stored && job.stored_outcome == job.row.outcome {
             return self.reply(ticket, answer);
@@ -74,7 +74,7 @@
         if self.jobs[&number].is_open() {
             self.finish_job(number, Outcome::Cancelled);
         }
-        self.answer_kept(ticket, number, Answer::Cancelled);
+        self.answer_once_stored(ticket, number, Answer::Cancelled);
     }
 
     fn show(&mut self, ticket: Ticket, id: &Name) {
@@ -94,7 +94,7 @@
     /// Answers about a job that is not known, once all that are over were read: it may be
     /// one of them. A later owner may hold it as well, so that there must be none.
     fn not_found(&mut self, ticket: Ticket, ask: JobRequest) {
-        match self.history.is_complete() && self.alone() {
+        match self.history.is_complete() && self.is_sole_owner() {
             true => self.reply(ticket, Answer::Unknown),
             false => self.park(ticket, ask),
         }
@@ -102,20 +102,20 @@
 
     /// Returns true while no other box can be the owner: one that gives the cell up may have
     /// done so by a commit without an answer.
-    fn alone(&self) -> bool {
+    fn is_sole_owner(&self) -> bool {
         !self.is_resigning() && failover::holds_cell(self.journal.last_confirmed(), self.now.steady)
     }
 
     /// Asks those that wait once more, where it has just been confirmed that this is the owner.
     pub(super) fn answer_parked(&mut self) {
-        if self.history.has_parked() && self.history.is_complete() && self.alone() {
+        if self.history.has_parked() && self.history.is_complete() && self.is_sole_owner() {
             for (ticket, ask) in self.history.take_parked() {
-                self.ask(ticket, ask);
+                self.handle_request(ticket, ask);
             }
         }
     }
 
-    fn count(&mut self, ticket: Ticket, queue: &str) {
+    fn count_waiting(&mut self, ticket: Ticket, queue: &str) {
         let waits = |job: &&Job| {
             job.stored && job.is_open() && !job.row.begun && &*job.row.queue.name == queue
         };
--- a/src/sched/backlog.rs
+++ b/src/sched/backlog.rs
@@ -48,7 +48,8 @@
             return 0.0;
         };
         let spec = job.step(step.task(0));
-        let can_earn = || prospect(job, step.round as usize, self.now.wall).0 != Prospect::Lost;
+        let can_earn =
+            || prospect(job, step.round as usize, self.now.wall).0 != Prospect::Worthless;
         match spec.best_effort && !spec.lasting && can_earn() {
             true => spec.resources.cpu as f64 * spec.estimate as f64,
             false => 0.0,
--- a/src/sched/choice.rs
+++ b/src/sched/choice.rs
@@ -13,34 +13,34 @@
 
 /// Score of a whole of pressure beyond what a serving task bears; a quarter of
 /// it counts as much as a worker's load.
-const CLASH: u64 = 6_000;
+const INTERFERENCE_WEIGHT: u64 = 6_000;
 /// Score of a worker outside the rack that holds the data: the work takes
 /// half as long again or longer there.
-const FAR: u64 = 4_000;
+const WRONG_PLACE: u64 = 4_000;
 /// Score of each failed run of late, to try sound workers first.
-const FAILURE: u64 = 1_500;
+const FAILURE_PENALTY: u64 = 1_500;
 /// Score of serving tasks of several images on one worker: more than an empty one,
 /// as a filler has to suit all that it runs beside.
-const MIXED: u64 = 2_500;
+const MIXED_IMAGES: u64 = 2_500;
 /// Score of the first serving task on a worker.
-const OPENED: u64 = 300;
+const FIRST_SERVING: u64 = 300;
 /// Load, in thousandths, above which fillers get less than they could use.
-const FULL: u64 = 900;
+const CROWDED_LOAD: u64 = 900;
 /// Weight of load beyond that.
-const FULL_WEIGHT: u64 = 3;
+const CROWDED_WEIGHT: u64 = 3;
 /// Score from which a filler had better wait: the worker is so full, or so
 /// much would be slowed, that it would hardly run.
-const UNHELPFUL: u64 = 1_700;
+const DEFER_SCORE: u64 = 1_700;
 /// Milliseconds that a filler waits for a better worker; a job that could run
 /// must not idle for 3 s.
-const PATIENCE: Millis = 1_800;
+const MAX_DEFERRAL: Millis = 1_800;
 /// Weight of the load of a worker that a suspect may crash, as all of it would be lost.
-const AT_RISK: u64 = 4;
+const SUSPECT_WEIGHT: u64 = 4;
 /// Whole of a load share.
-const WHOLE: u64 = 1_000;
+const FULL_LOAD: u64 = 1_000;
 
 /// What is asked of a worker for one task.
-pub struct Wish<'a> {
+pub struct PlacementRequest<'a> {
     /// The task.
     pub key: TaskKey,
     /// Service whose workers may run it.
@@ -56,11 +56,11 @@
     /// What is known of how fillers slow serving tasks; none when it does not count.
     pub interference: Option<&'a InterferenceModel>,
     /// True when one more failure ends the job.
-    pub last_try: bool,
+    pub last_attempt: bool,
     /// Worker on which it failed last; empty for none.
-    pub avoid: &'a str,
+    pub last_failed_on: &'a str,
     /// Tasks of the step and round by worker.
-    pub beside: &'a BTreeMap<Name, u32>,
+    pub step_tasks: &'a BTreeMap<Name, u32>,
     /// Workers that may run it; none when all may.
     pub permits: Option<&'a Permits>,
 }
@@ -74,103 +74,104 @@
     /// The step.
     pub step: StepKey,
     /// Scores and workers, the best on top.
-    order: BinaryHeap<Reverse<(u64, Name)>>,
+    by_score: BinaryHeap<Reverse<(u64, Name)>>,
 }
 
 impl Ranking {
     /// Scores all workers for a task.
-    pub fn new(workers: &BTreeMap<Name, Worker>, wish: &Wish<'_>, now: Millis) -> Self {
-        let fitting = workers.values().filter(|w| allowed(w, wish, now));
+    pub fn new(workers: &BTreeMap<Name, Worker>, wish: &PlacementRequest<'_>, now: Millis) -> Self {
+        let fitting = workers.values().filter(|w| fits_now(w, wish, now));
         let scored = fitting.map(|w| Reverse((score(w, wish), w.listing.id.clone())));
         let scored: Vec<_> = scored.collect();
         Self {
             step: wish.key.step_key(),
-            order: scored.into(),
+            by_score: scored.into(),
         }
     }
 
     /// Scores the best worker anew, which took a task.
-    pub fn update(&mut self, worker: &Worker, wish: &Wish<'_>, now: Millis) {
+    pub fn update(&mut self, worker: &Worker, wish: &PlacementRequest<'_>, now: Millis) {
         let id = &worker.listing.id;
         let best = self
-            .order
+            .by_score
             .peek()
             .is_some_and(|Reverse((_, best))| best == id);
         if best {
-            self.order.pop();
+            self.by_score.pop();
         }
-        if best && allowed(worker, wish, now) {
-            self.order.push(Reverse((score(worker, wish), id.clone())));
+        if best && fits_now(worker, wish, now) {
+            self.by_score
+                .push(Reverse((score(worker, wish), id.clone())));
         }
     }
 
     /// Returns the worker on which a task does best, none when it fits nowhere or
     /// had better wait.
-    pub fn best(&self, wish: &Wish<'_>) -> Option<Name> {
-        let Reverse((score, id)) = self.order.peek()?;
-        let waits = wish.step.best_effort && *score > UNHELPFUL && wish.waited < PATIENCE;
+    pub fn best(&self, wish: &PlacementRequest<'_>) -> Option<Name> {
+        let Reverse((score, id)) = self.by_score.peek()?;
+        let waits = wish.step.best_effort && *score > DEFER_SCORE && wish.waited < MAX_DEFERRAL;
         (!waits).then(|| id.clone())
     }
 }
 
 /// Returns true when a task could run on a worker once there is room.
-pub fn could_run(worker: &Worker, wish: &Wish<'_>, now: Millis) -> bool {
-    could_hold(worker, wish.step) && suits(worker, wish, now)
+pub fn could_run(worker: &Worker, wish: &PlacementRequest<'_>, now: Millis) -> bool {
+    could_hold(worker, wish.step) && is_eligible(worker, wish, now)
 }
 
 /// Returns true when a worker could hold a task of a step, were it empty.
 fn could_hold(worker: &Worker, step: &StepSpec) -> bool {
-    step.reserved().within(worker.listing.capacity) && labelled(worker, step)
+    step.reserved().within(worker.listing.capacity) && has_label(worker, step)
 }
 
 /// Returns true when a worker could hold a task of a step, were it empty and had the most
 /// room that it has had.
-pub fn might_hold(worker: &Worker, step: &StepSpec) -> bool {
-    step.reserved().within(worker.max_capacity) && labelled(worker, step)
+pub fn could_ever_hold(worker: &Worker, step: &StepSpec) -> bool {
+    step.reserved().within(worker.max_capacity) && has_label(worker, step)
 }
 
 /// Returns true when a worker has the label that a step asks for.
-fn labelled(worker: &Worker, step: &StepSpec) -> bool {
+fn has_label(worker: &Worker, step: &StepSpec) -> bool {
     step.label.is_empty() || worker.listing.labels.contains(&step.label)
 }
 
 /// Returns true when the task may run there now.
-fn allowed(worker: &Worker, wish: &Wish<'_>, now: Millis) -> bool {
+fn fits_now(worker: &Worker, wish: &PlacementRequest<'_>, now: Millis) -> bool {
     let id = &worker.listing.id;
-    let permitted = wish.permits.is_none_or(|p| p.allow(id, now));
+    let permitted = wish.permits.is_none_or(|p| p.allows(id, now));
     permitted
         && worker.admits(wish.key, wish.suspect)
         && worker.fits_beside_reservation(wish.key, wish.step.reserved())
         && !(wish.step.best_effort && worker.is_over_target())
-        && suits(worker, wish, now)
+        && is_eligible(worker, wish, now)
 }
 
 /// Returns true when the task may run there once there is room.
-fn suits(worker: &Worker, wish: &Wish<'_>, now: Millis) -> bool {
+fn is_eligible(worker: &Worker, wish: &PlacementRequest<'_>, now: Millis) -> bool {
     let listing = &worker.listing;
     let step = wish.step;
     if &*listing.service != wish.service || !worker.accepts_tasks(now) {
         return false;
     }
-    if !labelled(worker, step) {
+    if !has_label(worker, step) {
         return false;
     }
-    let beside = wish.beside.get(&listing.id).copied().unwrap_or(0);
+    let beside = wish.step_tasks.get(&listing.id).copied().unwrap_or(0);
     step.max_per_worker == 0 || beside < step.max_per_worker
 }
 
 /// Lower is better: load in thousandths, and what speaks against the worker.
-fn score(worker: &Worker, wish: &Wish<'_>) -> u64 {
+fn score(worker: &Worker, wish: &PlacementRequest<'_>) -> u64 {
     let step = wish.step;
     let all = worker.listing.capacity;
-    let load = |cpu: u64| cpu * WHOLE / all.cpu.max(1);
+    let load = |cpu: u64| cpu * FULL_LOAD / all.cpu.max(1);
     let mut score = match (step.latency_target > 0, step.best_effort) {
-        (true, _) => packing(
+        (true, _) => serving_score(
             worker,
             wish.image,
             load(worker.allocated.cpu + step.resources.cpu),
         ),
-        (_, true) => crowding(load(
+        (_, true) => best_effort_score(load(
             worker.busy_cpu() + worker.wanted_cpu + step.resources.cpu,
         )),
         _ => load(worker.allocated.cpu + worker.wanted_cpu + step.resources.cpu),
@@ -179,38 +180,38 @@
         && let Some(interference) = wish.interference
     {
         let excess = interference.excess_with(worker, step, wish.image);
-        score += (excess * CLASH as f64) as u64;
+        score += (excess * INTERFERENCE_WEIGHT as f64) as u64;
     }
     if !step.rack.is_empty() && worker.listing.rack != step.rack {
-        score += FAR;
+        score += WRONG_PLACE;
     }
     let failures = u64::from(worker.failures.min(4));
-    score += failures * FAILURE * if wish.last_try { 4 } else { 1 };
-    if &*worker.listing.id == wish.avoid {
-        score += FAR;
+    score += failures * FAILURE_PENALTY * if wish.last_attempt { 4 } else { 1 };
+    if &*worker.listing.id == wish.last_failed_on {
+        score += WRONG_PLACE;
     }
     if wish.suspect {
-        score += load(worker.allocated.cpu) * AT_RISK;
+        score += load(worker.allocated.cpu) * SUSPECT_WEIGHT;
     }
     score
 }
 
 /// Serving tasks are packed, each image by itself: so fillers find workers
 /// without any, and workers with none that they would slow.
-fn packing(worker: &Worker, image: ImageNumber, load: u64) -> u64 {
+fn serving_score(worker: &Worker, image: ImageNumber, load: u64) -> u64 {
     let mixed = worker.colocation.serving.iter().any(|s| s.image != image);
     let opened = worker.colocation.serving.is_empty();
-    let mut score = WHOLE.saturating_sub(load);
+    let mut score = FULL_LOAD.saturating_sub(load);
     if mixed {
-        score += MIXED;
+        score += MIXED_IMAGES;
     }
     if opened {
-        score += OPENED;
+        score += FIRST_SERVING;
     }
     score
 }
 
 /// Fillers on a full worker slow each other.
-fn crowding(load: u64) -> u64 {
-    load + load.saturating_sub(FULL) * FULL_WEIGHT
+fn best_effort_score(load: u64) -> u64 {
+    load + load.saturating_sub(CROWDED_LOAD) * CROWDED_WEIGHT
 }
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -84,12 +84,12 @@
                 worker.failures = 0;
             }
             self.mark_done(key);
-            for peer in self.peers(key) {
+            for peer in self.gang_or_self(key) {
                 self.unplace(peer);
             }
         } else if open {
             // An earlier run succeeded after all: the later run is not needed.
-            for peer in self.peers(key) {
+            for peer in self.gang_or_self(key) {
                 self.stop_task(peer);
             }
             self.mark_done(key);
@@ -120,8 +120,8 @@
             self.failed_on.insert(key, name.clone());
             self.count_failure(name);
         }
-        self.save(key, &completion.checkpoint);
-        let exhausted = !lasting && self.failures(key) >= attempts;
+        self.save_checkpoint(key, &completion.checkpoint);
+        let exhausted = !lasting && self.failure_count(key) >= attempts;
         self.unplace(key);
         if exhausted && self.jobs.get(&key.job).is_some_and(|j| j.is_open()) {
             self.finish_job(key.job, Outcome::Failed);
--- a/src/sched/cordon.rs
+++ b/src/sched/cordon.rs
@@ -38,7 +38,7 @@
         let broken = |name: &&Name| self.workers.get(*name).is_some_and(|w| w.cordoned);
         let broken: Vec<Name> = self.reservations.values().filter(broken).cloned().collect();
         for name in broken {
-            self.break_promise(&name);
+            self.cancel_reservation(&name);
         }
     }
 }
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -269,7 +269,7 @@
             let placement = Placement {
                 // It began long ago, as far as is known.
                 placed_at: 0,
-                ..self.placement(key, run, Stage::Inherited)
+                ..self.new_placement(key, run, Stage::Inherited)
             };
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.insert(key, placement);
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -13,14 +13,14 @@
     }
 
     /// Returns the tasks whose state a task shares: its gang, or itself alone.
-    pub(super) fn peers(&self, key: TaskKey) -> Vec<TaskKey> {
+    pub(super) fn gang_or_self(&self, key: TaskKey) -> Vec<TaskKey> {
         let gang = self.jobs.get(&key.job).is_some_and(|j| j.step(key).gang);
         if gang { self.members(key) } else { vec![key] }
     }
 
     /// Stops the members of a gang that lost one: they would hold their room
     /// and wait for it in vain.
-    pub(super) fn disband(&mut self, lost: TaskKey) {
+    pub(super) fn stop_gang(&mut self, lost: TaskKey) {
         for member in self.members(lost) {
             if member != lost {
                 self.stop_task(member);
@@ -30,7 +30,7 @@
 
     /// Marks a task as done; one end of a gang's run stands for all its members.
     pub(super) fn mark_done(&mut self, key: TaskKey) {
-        let peers = self.peers(key);
+        let peers = self.gang_or_self(key);
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -47,11 +47,11 @@
 
     /// Takes in a checkpoint of a task; that of one member is good for its gang,
     /// whose next run has to start from one.
-    pub(super) fn save(&mut self, key: TaskKey, saved: &Name) {
+    pub(super) fn save_checkpoint(&mut self, key: TaskKey, saved: &Name) {
         if saved.is_empty() {
             return;
         }
-        let peers = self.peers(key);
+        let peers = self.gang_or_self(key);
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -63,11 +63,11 @@
     }
 
     /// Returns how often a task has failed; a gang fails with each member.
-    pub(super) fn failures(&self, key: TaskKey) -> u32 {
+    pub(super) fn failure_count(&self, key: TaskKey) -> u32 {
         let Some(job) = self.jobs.get(&key.job) else {
             return 0;
         };
-        let peers = self.peers(key);
+        let peers = self.gang_or_self(key);
         peers
             .iter()
             .filter_map(|peer| job.task(*peer))
--- a/src/sched/history.rs
+++ b/src/sched/history.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::admission::COME_BACK;
+use super::admission::RETRY_AFTER;
 use super::job::{Outcome, TaskKey, parse_task_name};
 use super::message::{Answer, JobRequest, Ticket};
 use super::owner::Owner;
@@ -144,7 +144,7 @@
         let (jobs, count) = (self.history.rows.len(), parked.len());
         log::info!(target: "owner", "event=past-known jobs={jobs} parked={count}");
         for (ticket, request) in parked {
-            self.ask(ticket, request);
+            self.handle_request(ticket, request);
         }
     }
 
@@ -153,7 +153,7 @@
     pub(super) fn park(&mut self, ticket: Ticket, request: JobRequest) {
         if self.history.parked.len() >= MAX_PARKED {
             log::info!(target: "job", "job={} event=refused reason=too-many-parked", request.subject());
-            return self.reply(ticket, Answer::Refused(COME_BACK));
+            return self.reply(ticket, Answer::Refused(RETRY_AFTER));
         }
         log::info!(target: "job", "job={} event=parked", request.subject());
         self.history.parked.push((ticket, request));
@@ -164,13 +164,13 @@
         if self.history.parked.is_empty() {
             return;
         }
-        let Some(silent) = self.store_away() else {
+        let Some(silent) = self.store_outage() else {
             return;
         };
         let parked = self.history.take_parked();
         log::info!(target: "job", "event=refused reason=store-away parked={} silent_ms={silent}", parked.len());
         for (ticket, _) in parked {
-            self.reply(ticket, Answer::Refused(COME_BACK));
+            self.reply(ticket, Answer::Refused(RETRY_AFTER));
         }
     }
 
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -155,7 +155,7 @@
         let entry = worker.ignored_listing.take();
         let lost: Vec<TaskKey> = worker.placements.keys().copied().collect();
         self.forget_permits(name);
-        self.break_promise(name);
+        self.cancel_reservation(name);
         self.log_incarnation_end(name, IncarnationEnd::Replaced);
         self.record_crash(name, CrashEvidence::Replaced);
         self.begin_incarnation(name, report.boot, carried);
--- a/src/sched/lost_workers.rs
+++ b/src/sched/lost_workers.rs
@@ -36,7 +36,7 @@
         }
         self.release_tasks(name);
         self.forget_permits(name);
-        self.break_promise(name);
+        self.cancel_reservation(name);
         self.remove_worker(name);
     }
 
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -8,15 +8,15 @@
 use crate::utils::clock::Millis;
 
 /// A job that takes more than this many times its aim is worth nothing.
-const WORTHLESS: Millis = 3;
+const WORTHLESS_FACTOR: Millis = 3;
 
 /// Milliseconds after which a lasting task that ran before goes before all
 /// others: the platform wants it to run again within 6 s of its last run, also
 /// while the workers are full, and a stop and a start take up to 1.5 s.
-const BACK_WAIT: Millis = 1_500;
+const RESTART_OVERDUE: Millis = 1_500;
 /// Milliseconds after which a lasting task that never ran goes before all others:
 /// what it is worth does not lapse, unlike that of tasks that are due.
-const FIRST_WAIT: Millis = 6_000;
+const FIRST_START_OVERDUE: Millis = 6_000;
 
 /// What a job can still earn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,14 +26,14 @@
     /// It can still be late.
     Late,
     /// It is worth nothing any more.
-    Lost,
+    Worthless,
 }
 
 /// Whether a task goes before others whatever its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
     /// Room was made for it, which would lie idle while others go first.
-    Promised,
+    Reserved,
     /// It should have started.
     Overdue,
     /// It waits its turn.
@@ -43,30 +43,30 @@
 /// Longest that runs of the longest chain take, in tenths of their declared time: the
 /// longest task of a step takes longer than the step's typical one, starts take their time,
 /// and fillers are slowed. Measured on busy days, 11 to 14.
-const DRAWN_OUT: u64 = 14;
+const RUN_TIME_TENTHS: u64 = 14;
 /// Worth of a job of any size, as a part of that of a typical job of its queue; the rest
 /// grows with its work.
-const BASE_WORTH: f64 = 0.3;
+const BASE_VALUE: f64 = 0.3;
 /// Part of a new job's work in what is taken for typical of its queue.
-const TYPICAL_GAIN: f64 = 0.05;
+const TYPICAL_WORK_WEIGHT: f64 = 0.05;
 
 /// Place in the order: the urgency, the queue's priority, whether it lasts, what its job
 /// can still earn, the work left for that, when it is due, and whose turn it is.
-type Rank = (Urgency, u32, bool, Prospect, u64, Millis, Turn);
+type Rank = (Urgency, u32, bool, Prospect, u64, Millis, OrderEntry);
 
 /// What a round of a job can still earn.
 #[derive(Clone, Copy)]
-struct Claim {
+struct RoundValue {
     prospect: Prospect,
     /// Work left for each part of its worth, in millionths of a typical job's work.
-    price: u64,
+    relative_cost: u64,
     /// When it is due, in milliseconds since the Unix epoch.
     due: Millis,
 }
 
 /// Whose turn it is to be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Turn {
+pub(super) enum OrderEntry {
     /// One task, which goes before or after others of its step.
     Task(TaskKey),
     /// All other waiting tasks of a step, as they rank alike.
@@ -80,8 +80,8 @@
     /// orders them. By steps, of which there are twenty times fewer, a pass over 14,000
     /// tasks is cheap enough to follow the one before at once, and holds no start up where
     /// there is room.
-    pub(super) fn order(&self) -> Vec<Turn> {
-        let mut known: HashMap<(u32, u32), Claim> = HashMap::new();
+    pub(super) fn placement_order(&self) -> Vec<OrderEntry> {
+        let mut known: HashMap<(u32, u32), RoundValue> = HashMap::new();
         let mut last = None;
         let mut ranks: Vec<Rank> = Vec::new();
         for (key, since) in &self.ready {
@@ -92,25 +92,25 @@
             let Some(job) = self.jobs.get(&key.job) else {
                 continue;
             };
-            let claim = || self.claim(job, key.round as usize);
+            let claim = || self.round_value(job, key.round as usize);
             let claim = *known.entry((key.job, key.round)).or_insert_with(claim);
             let lasting = job.step(*key).lasting;
             let urgency = match promised {
-                true => Urgency::Promised,
-                false if self.overdue(*key, *since) => Urgency::Overdue,
+                true => Urgency::Reserved,
+                false if self.is_overdue(*key, *since) => Urgency::Overdue,
                 false => Urgency::Usual,
             };
             let turn = match promised || lasting {
-                true => Turn::Task(*key),
-                false => Turn::Step(step),
+                true => OrderEntry::Task(*key),
+                false => OrderEntry::Step(step),
             };
-            if turn == Turn::Step(step) {
+            if turn == OrderEntry::Step(step) {
                 last = Some(step);
             }
             let priority = job.row.queue.priority;
-            let Claim {
+            let RoundValue {
                 prospect,
-                price,
+                relative_cost: price,
                 due,
             } = claim;
             ranks.push((urgency, priority, lasting, prospect, price, due, turn));
@@ -124,7 +124,7 @@
     /// Load pattern: more work than fits. By due time alone, everything ends just late: each
     /// job is worked on until it can't be on time any more. By the work left for what it is
     /// worth, what is nearly done ends, and less is begun in vain.
-    fn claim(&self, job: &Job, round: usize) -> Claim {
+    fn round_value(&self, job: &Job, round: usize) -> RoundValue {
         let (prospect, due) = prospect(job, round, self.now.wall);
         let queue = &job.row.queue.name;
         let typical = self
@@ -133,12 +133,12 @@
             .copied()
             .unwrap_or(0.0)
             .max(1.0);
-        let worth = BASE_WORTH + (1.0 - BASE_WORTH) * whole_work(job) / typical;
-        let left = work_left(job, round) / typical;
+        let worth = BASE_VALUE + (1.0 - BASE_VALUE) * round_work(job) / typical;
+        let left = remaining_work(job, round) / typical;
         let price = (left / worth * 1e6) as u64;
-        Claim {
+        RoundValue {
             prospect,
-            price,
+            relative_cost: price,
             due,
         }
     }
@@ -146,17 +146,17 @@
     /// Takes in the work of a job in what is typical of its queue.
     pub(super) fn learn_typical_work(&mut self, number: u32) {
         let job = &self.jobs[&number];
-        let work = whole_work(job);
+        let work = round_work(job);
         let queue = job.row.queue.name.clone();
         let typical = self.typical_work.entry(queue).or_insert(work);
-        *typical += (work - *typical) * TYPICAL_GAIN;
+        *typical += (work - *typical) * TYPICAL_WORK_WEIGHT;
     }
 
     /// Returns the waiting tasks that have a turn together.
-    pub(super) fn waiting_of(&self, turn: Turn) -> Vec<TaskKey> {
+    pub(super) fn waiting_tasks(&self, turn: OrderEntry) -> Vec<TaskKey> {
         let step = match turn {
-            Turn::Task(key) => return vec![key],
-            Turn::Step(step) => step,
+            OrderEntry::Task(key) => return vec![key],
+            OrderEntry::Step(step) => step,
         };
         let from = step.task(0);
         let waiting = self.ready.range(from..).map(|(key, _)| *key);
@@ -167,12 +167,12 @@
 
     /// Returns true when a task that waits since then should have started,
     /// whatever else waits: one of a job that lasts.
-    pub(super) fn overdue(&self, key: TaskKey, since: Millis) -> bool {
+    pub(super) fn is_overdue(&self, key: TaskKey, since: Millis) -> bool {
         let job = &self.jobs[&key.job];
         let wait = if self.interrupted.contains(&key) {
-            BACK_WAIT
+            RESTART_OVERDUE
         } else {
-            FIRST_WAIT
+            FIRST_START_OVERDUE
         };
         job.step(key).lasting && self.now.steady >= since + wait
     }
@@ -185,13 +185,13 @@
 }
 
 /// Returns the declared work of a round of a job.
-fn whole_work(job: &Job) -> f64 {
+fn round_work(job: &Job) -> f64 {
     let steps = job.spec.steps.iter();
     steps.map(|s| f64::from(s.count) * task_work(s)).sum()
 }
 
 /// Returns the declared work of the tasks of a round that are not done.
-fn work_left(job: &Job, round: usize) -> f64 {
+fn remaining_work(job: &Job, round: usize) -> f64 {
     let steps = job.row.rounds[round].iter().zip(&job.spec.steps);
     let left = steps.map(|(tasks, step)| {
         let open = tasks.iter().filter(|t| t.phase != Phase::Done).count();
@@ -208,17 +208,17 @@
         None => job.row.accepted,
     };
     let aim = queue.slack + job.ideal_duration() * u64::from(queue.stretch) / 1_000;
-    let end = wall + remaining(job, round) * DRAWN_OUT / 10;
+    let end = wall + remaining_duration(job, round) * RUN_TIME_TENTHS / 10;
     let prospect = match end {
         _ if end <= start + aim => Prospect::OnTime,
-        _ if end <= start + aim * WORTHLESS => Prospect::Late,
-        _ => Prospect::Lost,
+        _ if end <= start + aim * WORTHLESS_FACTOR => Prospect::Late,
+        _ => Prospect::Worthless,
     };
     (prospect, start + aim)
 }
 
 /// Returns the declared milliseconds of the longest chain of steps not done.
-fn remaining(job: &Job, round: usize) -> Millis {
+fn remaining_duration(job: &Job, round: usize) -> Millis {
     let done = |step: usize| {
         job.row.rounds[round][step]
             .iter()
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -163,14 +163,14 @@
     /// Returns the owner that goes on with what the store holds; leases given
     /// by earlier owners end at `inherited` at the latest.
     pub fn new(
-        bounds: OwnerSettings,
+        settings: OwnerSettings,
         journal: Journal,
         kept: Vec<StoredJob>,
         inherited: Millis,
         now: Now,
     ) -> Self {
         let mut owner = Self {
-            settings: bounds,
+            settings,
             journal,
             jobs: BTreeMap::new(),
             job_numbers: HashMap::new(),
@@ -282,8 +282,8 @@
     }
 
     /// Goes on with other bounds.
-    pub fn change_settings(&mut self, bounds: OwnerSettings) {
-        self.settings = bounds;
+    pub fn change_settings(&mut self, settings: OwnerSettings) {
+        self.settings = settings;
     }
 
     /// Gives the cell up with the next commit.
@@ -312,7 +312,7 @@
     pub fn handle_event(&mut self, event: Event, now: Now) -> Vec<Action> {
         self.now = now;
         match event {
-            Event::Request(ticket, ask) => self.ask(ticket, ask),
+            Event::Request(ticket, ask) => self.handle_request(ticket, ask),
             Event::Directory(listings) => self.replace_directory(listings),
             Event::DirectoryChanged(changes) => self.apply_directory_changes(changes),
             Event::Cordoned(halls) => self.set_cordoned_halls(halls),
@@ -326,7 +326,7 @@
             Event::Throttled(key, run, percent, incarnation, reply) => {
                 self.throttle_answered(key, run, percent, &incarnation, reply);
             }
-            Event::Advised(step, asked, reply) => self.advice(step, asked, reply),
+            Event::Advised(step, asked, reply) => self.handle_advice(step, asked, reply),
             Event::CommitEnded(number, written) => {
                 self.commit_ended(number, written);
                 self.answer_parked();
@@ -341,7 +341,7 @@
         // The next owner counts on it that one which gives up extends no lease.
         if !self.deposed && !self.is_resigning() {
             if self.cordoned_halls.is_some() {
-                self.place();
+                self.place_ready_tasks();
                 self.swap_serving_tasks();
             }
             self.poll_due_workers();
@@ -483,7 +483,7 @@
                 self.interrupted.insert(key);
             }
             if gang {
-                self.disband(key);
+                self.stop_gang(key);
             }
         }
     }
--- a/src/sched/placing.rs
+++ b/src/sched/placing.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use super::choice::{Ranking, Wish, could_run};
+use super::choice::{PlacementRequest, Ranking, could_run};
 use super::job::{Phase, StepKey, TaskKey};
 use super::journal::AfterCommit;
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
-use super::preempt::Search;
+use super::preempt::VictimSearch;
 use super::spec::{Resources, StepSpec};
 use super::throttling::FULL_SPEED;
 use super::worker::Worker;
@@ -16,19 +16,19 @@
 use crate::utils::clock::Millis;
 
 /// Milliseconds between two passes, as one looks at all that waits.
-const PLACE_PAUSE: Millis = 10;
+const PASS_INTERVAL: Millis = 10;
 /// Waiting tasks for each of which that pause is one millisecond longer, as a pass
 /// goes through them all.
-const WAITING: u64 = 1_000;
+const WAITING_PER_MS: u64 = 1_000;
 /// Workers looked at in a pass for each of which the same: at 3,000 workers a pass looks at
 /// some 50,000, and passes that follow each other at once leave an owner of half a core no
 /// time for leases and reports.
-const LOOKED: u64 = 1_000;
+const EXAMINED_PER_MS: u64 = 1_000;
 /// Most tasks that are placed in one pass, so that other events get their turn.
-const PLACED_AT_ONCE: usize = 200;
+const MAX_PLACED: usize = 200;
 /// Fillers of one service and label that are tried in vain in one pass: what one
 /// did not find, the next rarely does.
-const FILLERS_TRIED: usize = 6;
+const MAX_BEST_EFFORT_MISSES: usize = 6;
 
 /// What a task asks for, as far as it tells whether the next one finds room.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -40,9 +40,9 @@
     /// Label that its worker must have; empty for none.
     label: Name,
     /// True when few tasks of its step may share a worker.
-    spread: bool,
+    limited_per_worker: bool,
     /// The step, where an advisor tells which workers may run it.
-    advised: Option<StepKey>,
+    advised_step: Option<StepKey>,
     /// True when it takes what others leave.
     best_effort: bool,
     /// True when its step is placed as a whole.
@@ -50,11 +50,11 @@
 }
 
 /// Demands that the same workers could meet: their service, label and advised step.
-type Family = (Name, Name, Option<StepKey>);
+type DemandGroup = (Name, Name, Option<StepKey>);
 
 impl Demand {
-    fn family(&self) -> Family {
-        (self.service.clone(), self.label.clone(), self.advised)
+    fn group(&self) -> DemandGroup {
+        (self.service.clone(), self.label.clone(), self.advised_step)
     }
 }
 
@@ -65,98 +65,98 @@
     /// It was not placed; others of its step may be.
     Failed,
     /// Nor will others of its step be in this pass.
-    Hopeless,
+    Exhausted,
 }
 
 /// One pass of placing: what was tried in vain, so that it is not tried again.
 struct Pass {
     /// Demands of single tasks that fit nowhere.
-    misfits: BTreeSet<Rc<Demand>>,
+    unplaceable: BTreeSet<Rc<Demand>>,
     /// Fillers that found nothing, by family.
-    fillers: BTreeMap<Family, usize>,
+    best_effort_misses: BTreeMap<DemandGroup, usize>,
     /// Gangs that had their turn.
-    gangs: BTreeSet<StepKey>,
+    tried_gangs: BTreeSet<StepKey>,
     /// Runs that could give way.
-    search: Search,
+    search: VictimSearch,
     /// What the step of the last task asks for.
-    asked: Option<(StepKey, Rc<Demand>)>,
+    last_demand: Option<(StepKey, Rc<Demand>)>,
     /// Suspects for which a worker may still be isolated; none before the first one.
-    isolations: Option<usize>,
+    isolations_left: Option<usize>,
 }
 
 impl Pass {
     fn new() -> Self {
         Self {
-            misfits: BTreeSet::new(),
-            fillers: BTreeMap::new(),
-            gangs: BTreeSet::new(),
-            search: Search::new(),
-            asked: None,
-            isolations: None,
+            unplaceable: BTreeSet::new(),
+            best_effort_misses: BTreeMap::new(),
+            tried_gangs: BTreeSet::new(),
+            search: VictimSearch::new(),
+            last_demand: None,
+            isolations_left: None,
         }
     }
 
     /// Returns true when a task has no turn any more: its gang had it, or the
     /// like of it failed too often.
     fn skips(&mut self, key: TaskKey, demand: &Demand) -> bool {
-        if demand.gang && !self.gangs.insert(key.step_key()) {
+        if demand.gang && !self.tried_gangs.insert(key.step_key()) {
             return true;
         }
-        let family = demand.family();
-        let tried = self.fillers.get(&family).copied().unwrap_or(0);
-        demand.best_effort && tried >= FILLERS_TRIED
+        let family = demand.group();
+        let tried = self.best_effort_misses.get(&family).copied().unwrap_or(0);
+        demand.best_effort && tried >= MAX_BEST_EFFORT_MISSES
     }
 
     /// Returns true when a worker may still be isolated; `left` counts for how many.
-    fn isolates(&mut self, left: impl FnOnce() -> usize) -> bool {
-        *self.isolations.get_or_insert_with(left) > 0
+    fn may_isolate(&mut self, left: impl FnOnce() -> usize) -> bool {
+        *self.isolations_left.get_or_insert_with(left) > 0
     }
 
     /// Takes in that a task found no room.
-    fn failed(&mut self, demand: Rc<Demand>) {
+    fn record_miss(&mut self, demand: Rc<Demand>) {
         if demand.best_effort {
-            let family = demand.family();
-            *self.fillers.entry(family).or_default() += 1;
+            let family = demand.group();
+            *self.best_effort_misses.entry(family).or_default() += 1;
         }
         // Where a member of a spread step fits depends on where the others are.
-        if !demand.spread && !demand.best_effort && !demand.gang {
-            self.misfits.insert(demand);
+        if !demand.limited_per_worker && !demand.best_effort && !demand.gang {
+            self.unplaceable.insert(demand);
         }
     }
 }
 
 impl Owner {
     /// Places ready tasks in their order, as far as there is room.
-    pub(super) fn place(&mut self) {
+    pub(super) fn place_ready_tasks(&mut self) {
         let now = self.now.steady;
         if self.saturated || now < self.next_pass || self.journal.in_doubt() {
             return;
         }
-        self.next_pass = now + PLACE_PAUSE + self.ready.len() as u64 / WAITING;
+        self.next_pass = now + PASS_INTERVAL + self.ready.len() as u64 / WAITING_PER_MS;
         self.ranking = None;
-        self.settle_promises();
+        self.prune_reservations();
         let before = self.workers_examined;
-        let count = self.pass();
-        self.next_pass += (self.workers_examined - before) / LOOKED;
+        let count = self.run_pass();
+        self.next_pass += (self.workers_examined - before) / EXAMINED_PER_MS;
         self.saturated = count == 0;
     }
 
     /// Goes once through what waits; returns how many tasks were placed.
-    fn pass(&mut self) -> usize {
+    fn run_pass(&mut self) -> usize {
         let mut pass = Pass::new();
         let mut count = 0;
-        for turn in self.order() {
-            for key in self.waiting_of(turn) {
-                if count >= PLACED_AT_ONCE {
+        for turn in self.placement_order() {
+            for key in self.waiting_tasks(turn) {
+                if count >= MAX_PLACED {
                     return count;
                 }
                 if !self.ready.contains_key(&key) {
                     continue;
                 }
-                match self.attempt(key, &mut pass) {
+                match self.try_place(key, &mut pass) {
                     Attempt::Placed(tasks) => count += tasks,
                     Attempt::Failed => {}
-                    Attempt::Hopeless => break,
+                    Attempt::Exhausted => break,
                 }
             }
         }
@@ -165,24 +165,24 @@
 
     /// Places a task, with its gang if it has one, unless the like of it was tried
     /// in vain.
-    fn attempt(&mut self, key: TaskKey, pass: &mut Pass) -> Attempt {
-        let demand = self.demand(key, pass);
-        if pass.misfits.contains(&demand) {
-            self.make_room(key, &mut pass.search);
-            return match pass.search.over() {
-                true => Attempt::Hopeless,
+    fn try_place(&mut self, key: TaskKey, pass: &mut Pass) -> Attempt {
+        let demand = self.cached_demand(key, pass);
+        if pass.unplaceable.contains(&demand) {
+            self.free_resources_for(key, &mut pass.search);
+            return match pass.search.is_exhausted() {
+                true => Attempt::Exhausted,
                 false => Attempt::Failed,
             };
         }
         if pass.skips(key, &demand) {
-            return Attempt::Hopeless;
+            return Attempt::Exhausted;
         }
-        if self.waits(key) || !self.permitted(key) {
+        if self.is_deferred(key) || !self.ensure_permitted(key) {
             return Attempt::Failed;
         }
         // A gang needs all its places at once, so it does not wait for that.
         let suspect = self.is_suspect(key) && !demand.gang;
-        if suspect && !pass.isolates(|| self.remaining_isolations()) {
+        if suspect && !pass.may_isolate(|| self.remaining_isolations()) {
             return Attempt::Failed;
         }
         let placed = match demand.gang {
@@ -190,31 +190,31 @@
             false => self.place_one(key),
         };
         if placed > 0 && suspect {
-            pass.isolations = pass.isolations.map(|left| left - 1);
+            pass.isolations_left = pass.isolations_left.map(|left| left - 1);
         }
         if placed == 0 {
-            self.more_permits(key);
-            self.make_room(key, &mut pass.search);
-            pass.failed(demand);
+            self.query_more_permits(key);
+            self.free_resources_for(key, &mut pass.search);
+            pass.record_miss(demand);
             return Attempt::Failed;
         }
         Attempt::Placed(placed)
     }
 
     /// Returns true while a task waits, as workers could not take its starts.
-    fn waits(&self, key: TaskKey) -> bool {
+    fn is_deferred(&self, key: TaskKey) -> bool {
         let until = self.deferred.get(&key).map_or(0, |deferral| deferral.until);
         self.now.steady < until
     }
 
     /// Returns what a task asks for; tasks of a step ask for the same.
-    fn demand(&self, key: TaskKey, pass: &mut Pass) -> Rc<Demand> {
+    fn cached_demand(&self, key: TaskKey, pass: &mut Pass) -> Rc<Demand> {
         let step = key.step_key();
-        match &pass.asked {
+        match &pass.last_demand {
             Some((asked, demand)) if *asked == step => demand.clone(),
             _ => {
                 let demand = Rc::new(self.demand_of(key));
-                pass.asked = Some((step, demand.clone()));
+                pass.last_demand = Some((step, demand.clone()));
                 demand
             }
         }
@@ -227,30 +227,30 @@
             resources: step.reserved(),
             service: job.row.queue.service.clone(),
             label: step.label.clone(),
-            spread: step.max_per_worker > 0,
-            advised: job.row.queue.advised.then(|| key.step_key()),
+            limited_per_worker: step.max_per_worker > 0,
+            advised_step: job.row.queue.advised.then(|| key.step_key()),
             best_effort: step.best_effort,
             gang: step.gang,
         }
     }
 
     /// Returns the workers on which a task could run once there is room.
-    pub(super) fn able(&self, key: TaskKey) -> Vec<Name> {
-        let all = |wish: &Wish<'_>| {
+    pub(super) fn eligible_workers(&self, key: TaskKey) -> Vec<Name> {
+        let all = |wish: &PlacementRequest<'_>| {
             let able = |w: &&Worker| could_run(w, wish, self.now.steady);
             let workers = self.workers.values().filter(able);
             workers.map(|w| w.listing.id.clone()).collect()
         };
-        self.wished(key, "", all)
+        self.with_request(key, "", all)
     }
 
     /// Returns true when a task could run on a worker once there is room.
     pub(super) fn could_run_on(&self, key: TaskKey, worker: &Worker) -> bool {
-        self.wished(key, "", |wish| could_run(worker, wish, self.now.steady))
+        self.with_request(key, "", |wish| could_run(worker, wish, self.now.steady))
     }
 
     fn place_one(&mut self, key: TaskKey) -> usize {
-        let Some(worker) = self.pick(key, "") else {
+        let Some(worker) = self.pick_worker(key, "") else {
             return 0;
         };
         let run = self.jobs[&key.job].task(key).map_or(0, |t| t.run) + 1;
@@ -271,7 +271,7 @@
         let mut rack = Name::from("");
         let mut reserved = Vec::new();
         for member in &members {
-            let Some(worker) = self.pick(*member, &rack) else {
+            let Some(worker) = self.pick_worker(*member, &rack) else {
                 break;
             };
             if one_rack && rack.is_empty() {
@@ -291,40 +291,40 @@
     }
 
     /// Returns the worker for a task, on `rack` unless that is empty.
-    fn pick(&mut self, key: TaskKey, rack: &str) -> Option<Name> {
+    fn pick_worker(&mut self, key: TaskKey, rack: &str) -> Option<Name> {
         let now = self.now.steady;
-        let alike = rack.is_empty() && self.failures(key) == 0 && !self.is_suspect(key);
+        let alike = rack.is_empty() && self.failure_count(key) == 0 && !self.is_suspect(key);
         let known = self.ranking.take_if(|r| alike && r.step == key.step_key());
         if known.is_none() {
             self.workers_examined += self.workers.len() as u64;
         }
-        let ranked = |wish: &Wish<'_>| {
+        let ranked = |wish: &PlacementRequest<'_>| {
             let ranking = known.unwrap_or_else(|| Ranking::new(&self.workers, wish, now));
             (ranking.best(wish), ranking)
         };
-        let (best, ranking) = self.wished(key, rack, ranked);
+        let (best, ranking) = self.with_request(key, rack, ranked);
         self.ranking = alike.then_some(ranking);
         best
     }
 
     /// Scores a worker that took a task anew.
-    fn rank_again(&mut self, key: TaskKey, name: &Name) {
+    fn update_ranking(&mut self, key: TaskKey, name: &Name) {
         let Some(mut ranking) = self.ranking.take_if(|r| r.step == key.step_key()) else {
             return;
         };
         if let Some(worker) = self.workers.get(name) {
             let now = self.now.steady;
-            self.wished(key, "", |wish| ranking.update(worker, wish, now));
+            self.with_request(key, "", |wish| ranking.update(worker, wish, now));
         }
         self.ranking = Some(ranking);
     }
 
     /// Returns the worker that `find` gives for what a task asks for.
-    pub(super) fn wished<T>(
+    pub(super) fn with_request<T>(
         &self,
         key: TaskKey,
         rack: &str,
-        find: impl FnOnce(&Wish<'_>) -> T,
+        find: impl FnOnce(&PlacementRequest<'_>) -> T,
     ) -> T {
         let job = &self.jobs[&key.job];
         let step = job.step(key);
@@ -348,21 +348,21 @@
             }
         }
         let since = self.ready.get(&key).copied().unwrap_or(self.now.steady);
-        let wish = Wish {
+        let wish = PlacementRequest {
             key,
             waited: self.now.steady - since,
             suspect: self.is_suspect(key),
             service: &job.row.queue.service,
             step,
-            last_try: !step.lasting && self.failures(key) + 1 >= job.row.queue.attempts,
+            last_attempt: !step.lasting && self.failure_count(key) + 1 >= job.row.queue.attempts,
             image: self.interference.image_number(&step.image),
             interference: self
                 .settings
                 .mechanisms
                 .interference
                 .then_some(&self.interference),
-            avoid: self.failed_on.get(&key).map_or("", |w| w),
-            beside: &beside,
+            last_failed_on: self.failed_on.get(&key).map_or("", |w| w),
+            step_tasks: &beside,
             permits: self.permits.get(&key.step_key()),
         };
         find(&wish)
@@ -376,12 +376,12 @@
 
     /// Takes room for a task on a worker.
     fn reserve(&mut self, key: TaskKey, run: u32, name: Name) {
-        let placement = self.placement(key, run, Stage::Recording);
+        let placement = self.new_placement(key, run, Stage::Recording);
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.insert(key, placement);
         }
         self.placed_on.insert(key, name.clone());
-        self.rank_again(key, &name);
+        self.update_ranking(key, &name);
     }
 
     /// Gives back the room of a task whose place was not recorded.
@@ -408,7 +408,7 @@
     }
 
     /// Returns what a run of a task takes on its worker.
-    pub(super) fn placement(&mut self, key: TaskKey, run: u32, stage: Stage) -> Placement {
+    pub(super) fn new_placement(&mut self, key: TaskKey, run: u32, stage: Stage) -> Placement {
         let suspect = self.is_suspect(key);
         let job = &self.jobs[&key.job];
         let boot = job.task(key).and_then(|t| t.boot);
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -15,15 +15,15 @@
 
 /// Milliseconds that a run is left alone: a stop and another start take about
 /// one second, which has to be worth it.
-pub(super) const SPARED: Millis = 3_000;
+pub(super) const MIN_RUN_TIME: Millis = 3_000;
 /// One in so many lasting tasks of all may be away for others at once.
-const AWAY_PART: usize = 12;
+const INTERRUPTED_DIVISOR: usize = 12;
 /// Milliseconds after which a lasting task that gave way takes the room of
 /// another, so that each is away for a short while only.
-const TURN: Millis = 2_500;
+const TURN_LENGTH: Millis = 2_500;
 /// Waiting tasks for which room is looked for in one pass of placing, as each
 /// looks at all that runs.
-const LOOKS: usize = 6;
+const MAX_SEARCHES: usize = 6;
 
 /// Room on a worker that is being made for a task.
 #[derive(Clone, Debug)]
@@ -40,35 +40,35 @@
 /// The search for runs that give way in one pass of placing. Tasks of a step come one after
 /// the other, and what could give way for one could for the next, so that one search a step
 /// keeps passes short on full workers.
-pub(super) struct Search {
+pub(super) struct VictimSearch {
     /// Tasks for which room may still be made.
-    looks: usize,
+    searches_left: usize,
     /// For what the runs below were found: the step, and whether lasting tasks may be away.
-    kind: Option<(StepKey, bool)>,
+    searched_for: Option<(StepKey, bool)>,
     /// Runs that could give way, the least cost last.
     victims: Vec<Victim>,
 }
 
-impl Search {
+impl VictimSearch {
     /// Returns the search of a pass that begins.
     pub fn new() -> Self {
         Self {
-            looks: LOOKS,
-            kind: None,
+            searches_left: MAX_SEARCHES,
+            searched_for: None,
             victims: Vec::new(),
         }
     }
 
     /// Returns true when room is made for no more tasks in this pass.
-    pub fn over(&self) -> bool {
-        self.looks == 0
+    pub fn is_exhausted(&self) -> bool {
+        self.searches_left == 0
     }
 }
 
 impl Owner {
     /// Forgets promises to tasks that do not wait any more, and which lasting
     /// tasks were away that run again.
-    pub(super) fn settle_promises(&mut self) {
+    pub(super) fn prune_reservations(&mut self) {
         let stops = |key| {
             let stage = self.placement_of(key).map(|run| run.stage);
             matches!(stage, Some(Stage::Stopping(_) | Stage::Stopped(_)))
@@ -92,7 +92,7 @@
     }
 
     /// Has a task look for room elsewhere for which it was made on a worker.
-    pub(super) fn break_promise(&mut self, name: &Name) {
+    pub(super) fn cancel_reservation(&mut self, name: &Name) {
         let worker = self.workers.get_mut(name);
         if let Some(promise) = worker.and_then(|w| w.reservation.take()) {
             self.reservations.remove(&promise.key);
@@ -100,7 +100,7 @@
     }
 
     /// Keeps room on a worker for a task.
-    pub(super) fn promise(&mut self, key: TaskKey, resources: Resources, name: &Name) {
+    pub(super) fn reserve_on(&mut self, key: TaskKey, resources: Resources, name: &Name) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -109,8 +109,8 @@
     }
 
     /// Makes room for a waiting task that fits nowhere.
-    pub(super) fn make_room(&mut self, key: TaskKey, search: &mut Search) {
-        if search.looks == 0 {
+    pub(super) fn free_resources_for(&mut self, key: TaskKey, search: &mut VictimSearch) {
+        if search.searches_left == 0 {
             return;
         }
         let step = self.jobs[&key.job].step(key);
@@ -119,29 +119,29 @@
             return;
         }
         if !step.lasting {
-            search.looks -= 1;
+            search.searches_left -= 1;
             return self.preempt(key, search);
         }
-        if self.overdue(key, since)
+        if self.is_overdue(key, since)
             && self.interrupted.contains(&key)
-            && self.now.steady >= since + TURN
+            && self.now.steady >= since + TURN_LENGTH
         {
-            search.looks -= 1;
+            search.searches_left -= 1;
             self.preempt(key, search);
         }
     }
 
     /// Stops the run that takes the room of a waiting task at the least cost.
-    fn preempt(&mut self, key: TaskKey, search: &mut Search) {
+    fn preempt(&mut self, key: TaskKey, search: &mut VictimSearch) {
         if !self.settings.mechanisms.preempt {
             return;
         }
         let step = self.jobs[&key.job].step(key);
         let resources = step.reserved();
-        let spare = self.spare_lasting() || self.interrupted.contains(&key);
+        let spare = self.may_interrupt_lasting() || self.interrupted.contains(&key);
         let kind = (key.step_key(), spare);
-        if search.kind != Some(kind) {
-            search.kind = Some(kind);
+        if search.searched_for != Some(kind) {
+            search.searched_for = Some(kind);
             search.victims = self.victims(key, resources, spare);
             self.workers_examined += self.workers.len() as u64;
         }
@@ -153,14 +153,14 @@
         if self.jobs[&victim.job].step(victim).lasting {
             self.interrupted.insert(victim);
         }
-        self.promise(key, resources, &name);
+        self.reserve_on(key, resources, &name);
         self.ranking = None;
         self.stop_task(victim);
     }
 
     /// Returns the run whose end makes room for a task of the searched step at the least
     /// cost. Meanwhile others may have been stopped, and room promised.
-    fn next_victim(&self, search: &mut Search, resources: Resources) -> Option<Victim> {
+    fn next_victim(&self, search: &mut VictimSearch, resources: Resources) -> Option<Victim> {
         let gives = |(_, key, name): &Victim| {
             let Some(worker) = self.workers.get(name) else {
                 return false;
@@ -178,7 +178,7 @@
 
     /// Returns the runs any of which could give way to a task, the least cost last.
     fn victims(&self, key: TaskKey, resources: Resources, spare: bool) -> Vec<Victim> {
-        let mut victims: Vec<Victim> = self.wished(key, "", |wish| {
+        let mut victims: Vec<Victim> = self.with_request(key, "", |wish| {
             let able = |w: &&Worker| could_run(w, wish, self.now.steady);
             let workers = self.workers.values().filter(able);
             let victims = workers.flat_map(|w| self.victims_on(w, key, resources, spare));
@@ -201,21 +201,22 @@
         let name = &worker.listing.id;
         let permits = self.permits.get(&key.step_key());
         let able = worker.placements.len() > worker.non_preemptible(spare);
-        if !able || permits.is_some_and(|p| !p.allow(name, now)) {
+        if !able || permits.is_some_and(|p| !p.allows(name, now)) {
             return Vec::new();
         }
-        let rested = |run: &Placement| now >= run.placed_at + SPARED && (spare || !run.lasting);
+        let rested =
+            |run: &Placement| now >= run.placed_at + MIN_RUN_TIME && (spare || !run.lasting);
         let runs = worker.placements.iter();
         let able = runs.filter(|(_, run)| worker.fits_without(run, resources) && rested(run));
         let costs = able.filter_map(|(victim, run)| {
-            let cost = self.cost(key, *victim, run)?;
+            let cost = self.preemption_cost(key, *victim, run)?;
             Some((cost, *victim, name.clone()))
         });
         costs.collect()
     }
 
     /// Returns what stopping a run for a task costs; none when it may not be.
-    fn cost(&self, key: TaskKey, victim: TaskKey, run: &Placement) -> Option<u64> {
+    fn preemption_cost(&self, key: TaskKey, victim: TaskKey, run: &Placement) -> Option<u64> {
         let own = self.jobs.get(&key.job)?.row.queue.priority;
         let job = self.jobs.get(&victim.job).filter(|j| j.is_open())?;
         let step = job.step(victim);
@@ -241,15 +242,15 @@
 
     /// Returns true when one more lasting task may be away for others: few are,
     /// and those come back in time.
-    fn spare_lasting(&self) -> bool {
+    fn may_interrupt_lasting(&self) -> bool {
         let long = |key: &TaskKey| {
             let since = self.ready.get(key);
-            since.is_some_and(|at| self.now.steady >= at + TURN)
+            since.is_some_and(|at| self.now.steady >= at + TURN_LENGTH)
         };
         if self.interrupted.iter().any(long) {
             return false;
         }
         let all: u32 = self.workers.values().map(|w| w.lasting_tasks).sum();
-        self.interrupted.len() * AWAY_PART < all as usize
+        self.interrupted.len() * INTERRUPTED_DIVISOR < all as usize
     }
 }
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -278,7 +278,7 @@
             .task(key)
             .is_some_and(|task| task.checkpoint != run.checkpoint)
         {
-            self.save(key, &run.checkpoint);
+            self.save_checkpoint(key, &run.checkpoint);
         }
         if inherited && ended {
             self.stop_task(key);
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -44,7 +44,7 @@
         };
         let (now, span) = (self.now.steady, self.settings.lease_length);
         let gives_up = self.is_resigning();
-        let permit = self.permit(key, &name);
+        let permit = self.permit_token(key, &name);
         let Some(worker) = self.workers.get_mut(&name) else {
             return;
         };
@@ -187,7 +187,7 @@
                 self.quarantine(name);
                 self.defer_task(key);
             }
-            Refusal::NoPermit => self.permit_refused(key, name),
+            Refusal::NoPermit => self.invalidate_permit(key, name),
             Refusal::Late | Refusal::Old | Refusal::Fenced | Refusal::Replaced => {}
         }
         self.unplace(key);
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -10,7 +10,7 @@
 use super::job::TaskKey;
 use super::owner::Owner;
 use super::placement::Placement;
-use super::preempt::SPARED;
+use super::preempt::MIN_RUN_TIME;
 use super::worker::Worker;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -105,7 +105,7 @@
         if images.iter().all(|image| *image == images[0]) {
             return Vec::new();
         }
-        let settled = |run: &Placement| self.now.steady >= run.placed_at + SPARED;
+        let settled = |run: &Placement| self.now.steady >= run.placed_at + MIN_RUN_TIME;
         let movable =
             |run: &Placement| run.serving && run.lasting && run.is_running() && settled(run);
         let mut candidates: BTreeMap<ImageNumber, Candidate> = BTreeMap::new();
@@ -172,7 +172,7 @@
             let task = self.task_name(mover.key);
             log::info!(target: "task", "task={task} event=swapped worker={} with={}", mover.worker, other.worker);
             let resources = self.jobs[&other.key.job].step(other.key).reserved();
-            self.promise(other.key, resources, &mover.worker);
+            self.reserve_on(other.key, resources, &mover.worker);
             self.interrupted.insert(mover.key);
         }
         self.stop_task(a.key);
