--- a/src/sched/failover.rs
+++ b/src/sched/failover.rs
@@ -1,95 +1,96 @@
-//! Which box should own the cell: one with as many cores as there are.
+//! Failover: when a box replaces the owner of its cell, and which box should be the owner.
 //!
-//! The owner's work grows with workers and tasks, and boxes are uneven: on a weak one it
-//! would soon answer no pings any more, and owners would follow each other.
+//! The owner's work grows with workers and tasks, and boxes differ in cores. The owner should
+//! be a box with the most cores: a weak one would soon answer no pings any more, and one
+//! owner after the other would be replaced.
 
 use super::journal::OwnerRow;
 use crate::utils::clock::Millis;
 
-/// Milliseconds that a box with fewer cores than owners should have leaves to others
-/// before it takes the owner's place: their commit, and what spreads their tries.
-const WEAKER: Millis = 300;
-/// Milliseconds that an owner stays before it makes way for a box with more
-/// cores, so that a box that comes and goes does not move the cell each time.
-const SETTLE: Millis = 3_000;
-
-/// Milliseconds without one more page after which an owner that loads is replaced: one
-/// page that is lost and read again, 1,500 each, and the pause between.
-const STUCK: Millis = 3_500;
-/// Milliseconds without an answer after which an owner that loads is replaced. It writes
-/// no row meanwhile, so that one lost ping would end its load.
-const QUIET: Millis = 1_000;
-/// Milliseconds after which an owner that served and answers that it is none is
-/// replaced, where its row does not tell that it gave the cell up.
-const GONE: Millis = 2_000;
-/// Milliseconds without a commit after which an owner that can be reached is
-/// replaced, when the store serves another box.
-const UNCONFIRMED: Millis = 1_500;
-/// Milliseconds during which the owner's row must stand still before a box that takes
-/// it for lost takes its place; an owner that serves writes it each 300.
-const STILL: Millis = 420;
-/// Milliseconds by which clocks of two boxes may differ over that span.
-const DRIFT: Millis = 20;
-
-/// What a box answers to a ping.
+/// Milliseconds that a box with fewer cores than an owner should have waits longer before it
+/// replaces the owner: the time of a stronger box's commit and its staggered start.
+const WEAKER_BOX_DELAY: Millis = 300;
+/// Shortest term of an owner, in milliseconds, before it makes way for a box with more cores.
+/// It keeps a box that comes and goes from moving the cell each time.
+const MIN_TERM: Millis = 3_000;
+
+/// Milliseconds without a further page after which a loading owner is replaced: one lost read
+/// of a page and its retry, 1,500 each, and the pause between them.
+const LOAD_STALL_LIMIT: Millis = 3_500;
+/// Milliseconds without an answer to pings after which a loading owner is replaced. It does
+/// not write its row while it loads, so without this limit one lost ping would end its load.
+const LOAD_SILENCE_LIMIT: Millis = 1_000;
+/// Milliseconds after which a box that answers that it is not the owner is replaced, although
+/// its row does not say that it released the cell.
+const NOT_OWNER_LIMIT: Millis = 2_000;
+/// Milliseconds without a commit after which an owner that answers pings is replaced by a box
+/// that can reach the store.
+const UNCONFIRMED_LIMIT: Millis = 1_500;
+/// Milliseconds for which the owner's row must be unchanged before a box replaces an owner
+/// that seems to have failed; a serving owner writes its row every 300.
+const UNCHANGED_ROW_TIME: Millis = 420;
+/// Milliseconds by which the clocks of two boxes may drift apart during that time.
+const CLOCK_DRIFT: Millis = 20;
+
+/// A box's answer to a ping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pong {
-    /// It is the owner of an epoch.
+    /// The box is the owner and serves.
     Serves {
-        /// The epoch.
+        /// Epoch of the owner.
         epoch: u64,
-        /// Milliseconds since the store confirmed it.
+        /// Milliseconds since the store last confirmed the owner.
         confirmed: Millis,
     },
-    /// It has become the owner of an epoch, and loads what the store holds.
+    /// The box has become the owner and loads the cell's state from the store.
     Loads {
-        /// The epoch.
+        /// Epoch of the owner.
         epoch: u64,
-        /// Pages that the store has given it so far.
+        /// Number of pages loaded so far.
         pages: u64,
-        /// Thousandths of cores that it has.
+        /// Thousandths of cores of the box.
         cores: u32,
     },
-    /// It is no owner.
+    /// The box is not the owner.
     Idle,
 }
 
-/// How an owner fared when it was last heard of.
+/// Last observed progress of an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnerProgress {
-    /// When it was first seen, last served, or last came closer to it.
+    /// When the owner was first seen, last served, or last loaded a further page.
     pub at: Millis,
-    /// Pages that it had loaded then; none when it did not load.
+    /// Number of pages loaded by then; `None` if the owner was not loading.
     pub pages: Option<u64>,
 }
 
 /// Why an owner is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// It does not answer.
+    /// The owner does not answer.
     Silent,
-    /// It answers, and the store has confirmed nothing of it for too long.
+    /// The owner answers, but the store has not confirmed it for too long.
     Unconfirmed,
-    /// It loads, and this box has more cores.
+    /// The owner is loading, and this box has more cores.
     Weaker,
-    /// It does not serve, and came no closer to it for too long.
+    /// The owner does not serve and has made no progress in loading for too long.
     Stuck,
 }
 
-/// What a box does about the owner that it follows.
+/// What a box does about the owner that it follows, with the owner's latest progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Assessment {
-    /// It is well, with this sign of life.
+    /// The owner serves: keep following it.
     Follow(OwnerProgress),
-    /// It does not serve, with this last sign of life: its row tells whether it gave the
-    /// cell up, or another box has taken its place.
+    /// The owner does not serve: read its row, which shows whether it released the cell or
+    /// another box replaced it.
     CheckRow(OwnerProgress),
-    /// Its place is to be taken.
+    /// Replace the owner.
     Replace(Cause),
 }
 
-/// Returns what a box with `own` thousandths of cores does about the owner of `epoch`
-/// that answered a ping so, none for no answer.
+/// Returns what a box with `own` thousandths of cores does about the owner of `epoch`.
+/// `last` is the owner's last observed progress, and `pong` its answer to a ping, if any.
 pub fn assess_owner(
     own: u32,
     epoch: u64,
@@ -108,15 +109,15 @@
             pages,
             cores,
         }) if loaded == epoch => assess_loading(own > cores, pages, last, now),
-        None if last.pages.is_some() && quiet <= QUIET => Assessment::CheckRow(last),
+        None if last.pages.is_some() && quiet <= LOAD_SILENCE_LIMIT => Assessment::CheckRow(last),
         None => Assessment::Replace(Cause::Silent),
-        Some(_) if quiet > GONE => Assessment::Replace(Cause::Stuck),
+        Some(_) if quiet > NOT_OWNER_LIMIT => Assessment::Replace(Cause::Stuck),
         Some(_) => Assessment::CheckRow(last),
     }
 }
 
 fn assess_serving(confirmed: Millis, now: Millis) -> Assessment {
-    if confirmed > UNCONFIRMED {
+    if confirmed > UNCONFIRMED_LIMIT {
         return Assessment::Replace(Cause::Unconfirmed);
     }
     Assessment::Follow(OwnerProgress {
@@ -135,57 +136,58 @@
             pages: Some(pages),
         });
     }
-    match now > last.at + STUCK {
+    match now > last.at + LOAD_STALL_LIMIT {
         true => Assessment::Replace(Cause::Stuck),
         false => Assessment::CheckRow(last),
     }
 }
 
-/// Returns the thousandths of cores with which a box offers itself to a weaker owner: an
-/// owner that made way for one that stops would give the cell to nobody.
-pub fn offered_cores(cores: u32, served: bool, stopping: bool) -> u32 {
-    match served && !stopping {
+/// Returns the thousandths of cores that a box announces to a weaker owner. A box that is
+/// stopping, or that the store does not serve, announces 0: an owner that made way for it would
+/// leave the cell without an owner.
+pub fn offered_cores(cores: u32, store_serves: bool, stopping: bool) -> u32 {
+    match store_serves && !stopping {
         true => cores,
         false => 0,
     }
 }
 
-/// Returns the milliseconds that a box with this many thousandths of cores lets pass
-/// before it takes the place of the owner of a row; nobody holds a `vacant` one.
+/// Returns the milliseconds that a box with this many thousandths of cores waits before it
+/// replaces the owner of the row `before`. A `vacant` cell has no owner any more.
 pub fn takeover_delay(cores: u32, before: &OwnerRow, vacant: bool, stagger: Millis) -> Millis {
-    let still = match vacant {
+    let delay = match vacant {
         true => 0,
-        false => STILL + stagger,
+        false => UNCHANGED_ROW_TIME + stagger,
     };
-    still + weaker_box_delay(cores, before)
+    delay + weaker_box_delay(cores, before)
 }
 
-/// Returns true while no other box can have taken the place of an owner that holds the cell
-/// by a commit sent at `confirmed`.
+/// Returns true while no other box can have replaced an owner whose last successful commit was
+/// sent at `confirmed`.
 pub fn holds_cell(confirmed: Millis, now: Millis) -> bool {
-    now < confirmed + STILL - DRIFT
+    now < confirmed + UNCHANGED_ROW_TIME - CLOCK_DRIFT
 }
 
-/// Returns the milliseconds that a box with this many thousandths of cores waits
-/// longer than others before it takes the place of an owner.
+/// Returns the milliseconds that a box with this many thousandths of cores waits longer than
+/// stronger boxes before it replaces the owner.
 pub fn weaker_box_delay(cores: u32, before: &OwnerRow) -> Millis {
     match cores < before.cores {
-        true => WEAKER,
+        true => WEAKER_BOX_DELAY,
         false => 0,
     }
 }
 
-/// Returns the thousandths of cores that owners should have, as the row of a new
-/// one tells: most that any owner had.
+/// Returns the thousandths of cores that a new owner's row asks of owners: the most that any
+/// owner had.
 ///
-/// Were it the new one's own, a weak box that took the place of a strong one would
-/// be followed by other weak ones, each replaced while it still loads.
+/// If the row asked only for the new owner's own cores, a weak box that replaced a strong one
+/// would be followed by other weak boxes, each replaced while it still loads.
 pub fn wanted_cores(own: u32, before: Option<&OwnerRow>) -> u32 {
     before.map_or(own, |row| row.cores.max(own))
 }
 
-/// Returns true when an owner that began at `began` makes way for a box with
-/// more cores that the store serves.
+/// Returns true when an owner with `own` thousandths of cores, whose term began at `began`,
+/// makes way for a box with `other` thousandths of cores.
 pub fn should_make_way(own: u32, other: u32, began: Millis, now: Millis) -> bool {
-    other > own && now >= began + SETTLE
+    other > own && now >= began + MIN_TERM
 }
