--- a/src/sched.rs
+++ b/src/sched.rs
@@ -1,8 +1,8 @@
 //! Jobs of steps on workers: one owner at a time decides for all of them.
 //!
-//! The way of a job: accepted (`asks`), kept (`journal`, `commits`), placed
-//! (`order`, `placing`, `gang`, `choice`, `permits`, `preempt`), started and
-//! stopped (`starts`, `late_starts`), watched (`reports`), ended (`completions`), shown (`asks`); once it is
+//! The way of a job: accepted (`requests`), kept (`journal`, `commits`), placed
+//! (`order`, `placement_pass`, `gang`, `scoring`, `permits`, `preemption`), started and
+//! stopped (`starts`, `late_starts`), watched (`reports`), ended (`completions`), shown (`requests`); once it is
 //! over, `history` knows what callers may still ask.
 //! Workers come and go by `directory` and `lost_workers`, get nothing new by `cordon`, and are
 //! asked in turn by `poll_schedule`; `addresses` tells who was listed where. What they report of
@@ -14,10 +14,8 @@
 
 mod addresses;
 mod admission;
-mod asks;
 mod backlog;
 mod breaches;
-mod choice;
 mod colocation;
 mod commits;
 mod completions;
@@ -41,12 +39,14 @@
 pub mod owner;
 mod permits;
 mod placement;
-mod placing;
+mod placement_pass;
 mod poll_schedule;
 pub mod predecessors;
-mod preempt;
+mod preemption;
 mod recently_ended;
 mod reports;
+mod requests;
+mod scoring;
 pub mod spec;
 mod starts;
 mod swaps;
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -5,8 +5,8 @@
 //! nothing has run. A job that merely has to wait is taken: its tasks find room within
 //! seconds on full workers, and only the caller knows how long it is worth the wait.
 
-use super::choice::could_ever_hold;
 use super::owner::Owner;
+use super::scoring::could_ever_hold;
 use super::spec::{JobSpec, StepSpec};
 use super::worker::{Presence, Worker};
 use crate::utils::clock::Millis;
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -3,7 +3,6 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use super::addresses::Addresses;
-use super::choice::Ranking;
 use super::crashes::ProvisionalCrash;
 use super::history::History;
 use super::interference::InterferenceModel;
@@ -16,6 +15,7 @@
 use super::permits::Permits;
 use super::placement::Placement;
 use super::poll_schedule::PollSchedule;
+use super::scoring::Ranking;
 use super::spec::JobSpec;
 use super::starts::Deferral;
 use super::worker::{Worker, max_lease_duration};
--- a/src/sched/placing.rs
+++ b/src/sched/placement_pass.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use super::choice::{PlacementRequest, Ranking, could_run};
 use super::job::{Phase, StepKey, TaskKey};
 use super::journal::AfterCommit;
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
-use super::preempt::VictimSearch;
+use super::preemption::VictimSearch;
+use super::scoring::{PlacementRequest, Ranking, could_run};
 use super::spec::{Resources, StepSpec};
 use super::throttling::FULL_SPEED;
 use super::worker::Worker;
--- a/src/sched/preempt.rs
+++ b/src/sched/preemption.rs
@@ -4,10 +4,10 @@
 //! lose only the time that they are away, while a task that ends loses all that
 //! it is worth with its due time.
 
-use super::choice::could_run;
 use super::job::{StepKey, TaskKey};
 use super::owner::Owner;
 use super::placement::{Placement, Stage};
+use super::scoring::could_run;
 use super::spec::Resources;
 use super::worker::Worker;
 use crate::utils::Name;
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -10,7 +10,7 @@
 use super::job::TaskKey;
 use super::owner::Owner;
 use super::placement::Placement;
-use super::preempt::MIN_RUN_TIME;
+use super::preemption::MIN_RUN_TIME;
 use super::worker::Worker;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -7,7 +7,7 @@
 use super::incarnation::{BootTime, Incarnation};
 use super::job::TaskKey;
 use super::placement::{Gauge, Placement};
-use super::preempt::Reservation;
+use super::preemption::Reservation;
 use super::recently_ended::RecentlyEnded;
 use super::spec::Resources;
 use super::throttling::FULL_SPEED;
