--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of workers: who is there, who leaves and who has left.
+//! Applies the platform's directory of workers: new, changed, leaving and removed workers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,29 +13,29 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds after trouble of the store in which a listing that is gone may
-/// only have lapsed.
-const TROUBLE: Millis = 5_000;
-/// Milliseconds in which such a listing comes back: about 2 s by the platform.
-const RELISTED: Millis = 2_500;
-/// Milliseconds without an answer that are too short for a listing to lapse:
-/// less than two heartbeats.
-const LEFT: Millis = 1_900;
-/// Milliseconds before a worker's end at which what it runs is stopped: a stop
-/// takes up to 900, and its report some more.
+/// Milliseconds after an outage of the store in which a listing may disappear although its
+/// worker goes on.
+const OUTAGE_WINDOW: Millis = 5_000;
+/// Milliseconds within which a worker lists itself again after that; the platform says 2 s.
+const RELIST_TIMEOUT: Millis = 2_500;
+/// Milliseconds without an answer in which a listing can't have lapsed: less than two
+/// heartbeats.
+const LAPSE_SILENCE: Millis = 1_900;
+/// Milliseconds before the end of a worker at which its runs are stopped: a stop takes up to
+/// 900, and its report some more.
 const STOP_TIME: Millis = 1_200;
 
 impl Owner {
-    /// Takes in the whole directory.
+    /// Replaces the known directory by a full read of it.
     pub(super) fn replace_directory(&mut self, entries: Vec<(Name, DirectoryEntry)>) {
-        let named: BTreeSet<&Name> = entries.iter().map(|(id, _)| id).collect();
-        let gone = self.workers.keys().filter(|id| !named.contains(id));
-        let gone = gone.map(|id| (id.clone(), DirectoryEntry::Removed));
-        let changes = gone.collect::<Vec<_>>().into_iter().chain(entries);
+        let present: BTreeSet<&Name> = entries.iter().map(|(id, _)| id).collect();
+        let removed = self.workers.keys().filter(|id| !present.contains(id));
+        let removed = removed.map(|id| (id.clone(), DirectoryEntry::Removed));
+        let changes = removed.collect::<Vec<_>>().into_iter().chain(entries);
         self.apply_directory_changes(changes.collect());
     }
 
-    /// Takes in changes of the directory.
+    /// Applies changes of the directory.
     pub(super) fn apply_directory_changes(&mut self, changes: Vec<(Name, DirectoryEntry)>) {
         for (id, entry) in changes {
             match entry {
@@ -47,15 +47,15 @@
         }
     }
 
-    /// Returns true when a listing says nothing new of a worker, as nearly all do: each
-    /// heartbeat writes one. Taken for changes, they would have all placed tasks and all
-    /// that waits looked at hundreds of times a second.
+    /// Returns true when a listing does not differ from the known one, as with nearly all of
+    /// them: each heartbeat of a worker writes one. If these counted as changes, all placed and
+    /// all waiting tasks would be examined hundreds of times a second.
     fn is_unchanged(&self, id: &Name, listing: &Listing) -> bool {
         let known = self.workers.get(id);
         known.is_some_and(|w| w.presence == Presence::Listed && w.listing == *listing)
     }
 
-    /// Takes in a listing of a worker, known or new.
+    /// Applies the listing of a new or a known worker.
     pub(super) fn apply_listing(&mut self, id: Name, listing: Listing) {
         let now = self.now.steady;
         let cordoned = self.is_cordoned(&listing.hall);
@@ -77,15 +77,15 @@
         self.schedule_poll(&id, now);
     }
 
-    /// Takes in the listing of a worker that is known.
+    /// Applies the listing of a known worker.
     fn update_listing(&mut self, id: Name, listing: Listing, cordoned: bool) {
         let now = self.now.steady;
         let Some(worker) = self.workers.get_mut(&id) else {
             return;
         };
-        let (known, news) = (worker.boot, compare_boots(worker.boot, listing.boot));
-        // What an earlier life wrote may come late.
-        if news == BootOrder::Earlier && worker.listing.boot != listing.boot {
+        let (known, order) = (worker.boot, compare_boots(worker.boot, listing.boot));
+        // A listing of an earlier incarnation may arrive late.
+        if order == BootOrder::Earlier && worker.listing.boot != listing.boot {
             let boot = listing.boot;
             worker.ignored_listing = Some(listing.into());
             return self.log_earlier_incarnation(&id, boot, known, "entry");
@@ -106,21 +106,22 @@
             self.addresses.add(now, id.clone());
         }
         if worker.listing.capacity != listing.capacity {
-            let (before, resources, used) =
+            let (before, capacity, used) =
                 (worker.listing.capacity, listing.capacity, worker.allocated);
-            log::info!(target: "worker", "worker={id} event=room now={resources} before={before} used={used}");
-            worker.max_capacity = worker.max_capacity.max(resources);
+            log::info!(target: "worker", "worker={id} event=room now={capacity} before={before} used={used}");
+            worker.max_capacity = worker.max_capacity.max(capacity);
         }
         worker.listing = listing;
         worker.cordoned = cordoned;
-        if news == BootOrder::Later {
+        if order == BootOrder::Later {
             self.verify_incarnation(&id, "entry");
         }
     }
 
-    /// Takes in that a worker is listed at the address of others; false when it is one that
-    /// they have replaced. Where no start tells which is the later one, the worker at the
-    /// address does, as it refuses orders to others: an entry may have been written late.
+    /// Resolves that a worker is listed at the address of others; returns false when the others
+    /// have replaced it. If the starts don't tell which worker is the later one, the others are
+    /// polled: the worker at the address refuses polls of others, while an entry of the directory
+    /// may have been written late.
     fn resolve_shared_address(&mut self, id: &Name, listing: &Listing) -> bool {
         for other in self.others_at_address(listing.address, id) {
             let known = self.workers[&other].boot;
@@ -136,27 +137,27 @@
         true
     }
 
-    /// Adds a worker to those that are known.
+    /// Adds a worker to the known ones.
     fn insert_worker(&mut self, id: Name, worker: Worker) {
         self.addresses.add(worker.listing.address, id.clone());
         self.workers.insert(id, worker);
     }
 
-    /// Removes a worker from those that are known.
+    /// Removes a worker from the known ones.
     pub(super) fn remove_worker(&mut self, id: &Name) {
         if let Some(worker) = self.workers.remove(id) {
             self.addresses.remove(worker.listing.address, id);
         }
     }
 
-    /// Returns the workers known at an address, but for one.
-    pub(super) fn others_at_address(&self, address: SocketAddr, but: &Name) -> Vec<Name> {
-        let others = self.addresses.at(address).filter(|id| *id != but);
+    /// Returns the workers known at an address, except for one.
+    pub(super) fn others_at_address(&self, address: SocketAddr, except: &Name) -> Vec<Name> {
+        let others = self.addresses.at(address).filter(|id| *id != except);
         others.cloned().collect()
     }
 
-    /// Takes in that the entry of a worker names none to use any more. It gets nothing
-    /// new; what it runs goes on, since the worker itself has said nothing.
+    /// Handles that the entry of a worker became unusable. The worker gets no new tasks, but its
+    /// runs go on, as the worker itself has announced nothing.
     fn mark_unusable(&mut self, id: &Name) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -168,15 +169,15 @@
         worker.presence = Presence::Unusable;
     }
 
-    /// Takes in that a listing is gone: lapsed or removed by the worker.
+    /// Handles that a listing is gone: it has lapsed, or the worker has removed it.
     fn handle_unlisted(&mut self, id: &Name) {
         let now = self.now.steady;
-        let doubtful = now < self.last_store_trouble + TROUBLE;
+        let after_outage = now < self.last_store_trouble + OUTAGE_WINDOW;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         let before = worker.presence;
-        worker.presence = match (before, doubtful) {
+        worker.presence = match (before, after_outage) {
             (Presence::Listed | Presence::Unusable, true) => Presence::Lapsed(now),
             (Presence::Listed | Presence::Unusable, false) => Presence::Removed,
             (before, _) => before,
@@ -188,11 +189,10 @@
         if worker.presence != Presence::Removed {
             return;
         }
-        // A listing that lapses does so after three heartbeats of silence. One
-        // that goes at once with a worker that said it would leave was removed
-        // by the worker at its end.
+        // A listing lapses only after three heartbeats of silence. A leaving worker whose
+        // listing goes sooner has removed it at its end.
         let silent = now - worker.last_answer.min(now);
-        if worker.leaves_at.is_some() && worker.missed_polls > 0 && silent < LEFT {
+        if worker.leaves_at.is_some() && worker.missed_polls > 0 && silent < LAPSE_SILENCE {
             return self.end_incarnation(id, IncarnationEnd::Left);
         }
         worker
@@ -200,13 +200,13 @@
             .get_or_insert(now + self.settings.drain_time);
     }
 
-    /// Takes listings that did not come back after trouble of the store as removed.
+    /// Marks lapsed listings as removed that did not come back after an outage of the store.
     pub(super) fn expire_lapsed_listings(&mut self) {
         let now = self.now.steady;
         let drain = self.settings.drain_time;
         for (id, worker) in &mut self.workers {
             if let Presence::Lapsed(at) = worker.presence
-                && now >= at + RELISTED
+                && now >= at + RELIST_TIMEOUT
             {
                 log::info!(target: "worker", "worker={id} event=removed reason=not-listed-again");
                 worker.presence = Presence::Removed;
@@ -215,13 +215,13 @@
         }
     }
 
-    /// Moves tasks off workers that leave: lasting ones at once, those that
-    /// checkpoint shortly before the end; others may still finish.
+    /// Stops tasks on leaving workers so that they move to others: lasting tasks at once, tasks
+    /// with checkpoints shortly before the end. Other tasks may still finish.
     pub(super) fn evacuate(&mut self) {
         let now = self.now.steady;
         let mut moved = Vec::new();
         for worker in self.workers.values().filter(|w| w.missed_polls == 0) {
-            let Some(leaves) = worker.leaves_at else {
+            let Some(leaves_at) = worker.leaves_at else {
                 continue;
             };
             for (key, placement) in &worker.placements {
@@ -229,8 +229,8 @@
                     continue;
                 };
                 let step = job.step(*key);
-                let last = step.checkpoints && now + STOP_TIME >= leaves;
-                if placement.is_running() && (step.lasting || last) {
+                let ending = step.checkpoints && now + STOP_TIME >= leaves_at;
+                if placement.is_running() && (step.lasting || ending) {
                     moved.push(*key);
                 }
             }
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Returns true when the step of a task bears that it is away for a while.
+    /// Returns true when stopping a task keeps its step within its bound of disruptions.
     pub(super) fn may_disrupt(&self, key: TaskKey) -> bool {
         let Some(job) = self.jobs.get(&key.job) else {
             return false;
@@ -259,7 +259,7 @@
         (away as u32) < bound
     }
 
-    /// Gives a new worker the tasks that the store holds as placed there.
+    /// Places the tasks on a new worker that the store holds as placed on it.
     fn adopt_tasks(&mut self, id: &Name) {
         for key in self.unadopted.remove(id).unwrap_or_default() {
             if self.placed_on.get(&key) != Some(id) {
@@ -267,7 +267,7 @@
             }
             let run = self.jobs[&key.job].task(key).map_or(0, |t| t.run);
             let placement = Placement {
-                // It began long ago, as far as is known.
+                // The time of the start is unknown and assumed to be long ago.
                 placed_at: 0,
                 ..self.new_placement(key, run, Stage::Inherited)
             };
--- a/src/sched/lost_workers.rs
+++ b/src/sched/lost_workers.rs
@@ -1,4 +1,4 @@
-//! Workers that have ended or fell silent, and the tasks that they held.
+//! Handles workers that have ended or whose leases have run out, and frees their tasks.
 
 use super::crashes::{CrashEvidence, listed_for};
 use super::job::TaskKey;
@@ -6,18 +6,18 @@
 use super::worker::{Presence, Worker};
 use crate::utils::Name;
 
-/// How the life of a worker was seen to end.
+/// How an incarnation of a worker has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum IncarnationEnd {
-    /// Another life is there in its place.
+    /// Another incarnation has taken its place.
     Replaced,
-    /// It went as it had said.
+    /// It left as announced.
     Left,
 }
 
 impl IncarnationEnd {
-    /// Returns its word in log lines.
-    fn word(self) -> &'static str {
+    /// Returns the reason in log lines.
+    fn reason(self) -> &'static str {
         match self {
             Self::Replaced => "another-life",
             Self::Left => "has-left",
@@ -26,12 +26,12 @@
 }
 
 impl Owner {
-    /// Ends everything that a life of a worker ran, which has certainly ended.
-    pub(super) fn end_incarnation(&mut self, name: &Name, ending: IncarnationEnd) {
-        self.log_incarnation_end(name, ending);
-        if ending == IncarnationEnd::Replaced {
-            // What runs down with a worker has no end to count: restarted uncounted, one
-            // task took a worker each 3 s for as long as its job was open.
+    /// Removes an incarnation of a worker that has certainly ended, and frees its tasks.
+    pub(super) fn end_incarnation(&mut self, name: &Name, end: IncarnationEnd) {
+        self.log_incarnation_end(name, end);
+        if end == IncarnationEnd::Replaced {
+            // A run that is lost with its worker reports no failure. Without a count of these
+            // crashes, one task crashed a worker every 3 s for as long as its job was open.
             self.record_crash(name, CrashEvidence::Replaced);
         }
         self.release_tasks(name);
@@ -40,16 +40,16 @@
         self.remove_worker(name);
     }
 
-    /// Tells that a life of a worker is over, and of each run that went with it for how
-    /// long the worker had told of it: a younger one may have ended it.
-    pub(super) fn log_incarnation_end(&self, name: &Name, ending: IncarnationEnd) {
+    /// Logs the end of an incarnation and each run that is lost with it. The age of a run is the
+    /// time for which the worker had listed it: a young run may have caused the end.
+    pub(super) fn log_incarnation_end(&self, name: &Name, end: IncarnationEnd) {
         let Some(worker) = self.workers.get(name) else {
             return;
         };
         let (tasks, presence) = (worker.placements.len(), worker.presence);
         let silent = self.now.steady - worker.last_answer;
         let incarnation = worker.incarnation();
-        log::info!(target: "worker", "worker={incarnation} event=over reason={} tasks={tasks} presence={presence:?} silent_ms={silent}", ending.word());
+        log::info!(target: "worker", "worker={incarnation} event=over reason={} tasks={tasks} presence={presence:?} silent_ms={silent}", end.reason());
         crate::metrics::get().orphaned.inc_by(tasks as u64);
         for (key, run) in &worker.placements {
             let task = self.task_name(*key);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes all tasks off a worker.
+    /// Frees all tasks of a worker.
     fn release_tasks(&mut self, name: &Name) {
         let Some(worker) = self.workers.get(name) else {
             return;
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Frees what ran on workers whose leases have certainly ended.
+    /// Frees the tasks of silent workers whose leases have certainly ended, and removes
+    /// unlisted workers without tasks.
     pub(super) fn expire_leases(&mut self) {
         let now = self.now.steady;
         let inherited = self.inherited_leases_end;
@@ -111,15 +112,15 @@
         self.release_unlisted();
     }
 
-    /// Frees tasks of workers that were never listed here.
+    /// Frees tasks that the store holds as placed on workers that this owner never saw listed.
     fn release_unlisted(&mut self) {
         if self.now.steady <= self.inherited_leases_end {
             return;
         }
         let unadopted = std::mem::take(&mut self.unadopted);
         for (name, keys) in unadopted {
-            let held = |key: &TaskKey| self.placed_on.get(key) == Some(&name);
-            let lost: Vec<TaskKey> = keys.into_iter().filter(held).collect();
+            let still_placed = |key: &TaskKey| self.placed_on.get(key) == Some(&name);
+            let lost: Vec<TaskKey> = keys.into_iter().filter(still_placed).collect();
             self.count_lapsed_runs(lost.len());
             self.record_unseen_crashes(&lost, &name);
             for key in lost {
@@ -128,15 +129,15 @@
         }
     }
 
-    /// Counts runs whose lease has ended without a word of their worker.
+    /// Counts runs that were freed because the lease of their silent worker had ended.
     fn count_lapsed_runs(&mut self, runs: usize) {
         self.lapsed_runs += runs as u64;
         crate::metrics::get().lapsed.inc_by(runs as u64);
     }
 }
 
-/// Returns true when a silent worker need not be kept in mind: an entry of another writer
-/// may stay for ever, and a worker that comes back is listed anew.
+/// Returns true when a silent worker with this presence may be removed: a worker that comes
+/// back is listed again, while an unusable entry of another writer may stay forever.
 fn is_forgettable(presence: Presence) -> bool {
     matches!(presence, Presence::Removed | Presence::Unusable)
 }
--- a/src/sched/poll_schedule.rs
+++ b/src/sched/poll_schedule.rs
@@ -1,6 +1,6 @@
-//! When exchanges with workers are due.
+//! Schedule of the polls of workers.
 //!
-//! Kept apart from the workers, so that not all of them are looked at after each event.
+//! The due times are kept in a heap, so that an event need not examine all workers.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,14 +10,14 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Times of exchanges, the earliest first; some may hold no more.
+/// Due times of polls, the earliest first. Superseded entries stay until they come up.
 #[derive(Default)]
 pub(super) struct PollSchedule {
     entries: BinaryHeap<Reverse<(Millis, Name)>>,
 }
 
 impl Owner {
-    /// Sets when the next exchange with a worker is due.
+    /// Sets when the next poll of a worker is due.
     pub(super) fn schedule_poll(&mut self, name: &Name, at: Millis) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.poll = PollState::Due(at);
@@ -25,15 +25,15 @@
         }
     }
 
-    /// Returns the workers with which an exchange is due now.
+    /// Removes the due entries from the schedule and returns their workers.
     pub(super) fn take_due_polls(&mut self) -> Vec<Name> {
         let mut names = Vec::new();
         while let Some(Reverse((at, name))) = self.poll_schedule.entries.peek() {
-            let holds = self.workers.get(name).map(|w| w.poll) == Some(PollState::Due(*at));
-            if holds && *at > self.now.steady {
+            let current = self.workers.get(name).map(|w| w.poll) == Some(PollState::Due(*at));
+            if current && *at > self.now.steady {
                 break;
             }
-            if holds && !names.contains(name) {
+            if current && !names.contains(name) {
                 names.push(name.clone());
             }
             self.poll_schedule.entries.pop();
@@ -41,7 +41,7 @@
         names
     }
 
-    /// Returns when the next exchange is due.
+    /// Returns the time of the earliest entry.
     pub(super) fn next_poll(&self) -> Option<Millis> {
         self.poll_schedule
             .entries
