--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -1,9 +1,9 @@
-//! Whether a job is taken.
+//! Admission control: decides whether a submitted job is accepted.
 //!
-//! Load patterns: jobs that come while the store is away, and jobs that ask for more than
-//! any worker has. Both would be held in vain, so their callers are told at once, and that
-//! nothing has run. A job that merely has to wait is taken: its tasks find room within
-//! seconds on full workers, and only the caller knows how long it is worth the wait.
+//! Jobs that arrive during an outage of the store, and jobs with a task that no worker could
+//! hold, are refused at once: they could not run, and a refusal tells their callers that
+//! nothing was started. A job that only has to wait for resources is accepted: its tasks start
+//! within seconds on full workers, and only the caller knows how long waiting is worthwhile.
 
 use super::owner::Owner;
 use super::scoring::could_ever_hold;
@@ -11,35 +11,36 @@
 use super::worker::{Presence, Worker};
 use crate::utils::clock::Millis;
 
-/// Milliseconds without a confirmed commit after which new jobs are refused:
-/// several times the store's usual answer, also when it is slow.
+/// Milliseconds without a confirmed commit after which the store counts as unavailable:
+/// several times its usual response time, also when it is slow.
 const OUTAGE_AFTER: Millis = 1_000;
-/// The same once a commit has failed: a store that resets connections or answers 503 tells
-/// so at once. Longer than an idle owner's pause between commits and than two answers lost
-/// in a row take to be found, which are no outage.
+/// The same once a commit has failed, as a store that resets connections or answers 503 is
+/// recognised at once. Longer than the pause between an idle owner's commits, and than it takes
+/// to find the outcome of two commits in a row whose answers were lost, which is no outage.
 const OUTAGE_AFTER_FAILURE: Millis = 450;
-/// While commits are slow, so many of them may pass unconfirmed.
+/// Factor on the duration of the last commit: with a slow store, no commit may be confirmed for
+/// this many times that duration.
 const OUTAGE_COMMITS: Millis = 3;
-/// Longest such span, in milliseconds.
+/// Upper limit of that time, in milliseconds.
 const MAX_OUTAGE_AFTER: Millis = 2_500;
-/// Milliseconds after which a caller of a job that no worker could hold should come back:
-/// larger workers are added within some seconds, if at all, and each try before is in vain.
+/// Milliseconds after which the caller of a job that no worker could hold should retry. Larger
+/// workers are added within several seconds, if at all, and earlier retries would fail.
 const UNSERVABLE_RETRY_AFTER: Millis = 5_000;
-/// Milliseconds after which a refused caller should come back; about what a
-/// takeover or a short outage takes.
+/// Milliseconds after which a refused caller should retry: about the duration of a takeover or
+/// a short outage.
 pub const RETRY_AFTER: Millis = 500;
 
-/// Why a job is not taken.
+/// Why a job is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rejection {
-    /// The store has confirmed nothing for so many milliseconds.
+    /// The store has confirmed no commit for this many milliseconds.
     StoreAway(Millis),
-    /// No worker of its service could hold a task of this step.
+    /// No worker of the service could hold a task of the step with this index.
     Unservable(usize),
 }
 
 impl Rejection {
-    /// Returns the milliseconds after which the caller should come back.
+    /// Returns the milliseconds after which the caller should retry.
     pub fn retry_after(self) -> Millis {
         match self {
             Self::StoreAway(_) => RETRY_AFTER,
@@ -49,7 +50,7 @@
 }
 
 impl Owner {
-    /// Returns why a job can't be taken now.
+    /// Returns why a job can't be accepted now, or `None` if it can.
     pub(super) fn rejection(&self, spec: &JobSpec, service: &str) -> Option<Rejection> {
         let away = self.store_outage().map(Rejection::StoreAway);
         away.or_else(|| {
@@ -58,22 +59,22 @@
         })
     }
 
-    /// Returns the milliseconds since the last confirmed commit when they are too
-    /// many to take new jobs.
+    /// Returns the milliseconds since the last confirmed commit if they are too many to accept
+    /// jobs, or `None` otherwise.
     pub(super) fn store_outage(&self) -> Option<Millis> {
         let silent = self.now.steady - self.journal.last_confirmed();
-        let usual = match self.journal.last_commit_failed() {
+        let limit = match self.journal.last_commit_failed() {
             true => OUTAGE_AFTER_FAILURE,
             false => OUTAGE_AFTER,
         };
         let slow = (self.journal.last_commit_duration() * OUTAGE_COMMITS).min(MAX_OUTAGE_AFTER);
-        (silent > usual.max(slow)).then_some(silent)
+        (silent > limit.max(slow)).then_some(silent)
     }
 
-    /// Returns a step of which no worker of the service could hold a task, were it empty
-    /// and its room as large as it has been: one that has shrunk may grow again.
-    /// Without any worker of the service nothing is known, as the directory may not be
-    /// read yet.
+    /// Returns the first step of which no worker of the service could hold a task. Workers count
+    /// as empty and with the most capacity that they have had, as one that has shrunk may grow
+    /// again. Returns `None` while no worker of the service is known, as the directory may not
+    /// have been read yet.
     fn unservable_step(&self, spec: &JobSpec, service: &str) -> Option<usize> {
         let known = |w: &&Worker| {
             let there = !matches!(w.presence, Presence::Removed | Presence::Unusable);
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of all jobs and workers of a cell: events in, actions out.
+//! State machine of a cell's owner: takes events in and returns the actions to carry out.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -24,108 +24,111 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Part of the time that a serving task may be over its target until it is relieved in any
-/// case: the rest is for reports and orders that get lost.
+/// Divides the longest breach of a latency target: tasks beside the serving task are halted
+/// after this part of it. The rest covers reports and orders that get lost.
 const HALT_DIVISOR: Millis = 4;
 
-/// Bounds that the platform and the settings give.
+/// Durations and mechanisms that the platform and the settings give an owner.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnerSettings {
-    /// Milliseconds of a lease given to a worker.
+    /// Length of a lease that is granted to a worker, in milliseconds.
     pub lease_length: Millis,
-    /// Milliseconds that an owner goes on extending leases without a commit.
+    /// Longest time that an owner extends leases without a confirmed commit, in milliseconds.
     pub max_unconfirmed: Millis,
-    /// Least milliseconds that a worker serves on after its listing is gone.
+    /// Least time that a worker runs on after its listing was removed, in milliseconds.
     pub drain_time: Millis,
-    /// Milliseconds that a serving task may stay over its target because of fillers.
+    /// Longest time that best-effort tasks may keep a serving task over its latency target, in
+    /// milliseconds.
     pub max_breach: Millis,
-    /// Milliseconds for which the state of an ended job is told.
+    /// Time for which the state of a finished job can be queried, in milliseconds.
     pub retention: Millis,
-    /// Mechanisms that are on.
+    /// Mechanisms that are enabled.
     pub mechanisms: Mechanisms,
 }
 
 impl OwnerSettings {
-    /// Returns the milliseconds over its target after which everything beside a serving task
-    /// is halted, whatever was learned.
+    /// Returns the time over its target after which all best-effort tasks beside a serving task
+    /// are halted, whatever the interference model predicts, in milliseconds.
     pub(super) fn halt_after(&self) -> Millis {
         self.max_breach / HALT_DIVISOR
     }
 }
 
-/// The clocks at the time of an event.
+/// Readings of this box's clocks at the time of an event.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// Milliseconds on this box's steady clock.
+    /// Milliseconds on the monotonic clock.
     pub steady: Millis,
     /// Milliseconds since the Unix epoch.
     pub wall: Millis,
 }
 
-/// A job as read from the store at a takeover.
+/// A job as a new owner reads it from the store.
 pub struct StoredJob {
-    /// Its id.
+    /// Id chosen by the caller.
     pub id: Name,
-    /// Its description.
+    /// Description given by the caller.
     pub spec: JobSpec,
-    /// Its state.
+    /// State of the job and its tasks.
     pub row: JobRow,
 }
 
-/// The owner of a cell.
+/// Scheduling state of a cell, held by the one box that owns it.
 pub struct Owner {
     pub(super) settings: OwnerSettings,
+    /// Changes that are to be committed to the store.
     pub(super) journal: Journal,
-    /// Jobs by their number at this owner.
+    /// Jobs by the number that this owner gave them.
     pub(super) jobs: BTreeMap<u32, Job>,
-    /// Numbers of jobs by their id.
+    /// Number of each job by its id.
     pub(super) job_numbers: HashMap<Name, u32>,
-    /// Starts without an answer that may still be carried out.
+    /// Starts without an answer that workers may still carry out.
     pub(super) late_starts: Vec<LateStart>,
-    /// Jobs that are over, of which nothing is placed any more.
+    /// Finished jobs without placed tasks.
     pub(super) history: History,
-    /// Jobs whose rows in the store can't be read: what became of them is not
-    /// known here, and their rows are left as they are.
+    /// Jobs whose rows in the store can't be decoded. Their state is unknown to this owner,
+    /// which never overwrites the rows.
     pub(super) unreadable_jobs: BTreeSet<Name>,
-    /// Tasks that may start, and since when.
+    /// Tasks that wait for a worker, with the time since when they do.
     pub(super) ready: BTreeMap<TaskKey, Millis>,
     /// Workers by id.
     pub(super) workers: BTreeMap<Name, Worker>,
-    /// The same by their addresses.
+    /// Index of the workers by address.
     pub(super) addresses: Addresses,
-    /// Halls whose workers get nothing new; none while that is not known, as a box that
-    /// has just become the owner may know less than the one before.
+    /// Halls whose workers get no new tasks. `None` until the cordons are known: a box that has
+    /// just become the owner may have older ones than its predecessor.
     pub(super) cordoned_halls: Option<Halls>,
-    /// When exchanges with them are due.
+    /// When polls of the workers are due.
     pub(super) poll_schedule: PollSchedule,
-    /// Where each placed task is.
+    /// The worker of each placed task.
     pub(super) placed_on: HashMap<TaskKey, Name>,
-    /// Tasks that the store held as placed on workers that were not listed here yet.
+    /// Tasks that the store has as placed on workers which this owner has not seen listed yet.
     pub(super) unadopted: BTreeMap<Name, Vec<TaskKey>>,
     /// The worker on which a task failed last.
     pub(super) failed_on: HashMap<TaskKey, Name>,
-    /// Tasks whose starts workers could not take.
+    /// Tasks that wait before their next start, as workers had to refuse the last one.
     pub(super) deferred: HashMap<TaskKey, Deferral>,
-    /// What is known of the workers that may run a step.
+    /// Permits to run steps on workers, as the advisor gave them.
     pub(super) permits: BTreeMap<StepKey, Permits>,
-    /// Lasting tasks that ran, and are stopped or wait to run again.
+    /// Lasting tasks that have run, and are being stopped or wait for their next start.
     pub(super) interrupted: BTreeSet<TaskKey>,
-    /// Scores of the workers for the step placed last in this pass of placing.
+    /// Scores of the workers for the step placed last in this placement pass.
     pub(super) ranking: Option<Ranking>,
-    /// Tasks for which room is being made, and the worker on which.
+    /// Tasks for which resources are reserved, with the worker that is to run them.
     pub(super) reservations: BTreeMap<TaskKey, Name>,
-    /// Workers looked at to place tasks, counted each time.
+    /// Number of times that a worker was examined for placing tasks.
     pub(super) workers_examined: u64,
-    /// What is to be done, until the event has been taken in.
+    /// Actions that the current event has caused.
     pub(super) actions: Vec<Action>,
-    /// The clocks at the present event.
+    /// The clocks at the current event.
     pub(super) now: Now,
-    /// When leases given by earlier owners have certainly ended.
+    /// When all leases granted by earlier owners have certainly ended.
     pub(super) inherited_leases_end: Millis,
-    /// True when nothing that waits found room, until something changes.
+    /// True after a placement pass that placed nothing, until the state changes.
     pub(super) saturated: bool,
-    /// When tasks may be placed next.
+    /// When the next placement pass may run.
     pub(super) next_pass: Millis,
+    /// How much best-effort tasks raise the load of serving tasks, by image.
     pub(super) interference: InterferenceModel,
     /// Own loads of serving tasks.
     pub(super) own_loads: OwnLoads,
@@ -133,9 +136,9 @@
     pub(super) crash_times: VecDeque<Millis>,
     /// Counted crashes that become an outage if enough others follow at once.
     pub(super) provisional_crashes: Vec<ProvisionalCrash>,
-    /// When the store was last away, slow or silent.
+    /// When the store last failed, was slow or gave no answer.
     pub(super) last_store_trouble: Millis,
-    /// Declared work that is typical of a job, by queue.
+    /// Moving average of the declared work of a job, by queue.
     pub(super) typical_work: HashMap<Name, f64>,
     /// Backlog of best-effort work, from 0 to 1; serving tasks run at a higher load by it.
     pub(super) backlog_level: f64,
@@ -143,30 +146,30 @@
     pub(super) next_swap: Millis,
     /// Number of the next job.
     next_job: u32,
-    /// When to look next at what has become due or too old.
+    /// When the next sweep for due and expired state runs.
     next_sweep: Millis,
     /// When what was learned is written next.
     pub(super) next_estimates: Millis,
-    /// Runs freed as the lease of their worker had ended.
+    /// Number of runs that were unplaced because the lease of their worker had ended.
     pub(super) lapsed_runs: u64,
     /// True once another box owns the cell.
     pub(super) deposed: bool,
 }
 
-/// Milliseconds without a commit that tell of trouble of the store: an idle
-/// owner commits each 300.
+/// Milliseconds without a confirmed commit that count as trouble of the store. An idle owner
+/// commits every 300 ms.
 const STORE_SILENCE: Millis = 900;
-/// Milliseconds between two looks at what has become due or too old.
+/// Milliseconds between two sweeps for due and expired state.
 const SWEEP_INTERVAL: Millis = 100;
 
 impl Owner {
-    /// Returns the owner that goes on with what the store holds; leases given
-    /// by earlier owners end at `inherited` at the latest.
+    /// Returns an owner that continues from the jobs in the store. Leases granted by earlier
+    /// owners have ended by `inherited_leases_end`.
     pub fn new(
         settings: OwnerSettings,
         journal: Journal,
-        kept: Vec<StoredJob>,
-        inherited: Millis,
+        stored_jobs: Vec<StoredJob>,
+        inherited_leases_end: Millis,
         now: Now,
     ) -> Self {
         let mut owner = Self {
@@ -192,7 +195,7 @@
             workers_examined: 0,
             actions: Vec::new(),
             now,
-            inherited_leases_end: inherited,
+            inherited_leases_end,
             saturated: false,
             next_pass: 0,
             interference: InterferenceModel::default(),
@@ -210,7 +213,7 @@
             lapsed_runs: 0,
             deposed: false,
         };
-        for job in kept {
+        for job in stored_jobs {
             owner.load_job(Job::from_stored(job.id, job.spec, job.row));
         }
         owner
@@ -243,17 +246,17 @@
         number
     }
 
-    /// Returns the jobs, workers and waiting tasks, for gauges.
+    /// Returns the numbers of jobs, workers and waiting tasks, for metrics.
     pub fn sizes(&self) -> (usize, usize, usize) {
         (self.jobs.len(), self.workers.len(), self.ready.len())
     }
 
-    /// Returns how many runs were freed as the lease of their worker had ended.
+    /// Returns how many runs were unplaced because the lease of their worker had ended.
     pub fn lapsed_runs(&self) -> u64 {
         self.lapsed_runs
     }
 
-    /// Returns when the last commit that took effect was sent.
+    /// Returns when the last confirmed commit was sent.
     pub fn last_confirmed(&self) -> Millis {
         self.journal.last_confirmed()
     }
@@ -263,12 +266,12 @@
         self.deposed
     }
 
-    /// Returns true once the store holds that the cell was given up.
+    /// Returns true once the store has recorded that this owner released the cell.
     pub fn is_released(&self) -> bool {
         self.journal.is_released()
     }
 
-    /// Returns the milliseconds until something is due.
+    /// Returns the milliseconds until the owner next has work that is due.
     pub fn due_in(&self, now: Now) -> Millis {
         let places = !self.saturated && !self.ready.is_empty() && self.cordoned_halls.is_some();
         let place = places.then_some(self.next_pass);
@@ -281,38 +284,38 @@
         due.min().unwrap_or(0).saturating_sub(now.steady).max(1)
     }
 
-    /// Goes on with other bounds.
+    /// Replaces the settings.
     pub fn change_settings(&mut self, settings: OwnerSettings) {
         self.settings = settings;
     }
 
-    /// Gives the cell up with the next commit.
+    /// Releases the cell with the next commit.
     pub fn resign(&mut self, now: Now) {
         self.journal.release(now.steady);
     }
 
-    /// Returns true once it is to give the cell up.
+    /// Returns true once this owner has decided to release the cell.
     pub fn is_resigning(&self) -> bool {
         self.journal.is_releasing()
     }
 
-    /// Gives the cell up to a box with more cores.
+    /// Releases the cell in favour of a box that has this larger number of cores.
     pub fn resign_to_larger(&mut self, cores: u32, now: Now) {
         self.journal.make_way(cores, now.steady);
     }
 
-    /// Takes in that the owner before extends no lease any more.
+    /// Records that the preceding owner no longer extends leases.
     pub fn predecessor_ended(&mut self, now: Now) {
         let end = now.steady + max_lease_duration(self.settings.lease_length);
         self.inherited_leases_end = self.inherited_leases_end.min(end);
         self.journal.mark_predecessors_ended();
     }
 
-    /// Takes in an event and returns what is to be done.
+    /// Processes an event and returns the actions to carry out.
     pub fn handle_event(&mut self, event: Event, now: Now) -> Vec<Action> {
         self.now = now;
         match event {
-            Event::Request(ticket, ask) => self.handle_request(ticket, ask),
+            Event::Request(ticket, request) => self.handle_request(ticket, request),
             Event::Directory(listings) => self.replace_directory(listings),
             Event::DirectoryChanged(changes) => self.apply_directory_changes(changes),
             Event::Cordoned(halls) => self.set_cordoned_halls(halls),
@@ -338,7 +341,7 @@
             self.next_sweep = now.steady + SWEEP_INTERVAL;
             self.sweep();
         }
-        // The next owner counts on it that one which gives up extends no lease.
+        // The next owner relies on a resigning owner not extending leases.
         if !self.deposed && !self.is_resigning() {
             if self.cordoned_halls.is_some() {
                 self.place_ready_tasks();
@@ -386,19 +389,19 @@
         self.saturated = false;
     }
 
-    /// Takes in that the rows of some jobs can't be read.
+    /// Marks jobs whose rows can't be decoded.
     pub fn mark_unreadable(&mut self, ids: Vec<Name>) {
         self.unreadable_jobs.extend(ids);
     }
 
-    /// Goes on with what earlier owners learned of interference between images.
+    /// Imports the interference between images that earlier owners learned.
     pub fn import_interference(&mut self, known: Vec<Known>) {
         if self.settings.mechanisms.warm_start {
             self.interference.import(known);
         }
     }
 
-    /// Puts the tasks of a job that may start now among the ready ones.
+    /// Adds the waiting tasks of a job whose dependencies are done to the ready tasks.
     pub(super) fn queue_ready_tasks(&mut self, number: u32) {
         let Some(job) = self.jobs.get(&number) else {
             return;
@@ -430,7 +433,7 @@
         self.saturated = false;
     }
 
-    /// Ends a job, and with it all that it runs once the end is in the store.
+    /// Sets the final outcome of a job. Its runs are stopped once the store has the outcome.
     pub(super) fn finish_job(&mut self, number: u32, outcome: Outcome) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
@@ -443,20 +446,20 @@
         self.permits.retain(|step, _| step.job != number);
     }
 
-    /// Returns what the worker of a placed task holds of it.
+    /// Returns the placement of a task on its worker.
     pub(super) fn placement_of(&self, key: TaskKey) -> Option<&Placement> {
         let worker = self.workers.get(self.placed_on.get(&key)?)?;
         worker.placements.get(&key)
     }
 
-    /// Returns the name of a task on its workers, for log lines; empty once its
-    /// job was removed.
+    /// Returns the name by which workers know a task, for log lines; empty once its job was
+    /// removed.
     pub(super) fn task_name(&self, key: TaskKey) -> String {
         let job = self.jobs.get(&key.job);
         job.map(|j| j.task_name(key)).unwrap_or_default()
     }
 
-    /// Takes a task off its worker; it waits for another start if its job goes on.
+    /// Removes a task from its worker. The task waits for its next start if its job is open.
     pub(super) fn unplace(&mut self, key: TaskKey) {
         let Some(name) = self.placed_on.remove(&key) else {
             return;
--- a/src/sched/requests.rs
+++ b/src/sched/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests about jobs.
+//! Handles callers' requests to submit, cancel, show and count jobs.
 
 use super::failover;
 use super::job::{Job, Outcome, Queue};
@@ -9,14 +9,15 @@
 use crate::utils::Name;
 
 impl Owner {
-    pub(super) fn handle_request(&mut self, ticket: Ticket, ask: JobRequest) {
-        if let JobRequest::Submit { id, .. } | JobRequest::Cancel(id) | JobRequest::Show(id) = &ask
+    pub(super) fn handle_request(&mut self, ticket: Ticket, request: JobRequest) {
+        if let JobRequest::Submit { id, .. } | JobRequest::Cancel(id) | JobRequest::Show(id) =
+            &request
             && self.unreadable_jobs.contains(id)
         {
             log::warn!(target: "job", "job={id} event=in-doubt reason=unreadable-row");
             return self.reply(ticket, Answer::InDoubt);
         }
-        match ask {
+        match request {
             JobRequest::Submit { id, spec, queue } => self.submit(ticket, id, spec, queue),
             JobRequest::Cancel(id) => self.cancel(ticket, &id),
             JobRequest::Show(id) => self.show(ticket, &id),
@@ -32,15 +33,15 @@
         if self.history.get(&id).is_some() {
             return self.reply(ticket, Answer::Accepted);
         }
-        let findings = spec.validation_errors();
-        if !findings.is_empty() {
-            log::warn!(target: "job", "job={id} event=invalid findings={findings:?}");
-            return self.reply(ticket, Answer::Invalid(findings.join("; ")));
+        let errors = spec.validation_errors();
+        if !errors.is_empty() {
+            log::warn!(target: "job", "job={id} event=invalid findings={errors:?}");
+            return self.reply(ticket, Answer::Invalid(errors.join("; ")));
         }
-        if let Some(obstacle) = self.rejection(&spec, &queue.service) {
+        if let Some(rejection) = self.rejection(&spec, &queue.service) {
             let workers = self.workers.len();
-            log::info!(target: "job", "job={id} event=refused reason={obstacle:?} workers={workers}");
-            return self.reply(ticket, Answer::Refused(obstacle.retry_after()));
+            log::info!(target: "job", "job={id} event=refused reason={rejection:?} workers={workers}");
+            return self.reply(ticket, Answer::Refused(rejection.retry_after()));
         }
         if !self.history.is_complete() {
             return self.park(ticket, JobRequest::Submit { id, spec, queue });
@@ -54,7 +55,7 @@
         self.queue_ready_tasks(number);
     }
 
-    /// Answers once the store holds the job as it is now.
+    /// Answers once the store has the current outcome of a job.
     fn answer_once_stored(&mut self, ticket: Ticket, number: u32, answer: Answer) {
         let job = &self.jobs[&number];
         if job.stored && job.stored_outcome == job.row.outcome {
@@ -81,7 +82,7 @@
         let number = self.job_numbers.get(id);
         let answer = match number.map(|n| &self.jobs[n]) {
             Some(job) if job.stored => Answer::State(job.state()),
-            // Its acceptance is on its way to the store, so neither word is true yet.
+            // The store has not confirmed the job yet, so neither a state nor `Unknown` is true.
             Some(_) => Answer::InDoubt,
             None => match self.history.get(id) {
                 Some(row) => Answer::State(row.outcome.state(true)),
@@ -91,26 +92,27 @@
         self.reply(ticket, answer);
     }
 
-    /// Answers about a job that is not known, once all that are over were read: it may be
-    /// one of them. A later owner may hold it as well, so that there must be none.
-    fn not_found(&mut self, ticket: Ticket, ask: JobRequest) {
+    /// Answers a request about a job that this owner does not know. The request is parked until
+    /// the history is read completely, as the job may be among the finished ones, and while
+    /// there may be a later owner, which may know the job.
+    fn not_found(&mut self, ticket: Ticket, request: JobRequest) {
         match self.history.is_complete() && self.is_sole_owner() {
             true => self.reply(ticket, Answer::Unknown),
-            false => self.park(ticket, ask),
+            false => self.park(ticket, request),
         }
     }
 
-    /// Returns true while no other box can be the owner: one that gives the cell up may have
-    /// done so by a commit without an answer.
+    /// Returns true while no other box can be the owner. A resigning owner may already have
+    /// released the cell by a commit whose answer is outstanding.
     fn is_sole_owner(&self) -> bool {
         !self.is_resigning() && failover::holds_cell(self.journal.last_confirmed(), self.now.steady)
     }
 
-    /// Asks those that wait once more, where it has just been confirmed that this is the owner.
+    /// Handles the parked requests again, once a commit has confirmed that this box is the owner.
     pub(super) fn answer_parked(&mut self) {
         if self.history.has_parked() && self.history.is_complete() && self.is_sole_owner() {
-            for (ticket, ask) in self.history.take_parked() {
-                self.handle_request(ticket, ask);
+            for (ticket, request) in self.history.take_parked() {
+                self.handle_request(ticket, request);
             }
         }
     }
