--- a/src/cordons.rs
+++ b/src/cordons.rs
@@ -1,4 +1,4 @@
-//! Halls that the operator has cordoned: nothing new is to be started on their workers.
+//! Halls that an operator has cordoned: no new runs are started on their workers.
 
 #[cfg(test)]
 mod tests;
@@ -10,62 +10,63 @@
 /// Names of halls.
 pub type Halls = BTreeSet<Name>;
 
-/// A change of what the store holds of a hall.
+/// A change of a hall's cordon in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct CordonChange {
     /// The hall.
     pub hall: Name,
-    /// Version of the store at the change.
+    /// Version of the store after the change.
     pub version: u64,
-    /// True when it was cordoned, false when it was taken back.
+    /// True when the hall was cordoned, false when the cordon was removed.
     pub cordoned: bool,
 }
 
-/// A hall as of its last change.
+/// The state of a hall after its last known change.
 #[derive(Clone, Copy, Debug)]
-struct Hall {
+struct HallState {
     version: u64,
     cordoned: bool,
 }
 
-/// What is known of the halls; of each the newest word holds, in whichever order words
-/// come. A read may be older than what a feed has told already.
+/// The known cordons. For each hall the change with the highest version counts, in whichever
+/// order changes arrive: a read may be older than changes that the feed has delivered.
 #[derive(Clone, Debug, Default)]
 pub struct Cordons {
-    /// True once all rows were read: before, no hall is known to be free.
-    read: bool,
-    halls: BTreeMap<Name, Hall>,
+    /// True once all rows were read; before that, any hall may be cordoned.
+    loaded: bool,
+    halls: BTreeMap<Name, HallState>,
 }
 
 impl Cordons {
-    /// Takes in a change.
-    pub fn change(&mut self, change: Change) {
+    /// Applies a change unless a newer one is known.
+    pub fn apply_change(&mut self, change: CordonChange) {
         let known = self.halls.get(&change.hall).map_or(0, |h| h.version);
         if change.version >= known {
             let (version, cordoned) = (change.version, change.cordoned);
-            self.halls.insert(change.hall, Hall { version, cordoned });
+            self.halls
+                .insert(change.hall, HallState { version, cordoned });
         }
     }
 
-    /// Takes in all cordons as of a version of the store.
-    pub fn read(&mut self, version: u64, cordons: Vec<Change>) {
-        self.read = true;
-        let named: Halls = cordons.iter().map(|c| c.hall.clone()).collect();
-        let gone = self.halls.keys().filter(|hall| !named.contains(*hall));
-        let gone = gone.map(|hall| Change {
+    /// Applies a full read of all cordons, as of a version of the store.
+    pub fn apply_snapshot(&mut self, version: u64, cordons: Vec<CordonChange>) {
+        self.loaded = true;
+        let present: Halls = cordons.iter().map(|c| c.hall.clone()).collect();
+        let removed = self.halls.keys().filter(|hall| !present.contains(*hall));
+        let removed = removed.map(|hall| CordonChange {
             hall: hall.clone(),
             version,
             cordoned: false,
         });
-        for change in gone.collect::<Vec<_>>().into_iter().chain(cordons) {
-            self.change(change);
+        for change in removed.collect::<Vec<_>>().into_iter().chain(cordons) {
+            self.apply_change(change);
         }
     }
 
-    /// Returns the cordoned halls; none before they were read.
-    pub fn halls(&self) -> Option<Halls> {
+    /// Returns the cordoned halls, or `None` before all cordons were read.
+    pub fn cordoned_halls(&self) -> Option<Halls> {
         let cordoned = self.halls.iter().filter(|(_, h)| h.cordoned);
-        self.read
+        self.loaded
             .then(|| cordoned.map(|(name, _)| name.clone()).collect())
     }
 }
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -10,7 +10,7 @@
 use super::downtime::Downtime;
 use super::message::Message;
 use super::peer_addresses::PeerAddresses;
-use crate::cordons::{Change, Cordons, Halls};
+use crate::cordons::{CordonChange, Cordons, Halls};
 use crate::options::daemon::Settings;
 use crate::platform::advice::Advisor;
 use crate::platform::store::Store;
@@ -164,18 +164,18 @@
 
     /// Returns the cordoned halls, or `None` before they were read.
     pub fn cordoned(&self) -> Option<Halls> {
-        self.cordons.borrow().halls()
+        self.cordons.borrow().cordoned_halls()
     }
 
     /// Applies changes of cordons; with `as_of`, the changes are all cordons as of that version
     /// of the store. Tells the owner in this process if the cordoned halls changed.
-    pub fn apply_cordons(&self, changes: Vec<Change>, as_of: Option<u64>) {
+    pub fn apply_cordons(&self, changes: Vec<CordonChange>, as_of: Option<u64>) {
         let before = self.cordoned();
         match as_of {
-            Some(version) => self.cordons.borrow_mut().read(version, changes),
+            Some(version) => self.cordons.borrow_mut().apply_snapshot(version, changes),
             None => {
                 let mut cordons = self.cordons.borrow_mut();
-                changes.into_iter().for_each(|c| cordons.change(c));
+                changes.into_iter().for_each(|c| cordons.apply_change(c));
             }
         }
         let Some(halls) = self.cordoned().filter(|h| before.as_ref() != Some(h)) else {
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -2,7 +2,7 @@
 
 use super::store::Page;
 use super::wire::Config;
-use crate::cordons::Change;
+use crate::cordons::CordonChange;
 use crate::queues::{Queues, Route};
 use crate::sched::job::Queue;
 use crate::table::{Row, decode};
@@ -16,10 +16,10 @@
 
 /// Returns the changes of cordons in a page of the operator's table. Only the key counts: a row
 /// cordons its hall even if its value does not decode.
-pub fn cordon_changes(page: &Page) -> Vec<Change> {
+pub fn cordon_changes(page: &Page) -> Vec<CordonChange> {
     let change = |key: &str, version, cordoned| {
         let hall = key.strip_prefix(CORDON_PREFIX).filter(|h| !h.is_empty())?;
-        Some(Change {
+        Some(CordonChange {
             hall: hall.into(),
             version,
             cordoned,
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -71,7 +71,7 @@
         DRAINING => true,
         _ => return Err(EntryError::State(entry.state)),
     };
-    if !queues.names_service(&entry.service) {
+    if !queues.has_service(&entry.service) {
         return Err(EntryError::Service(entry.service));
     }
     Ok(Listing {
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -240,8 +240,8 @@
 fn a_service_without_a_queue_still_counts_as_named() {
     let named = CONFIG.replacen("{\"name\":\"s1\"}", "{\"name\":\"s3\"}", 1);
     let queues = config::decode_queues(&row(config::KEY, &named)).expect("decodes");
-    assert!(["s1", "s2", "s3"].iter().all(|s| queues.names_service(s)));
-    assert!(!queues.names_service("s4"));
+    assert!(["s1", "s2", "s3"].iter().all(|s| queues.has_service(s)));
+    assert!(!queues.has_service("s4"));
 }
 
 quickcheck::quickcheck! {
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -1,33 +1,33 @@
-//! The queues in force and how a request finds its own.
+//! The configured queues, and the routing of requests to them by host and path.
 
 use std::collections::BTreeSet;
 
 use crate::sched::job::Queue;
 use crate::utils::Name;
 
-/// Which requests belong to a queue.
+/// A route: requests to this host and path prefix belong to a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Host that the request names.
+    /// Host name of the request.
     pub host: Name,
-    /// Start of its path.
+    /// Prefix of the request's path.
     pub prefix: Name,
     /// The queue.
     pub queue: Queue,
 }
 
-/// All queues of one version of the configuration.
+/// The queues of one version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Queues {
     version: u64,
-    /// By length of prefix, longest first.
+    /// Routes by length of prefix, longest first.
     routes: Vec<Route>,
-    /// Names of all services, of which some may have no queue.
+    /// Names of all services; some may have no queue.
     services: BTreeSet<Name>,
 }
 
 impl Queues {
-    /// Returns the queues of a version.
+    /// Returns the queues of a version of the configuration.
     pub fn new(version: u64, mut routes: Vec<Route>) -> Self {
         routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
         let services = routes.iter().map(|r| r.queue.service.clone()).collect();
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns the same queues with services beside those of the queues.
+    /// Adds services, which may have no queue.
     pub fn with_services(mut self, services: impl IntoIterator<Item = Name>) -> Self {
         self.services.extend(services);
         self
@@ -49,18 +49,18 @@
         &self.services
     }
 
-    /// Returns true when the configuration names a service. A job keeps its service when
-    /// its queue is dropped, so services without a queue count.
-    pub fn names_service(&self, service: &str) -> bool {
+    /// Returns true when the configuration contains a service, with or without a queue: a job
+    /// keeps its service when its queue is removed.
+    pub fn has_service(&self, service: &str) -> bool {
         self.services.contains(service)
     }
 
-    /// Returns the version; 0 before any was read.
+    /// Returns the version of the configuration; 0 before one was read.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns the route with the longest fitting prefix, and the rest of the path.
+    /// Returns the route with the longest matching prefix, and the rest of the path.
     pub fn find<'p>(&self, host: &str, path: &'p str) -> Option<(&Route, &'p str)> {
         self.routes.iter().find_map(|route| {
             let rest = path.strip_prefix(&*route.prefix)?;
--- a/src/table.rs
+++ b/src/table.rs
@@ -1,4 +1,4 @@
-//! The platform's table as the decisions see it.
+//! The interface to the platform's table: calls, conditions, rows and outcomes.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -7,27 +7,27 @@
 use crate::lease::Written;
 use crate::utils::Name;
 
-/// What a row must be for a commit to take effect.
+/// The condition on a row for a commit to take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
-    /// Anything.
+    /// No condition.
     Any,
-    /// Not there.
+    /// The row must not exist.
     Absent,
-    /// There, in any version.
+    /// The row must exist, in any version.
     Present,
-    /// There in this version; 0 expects its absence.
+    /// The row must have this version; 0 means that it must not exist.
     Version(u64),
 }
 
 /// What a commit does to a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing: it is only expected.
+    /// Leaves the row as it is; only the condition is checked.
     Keep,
-    /// Sets its value.
+    /// Sets the row's value.
     Put(Bytes),
-    /// Deletes it.
+    /// Deletes the row.
     Delete,
 }
 
@@ -36,14 +36,14 @@
 pub struct Op {
     /// Key of the row.
     pub key: Name,
-    /// What it must be.
+    /// Condition on the row.
     pub expect: Expect,
-    /// What is done to it.
+    /// Change of the row.
     pub change: Change,
 }
 
 impl Op {
-    /// Returns an operation that only expects.
+    /// Returns an operation that only checks a condition.
     pub fn keep(key: impl Into<Name>, expect: Expect) -> Self {
         Self {
             key: key.into(),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns an operation that sets a row to a value in JSON.
+    /// Returns an operation that sets a row to a value encoded as JSON.
     pub fn put(key: impl Into<Name>, expect: Expect, value: &impl Serialize) -> Self {
         Self {
             key: key.into(),
@@ -71,7 +71,7 @@
     }
 }
 
-/// A row as read.
+/// A row that was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// Key of the row.
@@ -89,28 +89,28 @@
     Read(Vec<Name>),
     /// Reads all rows whose key has a prefix.
     Scan(Name),
-    /// Applies all operations or none.
+    /// Applies all operations or none of them.
     Commit(Vec<Op>),
 }
 
-/// How a call to the table ended.
+/// The outcome of a call to the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The rows asked for that exist.
+    /// The requested rows that exist.
     Rows(Vec<Row>),
-    /// How the commit ended.
+    /// The outcome of a commit.
     Written(Written),
-    /// A read had no answer.
+    /// A read without an answer.
     Failed,
 }
 
-/// Returns a value as JSON.
+/// Encodes a value as JSON.
 pub fn encode(value: &impl Serialize) -> Bytes {
-    // Rows are plain structs with text keys, which always have a JSON form.
+    // Encoding cannot fail: rows are plain structs whose maps have string keys.
     Bytes::from(serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// Returns the value of a row, or `None` with a log line when it does not decode.
+/// Decodes the value of a row from JSON; logs an error and returns `None` when it is invalid.
 pub fn decode<T: DeserializeOwned>(row: &Row) -> Option<T> {
     match serde_json::from_slice(&row.value) {
         Ok(value) => Some(value),
