--- a/src/sched/tests/history.rs
+++ b/src/sched/tests/history.rs
@@ -1,4 +1,4 @@
-//! Jobs that are over: kept apart, known to the next owner, and forgotten in time.
+//! Tests of the history of finished jobs: archiving, takeovers, parked requests and expiry.
 
 use super::world::{BOUNDS, World, job, lasting, queue, step};
 use crate::sched::history::{HistoryPage, HistoryRow};
@@ -7,12 +7,12 @@
 use crate::sched::message::{Answer, Event, JobRequest, RunOutcome};
 use crate::table::encode;
 
-/// Milliseconds within which the owner before has certainly ended.
+/// Milliseconds until leases of the previous owner have certainly expired.
 const INHERITED: u64 = 14_000;
-/// Jobs that are over before a takeover.
+/// Number of finished jobs before a takeover.
 const MANY: usize = 300;
 
-/// Hands so many jobs of one task in, and lets all come to their end.
+/// Submits `count` jobs of one task each and runs until all are finished.
 fn run_many(world: &mut World, count: usize) {
     world.script = |_, _| (20, RunOutcome::Done);
     for number in 0..count {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_takeover_hands_over_open_jobs_only() {
+fn a_takeover_loads_open_jobs_only() {
     let mut world = World::new(4);
     run_many(&mut world, MANY);
     world.script = |_, _| (5_000, RunOutcome::Done);
@@ -31,7 +31,11 @@
     world.run(200);
     let started = world.starts.len();
     world.take_over(INHERITED);
-    assert_eq!(world.owner.sizes().0, 1, "of {MANY} that are over, none");
+    assert_eq!(
+        world.owner.sizes().0,
+        1,
+        "none of the {MANY} finished jobs is loaded as open"
+    );
     world.run(500);
     assert_eq!(world.shown("over-007"), Some(JobState::Completed));
     let again = world.submit("over-007", job(vec![step(1, 1_000)]));
@@ -40,11 +44,11 @@
     assert_eq!(world.answers[&again], Answer::Accepted);
     assert_eq!(world.answers[&cancel], Answer::Cancelled);
     assert_eq!(world.shown("over-008"), Some(JobState::Completed));
-    assert_eq!(world.starts.len(), started, "nothing runs again");
+    assert_eq!(world.starts.len(), started, "no finished job runs again");
 }
 
 #[test]
-fn until_all_that_is_over_is_known_no_id_is_unknown_and_new_jobs_wait() {
+fn requests_about_unknown_jobs_wait_until_the_history_is_complete() {
     let mut world = World::new(4);
     run_many(&mut world, 5);
     let started = world.starts.len();
@@ -61,7 +65,10 @@
     world.run(500);
     assert_eq!(world.answers[&count], Answer::Waiting(0));
     for ticket in [over, nobody, cancel, again, new, twice] {
-        assert!(!world.answers.contains_key(&ticket), "it waits");
+        assert!(
+            !world.answers.contains_key(&ticket),
+            "request {ticket} was answered early"
+        );
     }
     assert_eq!(world.starts.len(), started);
     world.history_held = false;
@@ -74,13 +81,13 @@
         assert_eq!(world.answers[&ticket], Answer::Unknown);
     }
     assert_eq!(world.shown("new"), Some(JobState::Completed));
-    assert_eq!(world.starts.len(), started + 1, "only the new one runs");
+    assert_eq!(world.starts.len(), started + 1, "only the new job runs");
     let nobody = world.ask(JobRequest::Show("nobody".into()));
     assert_eq!(world.answers[&nobody], Answer::Unknown);
 }
 
 #[test]
-fn jobs_that_wait_are_refused_when_the_store_goes_away() {
+fn parked_jobs_are_refused_when_the_store_becomes_unreachable() {
     let mut world = World::new(2);
     world.history_held = true;
     world.take_over(INHERITED);
@@ -95,36 +102,40 @@
     assert!(world.starts.is_empty(), "a refused job never runs");
 }
 
-/// The store carries commits out and says nothing. Another box takes the cell and a job, and
-/// the owner before, which has not heard of its end, was asked for that job: it said that there
-/// is none, 1.5 s long. Its lines then: `owner-begins epoch=4` of another box, and for the job
-/// `event=submit answer=Accepted` there, while `owner-ends epoch=3` came only after.
+/// The store commits but sends no answers, so another box takes over the cell and accepts a job.
+/// The replaced owner has not learned of its end. For 1.5 s it answered that the job does not
+/// exist; its `owner-ends epoch=3` came after `owner-begins epoch=4` and the job's
+/// `event=submit answer=Accepted` on the other box.
 #[test]
-fn an_owner_that_may_have_been_replaced_calls_no_job_unknown() {
+fn an_owner_that_may_have_been_replaced_answers_unknown_for_no_job() {
     let mut world = World::new(2);
     world.run(1_000);
     let at_once = world.ask(JobRequest::Show("nobody".into()));
     assert_eq!(world.answers[&at_once], Answer::Unknown);
     world.store_down = true;
     world.run(600);
-    let asks = [
+    let tickets = [
         world.ask(JobRequest::Show("taken-elsewhere".into())),
         world.ask(JobRequest::Cancel("taken-elsewhere".into())),
     ];
-    let told = |world: &World| asks.map(|ticket| world.answers.get(&ticket).cloned());
-    assert_eq!(told(&world), [None, None]);
+    let answers = |world: &World| tickets.map(|ticket| world.answers.get(&ticket).cloned());
+    assert_eq!(answers(&world), [None, None]);
     world.run(2_000);
-    for answer in told(&world) {
+    for answer in answers(&world) {
         assert!(matches!(answer, Some(Answer::Refused(_))), "{answer:?}");
     }
     world.store_down = false;
     world.run(3_000);
     let again = world.ask(JobRequest::Show("nobody".into()));
-    assert_eq!(world.answers[&again], Answer::Unknown, "confirmed again");
+    assert_eq!(
+        world.answers[&again],
+        Answer::Unknown,
+        "the owner is confirmed again"
+    );
 }
 
 #[test]
-fn what_waits_for_an_owner_to_be_confirmed_is_answered_then() {
+fn parked_requests_are_answered_once_the_owner_is_confirmed() {
     let mut world = World::new(2);
     world.run(1_000);
     let mut waited = 0;
@@ -138,11 +149,11 @@
         assert_eq!(world.answers.get(&ticket), Some(&Answer::Unknown), "{span}");
         waited += u32::from(!at_once);
     }
-    assert!(waited > 0, "some had to wait");
+    assert!(waited > 0, "at least one request had to wait");
 }
 
 #[test]
-fn an_owner_that_gives_up_calls_no_job_unknown() {
+fn an_owner_that_releases_the_cell_answers_unknown_for_no_job() {
     let mut world = World::new(2);
     world.run(1_000);
     world.store_down = true;
@@ -153,12 +164,12 @@
     assert_eq!(
         world.answers.get(&ticket),
         None,
-        "the next one may serve already"
+        "the next owner may serve already"
     );
 }
 
 #[test]
-fn only_so_many_jobs_wait() {
+fn the_number_of_parked_jobs_is_limited() {
     let mut world = World::new(2);
     world.history_held = true;
     world.take_over(INHERITED);
@@ -169,11 +180,11 @@
     assert_eq!(tickets.iter().filter(refused).count(), 100);
     world.history_held = false;
     world.run(60_000);
-    assert_eq!(world.starts.len(), 200, "all that waited run");
+    assert_eq!(world.starts.len(), 200, "all parked jobs run");
 }
 
 #[test]
-fn a_cancelled_job_keeps_its_rows_until_its_runs_are_gone_also_over_a_takeover() {
+fn a_cancelled_job_is_archived_once_its_runs_have_ended_even_across_a_takeover() {
     let mut world = World::new(2);
     world.submit("j1", job(vec![lasting(4, 1_000)]));
     world.run(500);
@@ -184,11 +195,14 @@
     world.run(300);
     assert_eq!(world.answers[&ticket], Answer::Cancelled);
     assert_eq!(world.ids(JOB_TABLE), ["j1".into()]);
-    assert!(world.ids(HISTORY_TABLE).is_empty(), "its runs go on");
+    assert!(
+        world.ids(HISTORY_TABLE).is_empty(),
+        "its runs have not ended"
+    );
     world.take_over(INHERITED);
     world.workers.values_mut().for_each(|w| w.cut = false);
     world.run(1_500);
-    assert!(world.running().is_empty(), "stopped by the next owner");
+    assert!(world.running().is_empty(), "the next owner stops the runs");
     assert_eq!(world.ids(HISTORY_TABLE), ["j1".into()]);
     assert!(world.ids(JOB_TABLE).is_empty() && world.ids(SPEC_TABLE).is_empty());
     assert_eq!(world.shown("j1"), Some(JobState::Cancelled));
@@ -196,7 +210,7 @@
 }
 
 #[test]
-fn rows_of_jobs_that_are_over_are_removed_in_time() {
+fn rows_of_finished_jobs_are_removed_after_the_retention_time() {
     let mut world = World::new(4);
     run_many(&mut world, MANY);
     assert_eq!(world.ids(HISTORY_TABLE).len(), MANY);
@@ -211,7 +225,7 @@
 }
 
 #[test]
-fn an_older_page_does_not_bring_back_what_was_removed() {
+fn an_older_page_does_not_restore_a_removed_job() {
     let mut world = World::new(1);
     world.history_held = true;
     world.take_over(INHERITED);
@@ -236,7 +250,7 @@
 }
 
 #[test]
-fn a_row_that_cannot_be_read_is_in_doubt() {
+fn a_job_with_an_unreadable_row_is_in_doubt() {
     let mut world = World::new(1);
     world.history_held = true;
     world.take_over(INHERITED);
@@ -252,7 +266,7 @@
 }
 
 #[test]
-fn a_run_that_is_listed_for_a_job_that_is_over_is_stopped() {
+fn a_reported_run_of_a_finished_job_is_stopped() {
     let mut world = World::new(1);
     run_many(&mut world, 1);
     world.sneak("w0", "over-000.0.0.0", 60_000);
@@ -261,7 +275,7 @@
 }
 
 #[test]
-fn jobs_that_a_release_before_left_among_the_open_ones_are_archived() {
+fn finished_jobs_in_the_job_table_of_an_earlier_version_are_archived() {
     let mut world = World::new(2);
     let spec = job(vec![step(1, 1_000)]);
     for number in 0..50 {
--- a/src/sched/tests/journal.rs
+++ b/src/sched/tests/journal.rs
@@ -1,4 +1,4 @@
-//! Group commits and their doubts.
+//! Tests of group commits: commits in doubt, releases, and limits of the store.
 
 use crate::sched::journal::{HISTORY_TABLE, Journal, OwnerRow, Resolution, spare_entries};
 use crate::sched::message::{CommitOutcome, Write};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn boxes_that_start_in_the_same_millisecond_are_not_taken_for_each_other() {
+fn boxes_that_start_in_the_same_millisecond_are_told_apart() {
     let mut journal = Journal::new(row("box-a", 77), 1, 0);
     let (number, ..) = journal
         .build_commit(1_000, |_| Vec::new())
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_earlier_commit_of_its_own_is_built_upon() {
+fn a_conflict_with_the_owners_own_earlier_commit_is_retried() {
     let mut journal = Journal::new(row("box-a", 77), 1, 0);
     journal.touch(5);
     let (number, version, _) = journal
@@ -42,12 +42,12 @@
     assert!(journal.in_doubt());
     let (number, ..) = journal
         .build_commit(300, |_| Vec::new())
-        .expect("it is tried again");
+        .expect("the commit is retried");
     let own = CommitOutcome::Conflict(Some((9, encode(&row("box-a", 77)))));
     assert_eq!(journal.resolve(number, own, 310), Resolution::Retry);
     let (number, version, _) = journal
         .build_commit(310, |_| Vec::new())
-        .expect("it is tried again");
+        .expect("the commit is retried");
     assert_eq!(version, 9);
     let kept = journal.resolve(number, CommitOutcome::Done(10), 320);
     assert_eq!(kept, Resolution::Stored(vec![(5, Vec::new())]));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_release_holds_only_once_a_commit_that_says_so_took_effect() {
+fn a_release_counts_only_once_it_is_committed() {
     let mut journal = Journal::new(row("box-a", 77), 1, 0);
     journal.touch(5);
     let (number, ..) = journal
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_release_does_not_wait_for_changes_to_cease() {
+fn a_release_does_not_wait_until_no_job_changes() {
     let mut journal = Journal::new(row("box-a", 77), 1, 0);
     journal.touch(0);
     journal.release(1);
@@ -80,7 +80,7 @@
     for now in 1..400 {
         if let Some((number, ..)) = journal.build_commit(now, |_| Vec::new()) {
             commits += 1;
-            // Something changes while the commit is on its way.
+            // Another job changes while the commit is in flight.
             journal.touch(commits);
             journal.resolve(number, CommitOutcome::Done(u64::from(commits)), now);
         }
@@ -101,14 +101,14 @@
 }
 
 #[test]
-fn commits_in_doubt_follow_each_other_with_a_pause() {
+fn commits_in_doubt_are_retried_with_a_pause() {
     let mut journal = Journal::new(row("a", 1), 1, 0);
     journal.touch(1);
     let mut sent = 0;
     for now in 10..1_010 {
         if let Some((number, _, _)) = journal.build_commit(now, |_| Vec::new()) {
             sent += 1;
-            // The connection is reset at once.
+            // The store resets the connection at once.
             journal.resolve(number, CommitOutcome::Unknown, now);
         }
     }
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_commit_has_no_more_entries_than_the_store_takes() {
+fn a_commit_has_at_most_as_many_entries_as_the_store_accepts() {
     let write = Write {
         table: HISTORY_TABLE,
         key: "j".into(),
@@ -127,8 +127,11 @@
         (0..300).for_each(|job| journal.touch(job));
         let rows = |_| vec![write.clone(); each];
         let (_, _, writes) = journal.build_commit(10, rows).expect("a commit is due");
-        assert!(spare_entries(&writes) >= 1, "no room for what was learned");
+        assert!(
+            spare_entries(&writes) >= 1,
+            "no entry left for the estimates"
+        );
         let entries = writes.len() + 1 + spare_entries(&writes);
-        assert_eq!(entries, 100, "with the condition");
+        assert_eq!(entries, 100, "entries with the condition");
     }
 }
--- a/src/sched/tests/predecessors.rs
+++ b/src/sched/tests/predecessors.rs
@@ -1,4 +1,4 @@
-//! What a new owner may conclude from the row of the one before.
+//! Tests of what a new owner concludes from its predecessor's row.
 
 use super::world::{BOUNDS, owner_row};
 use crate::sched::journal::OwnerRow;
@@ -6,7 +6,7 @@
 use crate::sched::worker::max_lease_duration;
 
 #[test]
-fn only_an_owner_that_has_ended_extends_no_leases() {
+fn only_an_ended_owner_extends_no_leases() {
     let row = owner_row(1);
     let released = OwnerRow {
         released: true,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn leases_of_earlier_owners_are_waited_for() {
+fn lease_end_covers_leases_of_earlier_owners() {
     let (now, lease) = (7_000, max_lease_duration(BOUNDS.lease_length));
     let end = |state: PredecessorState| state.lease_end(&BOUNDS, now) - now;
     assert_eq!(end(PredecessorState::Absent), 0);
@@ -58,30 +58,30 @@
     );
 }
 
-/// A box wrote itself into the owner's row, could not load, and did so again. It found its
-/// own row before it, told itself that it was the owner, and nobody else: the owner before
-/// it and those that followed that one were cut off from the store, and refused every job.
+/// A box became the owner, failed to load, and became the owner again. It found its own row
+/// before it and notified only itself. The earlier owner and its followers, cut off from the
+/// store, went on and refused every job. The log of the failure:
 ///
 /// ```text
 /// event=predecessor-ended epoch=3 owner=box-3 last=false
 /// ```
 #[test]
-fn an_owner_that_follows_its_own_row_tells_the_one_that_served_before() {
+fn an_owner_that_replaces_its_own_row_notifies_the_owner_that_served_before() {
     let (served, own) = (owner_row(1), owner_row(3));
     let failed = OwnerRow {
         name: own.name.clone(),
         settled: false,
         ..owner_row(2)
     };
-    let told = owners_to_notify(Some(failed), Some(served.clone()), &own);
-    assert_eq!(told, [(served, false)]);
+    let notified = owners_to_notify(Some(failed), Some(served.clone()), &own);
+    assert_eq!(notified, [(served, false)]);
 }
 
 #[test]
-fn an_owner_that_has_ended_is_not_told() {
+fn an_ended_owner_is_not_notified() {
     let (served, own) = (owner_row(1), owner_row(2));
-    let told = owners_to_notify(Some(served.clone()), Some(served.clone()), &own);
-    assert_eq!(told, [(served.clone(), true)]);
+    let notified = owners_to_notify(Some(served.clone()), Some(served.clone()), &own);
+    assert_eq!(notified, [(served.clone(), true)]);
     let released = OwnerRow {
         released: true,
         ..served.clone()
--- a/src/sched/tests/takeover.rs
+++ b/src/sched/tests/takeover.rs
@@ -1,15 +1,15 @@
-//! What a new owner may conclude about what runs.
+//! Tests of takeovers: what a new owner does about runs and jobs of its predecessor.
 
 use super::world::{World, job, step};
 use crate::sched::job::JobState;
 use crate::sched::message::{Answer, JobRequest, RunOutcome};
 use crate::sched::spec::StepSpec;
 
-/// Milliseconds within which the owner before has certainly ended.
+/// Milliseconds until leases of the previous owner have certainly expired.
 const INHERITED: u64 = 14_000;
 
 #[test]
-fn runs_go_on_under_the_next_owner() {
+fn runs_continue_under_the_next_owner() {
     let mut world = World::new(3);
     world.script = |_, _| (3_000, RunOutcome::Done);
     world.submit("j1", job(vec![step(4, 1_000)]));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_owner_that_gives_up_starts_nothing_more() {
+fn an_owner_that_releases_the_cell_starts_no_runs() {
     let mut world = World::new(2);
     world.script = |_, _| (200, RunOutcome::Done);
     world.submit("before", job(vec![step(8, 1_000), after(step(8, 1_000))]));
@@ -32,7 +32,7 @@
     world.run(5_000);
     assert!(world.owner.is_released());
     assert_eq!(world.starts.len(), started, "{:?}", world.starts);
-    // What ran goes on under the next owner, and the rest is started by it.
+    // The next owner keeps the active runs and starts the remaining tasks.
     world.take_over(INHERITED);
     world.run(20_000);
     assert_eq!(world.shown("before"), Some(JobState::Completed));
@@ -40,17 +40,17 @@
 }
 
 #[test]
-fn an_owner_that_gives_up_extends_no_lease() {
+fn an_owner_that_releases_the_cell_extends_no_lease() {
     let mut world = World::new(2);
     world.script = |_, _| (30_000, RunOutcome::Done);
     world.submit("j1", job(vec![step(4, 1_000)]));
     world.run(500);
     world.owner.resign(world.clock());
     world.run(6_000);
-    assert!(world.running().is_empty(), "all leases have ended");
+    assert!(world.running().is_empty(), "all leases have expired");
 }
 
-/// Returns a step that waits for the first one.
+/// Returns the step with a dependency on the first step.
 fn after(step: StepSpec) -> StepSpec {
     StepSpec {
         after: vec![0],
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_task_on_a_worker_that_cannot_be_reached_waits_for_all_leases() {
+fn a_task_on_an_unreachable_worker_restarts_only_after_all_leases_expired() {
     let mut world = World::new(2);
     world.script = |_, _| (30_000, RunOutcome::Done);
     world.submit("j1", job(vec![step(2, 1_000)]));
@@ -69,12 +69,12 @@
     world.run(INHERITED - 500);
     assert_eq!(world.starts.len(), 2);
     world.run(2_500);
-    assert_eq!(world.starts.len(), 3, "the leases have ended");
+    assert_eq!(world.starts.len(), 3, "the leases have expired");
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
 #[test]
-fn word_that_the_owner_before_has_ended_shortens_the_wait() {
+fn a_notice_that_the_predecessor_ended_shortens_the_wait() {
     let mut world = World::new(2);
     world.script = |_, _| (30_000, RunOutcome::Done);
     world.submit("j1", job(vec![step(2, 1_000)]));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_job_that_was_accepted_outlasts_its_owner() {
+fn an_accepted_job_survives_a_takeover() {
     let mut world = World::new(2);
     let ticket = world.submit("j1", job(vec![step(2, 1_000)]));
     while !world.answers.contains_key(&ticket) {
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_job_whose_rows_cannot_be_read_is_in_doubt_and_never_taken_anew() {
+fn a_job_with_unreadable_rows_is_in_doubt_and_never_accepted_again() {
     let mut world = World::new(1);
     world.owner.mark_unreadable(vec!["torn".into()]);
     let shown = world.ask(JobRequest::Show("torn".into()));
