--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -1,4 +1,4 @@
-//! Exchanges with workers, and the runs that they report.
+//! Polls workers and reconciles the runs that they report with the known ones.
 
 use std::collections::BTreeSet;
 
@@ -14,48 +14,49 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds that an exchange may wait for an end.
-const WAIT: Millis = 1_000;
-/// Milliseconds of that wait while it is isolated for a suspect, which is to be over soon.
-const ISOLATED_WAIT: Millis = 200;
-/// Milliseconds of that wait where fillers run beside serving tasks: their
-/// tails are measured over half a second.
-const WATCH: Millis = 400;
-/// Workers that are watched at that pace; with more of them each is watched less
-/// often, so that the owner's work does not grow with their number.
-const WATCHED: u64 = 200;
-/// Milliseconds until the next exchange after one that had no answer.
-const MISS_PAUSE: Millis = 250;
-/// Longest that the next exchange waits for ends to be written, in
-/// milliseconds; one before that is answered at once, with the same ends.
-const ENDS_PAUSE: Millis = 300;
-/// Milliseconds by which the clocks of a worker and a box may differ unsaid.
-const CLOCKS: Millis = 5_000;
-/// Ends in one report; with so many there may be more.
-const REPORT_LIMIT: usize = 500;
+/// Milliseconds that a worker may hold a poll until a run ends.
+const POLL_WAIT: Millis = 1_000;
+/// The same for a worker that is isolated for a suspect, so that the isolation ends soon.
+const ISOLATED_POLL_WAIT: Millis = 200;
+/// The same for a worker with best-effort tasks beside serving tasks, whose tail latencies are
+/// measured over half a second.
+const MIXED_POLL_WAIT: Millis = 400;
+/// Number of workers up to which `MIXED_POLL_WAIT` holds. With more workers it grows in
+/// proportion, so that the owner's load does not grow with their number.
+const MIXED_POLL_WORKERS: u64 = 200;
+/// Milliseconds until the next poll after one without an answer.
+const RETRY_DELAY: Millis = 250;
+/// Milliseconds that the next poll waits at most until reported completions are stored; an
+/// earlier one would be answered at once, with the same completions.
+const STORE_DELAY: Millis = 300;
+/// Milliseconds by which a worker's clock may be ahead of that of a box without a warning.
+const MAX_CLOCK_SKEW: Millis = 5_000;
+/// Completions in a full report; a worker with a full report may have more.
+const MAX_COMPLETIONS: usize = 500;
 
-/// A run that a worker lists.
+/// A run in a worker's report.
 #[derive(Clone, Copy)]
 pub(super) struct ReportedRun<'a> {
-    /// Its task; none when no open job has it.
+    /// Task of the run; none when no open job has such a task.
     pub key: Option<TaskKey>,
-    /// What the worker tells of it.
+    /// The run as reported.
     pub run: &'a ActiveRun,
 }
 
 impl Owner {
-    /// Starts the exchanges that are due.
+    /// Sends the polls that are due.
     pub(super) fn poll_due_workers(&mut self) {
         let now = self.now.steady;
         let confirmed = now < self.journal.last_confirmed() + self.settings.max_unconfirmed;
         let (span, epoch) = (self.settings.lease_length, self.journal.epoch());
-        let watch = WATCH * (self.workers.len() as u64).max(WATCHED) / WATCHED;
+        let mixed_wait = MIXED_POLL_WAIT * (self.workers.len() as u64).max(MIXED_POLL_WORKERS)
+            / MIXED_POLL_WORKERS;
         for name in self.take_due_polls() {
             let Some(worker) = self.workers.get_mut(&name) else {
                 continue;
             };
-            // An order without an answer may be carried out: a silent worker's
-            // lease is left to end, so that its tasks can run elsewhere.
+            // A silent worker may still carry out orders. Its lease is not extended, so that it
+            // ends and the tasks can run elsewhere.
             let extends =
                 confirmed && worker.is_incarnation_certain() && !worker.placements.is_empty();
             let lease = match extends {
@@ -63,16 +64,16 @@
                 false => None,
             };
             let known = worker.last_answer > 0 && worker.is_incarnation_certain();
-            let longest = match worker.isolated_job {
-                Some(_) => ISOLATED_WAIT,
-                None => WAIT,
+            let max_wait = match worker.isolated_job {
+                Some(_) => ISOLATED_POLL_WAIT,
+                None => POLL_WAIT,
             };
             let mixed = worker.colocation.is_mixed();
-            // A breach of a latency target is to end soon, however many workers there are.
-            let watch = if worker.is_over_target() {
-                WATCH
+            // While a latency target is breached, polls are as frequent with any number of workers.
+            let mixed_wait = if worker.is_over_target() {
+                MIXED_POLL_WAIT
             } else {
-                watch
+                mixed_wait
             };
             worker.poll = PollState::InFlight(now);
             self.actions.push(Action::Poll(Poll {
@@ -84,49 +85,49 @@
                 acknowledged: worker.next_acknowledgement(),
                 wait: match (known, mixed) {
                     (false, _) => 0,
-                    (true, true) => watch.min(longest),
-                    (true, false) => longest,
+                    (true, true) => mixed_wait.min(max_wait),
+                    (true, false) => max_wait,
                 },
             }));
         }
     }
 
-    /// Takes in how an exchange went.
-    pub(super) fn handle_poll_reply(&mut self, hold: &Poll, reply: Reply<Report>) {
+    /// Handles the reply to a poll.
+    pub(super) fn handle_poll_reply(&mut self, poll: &Poll, reply: Reply<Report>) {
         let now = self.now.steady;
-        let name = &hold.incarnation.id;
+        let name = &poll.incarnation.id;
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if worker.poll != PollState::InFlight(hold.sent) {
-            log::debug!(target: "worker", "worker={name} event=overtaken sent={}", hold.sent);
+        if worker.poll != PollState::InFlight(poll.sent) {
+            log::debug!(target: "worker", "worker={name} event=overtaken sent={}", poll.sent);
             return;
         }
         match reply {
-            Reply::Ok(report) => self.handle_report(hold, report),
+            Reply::Ok(report) => self.handle_report(poll, report),
             Reply::Refused(Refusal::Replaced) => {
                 self.end_incarnation(name, IncarnationEnd::Replaced)
             }
             Reply::Refused(Refusal::Fenced) => {
-                // Only an owner with a higher epoch can have been there; the
-                // next commit finds out.
+                // An owner with a higher epoch has reached the worker; the next commit of this
+                // owner fails.
                 log::warn!(target: "worker", "worker={name} event=fenced epoch={}", self.journal.epoch());
-                self.schedule_poll(name, now + MISS_PAUSE);
+                self.schedule_poll(name, now + RETRY_DELAY);
             }
             Reply::Refused(_) | Reply::NotSent | Reply::Lost => {
                 if worker.missed_polls == 0 {
                     log::info!(target: "worker", "worker={} event=silent reply={reply:?}", worker.incarnation());
                 }
                 worker.missed_polls += 1;
-                self.schedule_poll(name, now + MISS_PAUSE);
+                self.schedule_poll(name, now + RETRY_DELAY);
             }
         }
     }
 
-    /// Takes in the answer to an exchange, of whichever life of its worker.
-    fn handle_report(&mut self, hold: &Poll, report: Report) {
+    /// Handles the report in the reply to a poll, from any incarnation of the worker.
+    fn handle_report(&mut self, poll: &Poll, report: Report) {
         let now = self.now.steady;
-        let name = &hold.incarnation.id;
+        let name = &poll.incarnation.id;
         let Some(worker) = self.workers.get(name) else {
             return;
         };
@@ -137,7 +138,7 @@
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.missed_polls += 1;
             }
-            return self.schedule_poll(name, now + MISS_PAUSE);
+            return self.schedule_poll(name, now + RETRY_DELAY);
         }
         if worker.last_answer == 0 {
             self.end_others_at_address(name);
@@ -151,7 +152,7 @@
         if worker.missed_polls > 0 || worker.last_answer == 0 || worker.unverified {
             let (listed, wall) = (worker.listing.boot, self.now.wall);
             log::info!(target: "worker", "worker={name} event=answers boot={:?} listed_boot={listed:?} misses={}", report.boot, worker.missed_polls);
-            if let Some(boot) = report.boot.filter(|b| *b > wall + CLOCKS) {
+            if let Some(boot) = report.boot.filter(|b| *b > wall + MAX_CLOCK_SKEW) {
                 log::warn!(target: "worker", "worker={name} event=started-ahead boot={boot} wall={wall}");
             }
             self.saturated = false;
@@ -160,75 +161,76 @@
         worker.unverified = false;
         worker.boot = worker.boot.or(report.boot);
         if order == BootOrder::Same {
-            worker.acknowledged = worker.acknowledged.max(hold.acknowledged);
+            worker.acknowledged = worker.acknowledged.max(poll.acknowledged);
         }
         worker.record_clock(report.clock, now);
-        self.apply_report(name, hold.sent, report);
+        self.apply_report(name, poll.sent, report);
     }
 
-    /// Takes in what a worker reports: ends first, then runs and gauges.
+    /// Applies a report: first the completions, then the running tasks and their gauges.
     fn apply_report(&mut self, name: &Name, sent: Millis, report: Report) {
-        let whole = report.ended.len() < REPORT_LIMIT;
-        for end in &report.ended {
-            self.record_completion(name, end);
+        let complete = report.ended.len() < MAX_COMPLETIONS;
+        for ended in &report.ended {
+            self.record_completion(name, ended);
         }
         let running: Vec<ReportedRun<'_>> =
             report.running.iter().map(|r| self.resolve_run(r)).collect();
-        self.reconcile_runs(name, sent, &running, whole);
+        self.reconcile_runs(name, sent, &running, complete);
         self.clear_suspects(name);
         self.adjust_speeds(name, &running);
         let worker = self.workers.get(name);
-        let pause = match worker.is_some_and(|w| !w.pending_completions.is_empty()) {
-            true => ENDS_PAUSE,
+        let delay = match worker.is_some_and(|w| !w.pending_completions.is_empty()) {
+            true => STORE_DELAY,
             false => 0,
         };
-        self.schedule_poll(name, self.now.steady + pause);
+        self.schedule_poll(name, self.now.steady + delay);
     }
 
-    /// Compares the runs that a worker lists with those that are known there.
+    /// Reconciles the runs that a worker reports with the known ones. If the report is
+    /// `complete`, known runs that it does not list are handled as missing.
     fn reconcile_runs(
         &mut self,
         name: &Name,
         sent: Millis,
         running: &[ReportedRun<'_>],
-        whole: bool,
+        complete: bool,
     ) {
         let mut listed = BTreeSet::new();
-        let mut strangers = Vec::new();
+        let mut unknown = Vec::new();
         for ReportedRun { key, run } in running {
             match key {
                 Some(key) if self.confirm_run(name, *key, run) => {
                     listed.insert(*key);
                 }
-                found => strangers.push((*found, run)),
+                key => unknown.push((*key, run)),
             }
         }
         let address = self.workers.get(name).map(|w| w.listing.address);
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.unknown_runs = !strangers.is_empty();
+            worker.unknown_runs = !unknown.is_empty();
         }
-        for (found, run) in strangers {
+        for (key, run) in unknown {
             log::warn!(target: "task", "task={} run={} event=unknown-run worker={name}", run.task, run.run);
-            let stray = || self.is_obsolete_task(&run.task).then_some(NO_TASK);
-            let (Some(key), Some(address)) = (found.or_else(stray), address) else {
+            let obsolete = || self.is_obsolete_task(&run.task).then_some(NO_TASK);
+            let (Some(key), Some(address)) = (key.or_else(obsolete), address) else {
                 continue;
             };
             let task = run.task.to_string();
             self.send_stop_by_name(key, run.run, task, name.clone(), address);
         }
-        if whole {
+        if complete {
             self.handle_missing_runs(name, sent, &listed);
         }
     }
 
-    /// Returns a run that a worker lists, with its task.
+    /// Looks up the task of a reported run.
     pub(super) fn resolve_run<'a>(&self, run: &'a ActiveRun) -> ReportedRun<'a> {
         let key = self.find_task(&run.task);
         ReportedRun { key, run }
     }
 
-    /// Finds a task by its name; none when its job has no such task. Workers may list any
-    /// name, and one looked up in vain would end this owner and each that follows it.
+    /// Finds a task by its name; returns none when no open job has such a task. Workers may
+    /// report any name, and an unchecked lookup would crash this owner and all its successors.
     pub(super) fn find_task(&self, name: &str) -> Option<TaskKey> {
         let (id, round, step, index) = parse_task_name(name)?;
         let number = *self.job_numbers.get(id)?;
@@ -242,14 +244,14 @@
         Some(key)
     }
 
-    /// Returns true when a name is that of no task that could run: of a job that is over, or
-    /// one that its job does not have.
+    /// Returns true for the name of a task that can't run any more: its job is over, or has no
+    /// such task.
     fn is_obsolete_task(&self, task: &str) -> bool {
         let known = parse_task_name(task).is_some_and(|(id, ..)| self.job_numbers.contains_key(id));
         known || self.is_finished_task(task)
     }
 
-    /// Returns what a worker holds of a task, if it is for this run.
+    /// Returns the placement of a task on a worker if it is for this run.
     pub(super) fn placement_mut(
         &mut self,
         name: &Name,
@@ -260,7 +262,7 @@
         placement.filter(|p| p.run == run)
     }
 
-    /// Takes in that a run is listed; false when it should not be there.
+    /// Records that a worker reports a run; returns false when the run should not be there.
     fn confirm_run(&mut self, name: &Name, key: TaskKey, run: &ActiveRun) -> bool {
         let now = self.now.steady;
         let Some(placement) = self.placement_mut(name, key, run.run) else {
@@ -286,15 +288,15 @@
         true
     }
 
-    /// Frees the tasks that a worker should run and does not list.
+    /// Frees or stops the tasks that are placed on a worker and missing from its report.
     fn handle_missing_runs(&mut self, name: &Name, sent: Millis, listed: &BTreeSet<TaskKey>) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
         let boot = worker.boot;
-        let mut free = Vec::new();
+        let mut ended = Vec::new();
         let mut unseen = Vec::new();
-        let mut doubt = Vec::new();
+        let mut doubtful = Vec::new();
         for (key, placement) in &mut worker.placements {
             if listed.contains(key) {
                 continue;
@@ -302,22 +304,22 @@
             let earlier = compare_boots(boot, placement.boot) == BootOrder::Earlier;
             match placement.stage {
                 Stage::Inherited if earlier => unseen.push(*key),
-                Stage::Inherited => free.push(*key),
-                Stage::Stopped(at) if at <= sent => free.push(*key),
+                Stage::Inherited => ended.push(*key),
+                Stage::Stopped(at) if at <= sent => ended.push(*key),
                 Stage::Running(at) if at <= sent => {
                     placement.stage = Stage::Doubt;
-                    doubt.push((*key, placement.run, at));
+                    doubtful.push((*key, placement.run, at));
                 }
                 _ => {}
             }
         }
-        for (key, run, told) in doubt {
-            let (task, age) = (self.task_name(key), self.now.steady - told);
+        for (key, run, confirmed_at) in doubtful {
+            let (task, age) = (self.task_name(key), self.now.steady - confirmed_at);
             log::info!(target: "task", "task={task} run={run} event=missing worker={name} age_ms={age}");
             self.stop_task(key);
         }
         self.record_unseen_crashes(&unseen, name);
-        for key in free.into_iter().chain(unseen) {
+        for key in ended.into_iter().chain(unseen) {
             self.unplace(key);
         }
     }
