--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping the runs of placed tasks.
+//! Starts and stops the runs of placed tasks.
 
 use std::net::SocketAddr;
 
@@ -13,22 +13,23 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds for which a worker that lacked room or was unwell gets nothing new.
-const BARRED: Millis = 700;
-/// Half of the milliseconds that a task waits after a start that its worker could not take,
-/// doubled with each one.
-const DEFERRED: Millis = 500;
-/// Times that this wait is doubled at most: 16 s.
-const DEFERRED_MOST: u32 = 5;
+/// Milliseconds for which a worker gets no new tasks after it refused a start as full, unfit or
+/// unhealthy.
+const QUARANTINE: Millis = 700;
+/// Milliseconds that a task waits after a start that its worker could not carry out, before the
+/// doubling: the first such start doubles it once, and each further one once more.
+const DEFERRAL_BASE: Millis = 500;
+/// Number of doublings after which the wait stays the same, at 16 s.
+const MAX_DOUBLINGS: u32 = 5;
 /// Milliseconds after which a stop without an effect is sent again.
-pub(super) const STOP_AGAIN: Millis = 1_000;
+pub(super) const STOP_RETRY: Millis = 1_000;
 
-/// How long a task waits whose starts no worker could take.
+/// Backoff of a task whose starts workers refuse as unfit.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Deferral {
-    /// Starts that were turned away.
-    times: u32,
-    /// When it may be placed again.
+    /// Number of refused starts.
+    refusals: u32,
+    /// When the task may be placed again.
     pub until: Millis,
 }
 
@@ -43,7 +44,7 @@
             return;
         };
         let (now, span) = (self.now.steady, self.settings.lease_length);
-        let gives_up = self.is_resigning();
+        let resigning = self.is_resigning();
         let permit = self.permit_token(key, &name);
         let Some(worker) = self.workers.get_mut(&name) else {
             return;
@@ -52,20 +53,21 @@
         if current.is_none_or(|s| s.run != run || s.stage != Stage::Recording) {
             return;
         }
-        // Its room may have shrunk since the task was placed: sent all the same, the start
-        // would overcommit a worker that takes whatever it is told.
+        // The worker may have shrunk since the task was placed. Workers don't check their
+        // capacity, so the start would overcommit it.
         let fits = worker.fits(Resources::default());
         let cordoned = worker.cordoned;
-        // Begun at full pace, it would keep a tail up that is over its target already.
-        let presses = current.is_some_and(|s| s.best_effort) && worker.is_over_target();
-        let lease = match worker.accepts_tasks(now) && fits && !presses && !gives_up {
+        // A best-effort task starts at full speed, which would prolong a breach of a latency
+        // target.
+        let over_target = current.is_some_and(|s| s.best_effort) && worker.is_over_target();
+        let lease = match worker.accepts_tasks(now) && fits && !over_target && !resigning {
             true => worker.grant_lease(span, now),
             false => None,
         };
         let (Some(lease), Some(permit), Some(placement)) =
             (lease, permit, worker.placements.get_mut(&key))
         else {
-            log::info!(target: "task", "task={} run={run} event=withdrawn worker={name} fits={fits} cordoned={cordoned} over_target={presses}", job.task_name(key));
+            log::info!(target: "task", "task={} run={run} event=withdrawn worker={name} fits={fits} cordoned={cordoned} over_target={over_target}", job.task_name(key));
             crate::metrics::get().withdrawn.inc();
             self.unplace(key);
             return;
@@ -109,7 +111,7 @@
         }));
     }
 
-    /// Takes in how a start went.
+    /// Handles the reply to a start.
     pub(super) fn handle_start_reply(
         &mut self,
         key: TaskKey,
@@ -135,7 +137,7 @@
                 self.halt_run(name, key);
             }
             Reply::Lost if placement.stage == Stage::Starting => {
-                // It may be carried out seconds later, unless a stop of it is answered first.
+                // The start may be carried out seconds later unless a stop is answered first.
                 placement.stage = Stage::Doubt;
                 self.stop_task(key);
             }
@@ -145,8 +147,8 @@
         }
     }
 
-    /// Returns true when the answer to an order is that of the life that is known and that
-    /// the order was sent to. Word of a later one has it report at once.
+    /// Returns true when the reply to an order comes from the known incarnation and the order
+    /// was sent to that one. A reply from another incarnation triggers a poll at once.
     pub(super) fn accept_reply(
         &mut self,
         incarnation: &Incarnation,
@@ -158,26 +160,26 @@
         if worker.boot != incarnation.boot {
             return false;
         }
-        let Reply::Ok(word) = reply else {
+        let Reply::Ok(ack) = reply else {
             return true;
         };
-        let later = compare_boots(worker.boot, word.boot) == BootOrder::Later;
-        // Its clock goes on from what it had told before the order was sent.
-        let another = later || word.clock < incarnation.clock;
+        let later = compare_boots(worker.boot, ack.boot) == BootOrder::Later;
+        // The clock of one incarnation never falls behind its reading before the order.
+        let another = later || ack.clock < incarnation.clock;
         if another {
             self.verify_incarnation(&incarnation.id, "answer");
         }
         !another
     }
 
-    /// Takes in that a worker has begun a task.
+    /// Records in the row of a job that a worker has begun one of its tasks.
     pub(super) fn mark_begun(&mut self, key: TaskKey) {
         if let Some(job) = self.jobs.get_mut(&key.job) {
             job.row.begun = true;
         }
     }
 
-    /// Takes in that a worker did not take a start.
+    /// Handles the refusal of a start.
     fn handle_start_refusal(&mut self, key: TaskKey, run: u32, name: &Name, refusal: Refusal) {
         let task = self.task_name(key);
         log::info!(target: "task", "task={task} run={run} event=refused worker={name} reason={refusal:?}");
@@ -196,23 +198,24 @@
         }
     }
 
-    /// Has a task wait longer with each start that a worker could not take: as each of them
-    /// gets nothing for a while, a task that none can read took all of them out of use.
+    /// Has a task wait longer after each start that a worker refused as unfit. Each refusal also
+    /// quarantines the worker: without the wait, a task that no worker could read put all workers
+    /// out of use.
     fn defer_task(&mut self, key: TaskKey) {
         let now = self.now.steady;
         let deferral = self.deferred.entry(key).or_default();
-        deferral.times += 1;
-        deferral.until = now + (DEFERRED << deferral.times.min(DEFERRED_MOST));
+        deferral.refusals += 1;
+        deferral.until = now + (DEFERRAL_BASE << deferral.refusals.min(MAX_DOUBLINGS));
     }
 
-    /// Gives a worker nothing new for a while.
+    /// Keeps new tasks off a worker for a short time.
     fn quarantine(&mut self, name: &Name) {
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.quarantined_until = self.now.steady + BARRED;
+            worker.quarantined_until = self.now.steady + QUARANTINE;
         }
     }
 
-    /// Takes in how a stop went.
+    /// Handles the reply to a stop.
     pub(super) fn handle_stop_reply(
         &mut self,
         key: TaskKey,
@@ -233,7 +236,7 @@
         };
         match reply {
             Reply::Ok(_) => placement.stage = Stage::Stopped(now),
-            // It is sent again while the worker answers.
+            // The stop is sent again while the worker answers its polls.
             Reply::Lost | Reply::NotSent => placement.stage = Stage::Stopping(now),
             Reply::Refused(Refusal::Replaced) => {
                 self.end_incarnation(name, IncarnationEnd::Replaced)
@@ -242,10 +245,10 @@
         }
     }
 
-    /// Repeats stops that had no effect yet.
+    /// Sends stops again that had no effect yet.
     pub(super) fn retry_stops(&mut self) {
         let now = self.now.steady;
-        let mut again = Vec::new();
+        let mut due = Vec::new();
         for (name, worker) in &mut self.workers {
             if !worker.is_answering(now) {
                 continue;
@@ -253,19 +256,19 @@
             let address = worker.listing.address;
             for (key, placement) in &mut worker.placements {
                 if let Stage::Stopping(at) = placement.stage
-                    && now >= at + STOP_AGAIN
+                    && now >= at + STOP_RETRY
                 {
                     placement.stage = Stage::Stopping(now);
-                    again.push((*key, placement.run, name.clone(), address));
+                    due.push((*key, placement.run, name.clone(), address));
                 }
             }
         }
-        for (key, run, name, address) in again {
+        for (key, run, name, address) in due {
             self.send_stop(key, run, name, address);
         }
     }
 
-    /// Stops what runs of a job that is over.
+    /// Stops all tasks of a job.
     pub(super) fn stop_job(&mut self, number: u32) {
         let Some(job) = self.jobs.get(&number) else {
             return;
@@ -276,7 +279,7 @@
         }
     }
 
-    /// Stops a placed task, or takes it back when its start was not sent.
+    /// Stops a placed task, or frees it if its start was not sent yet.
     pub(super) fn stop_task(&mut self, key: TaskKey) {
         let Some(name) = self.placed_on.get(&key).cloned() else {
             return;
@@ -312,7 +315,7 @@
         self.send_stop_by_name(key, run, task, worker, address);
     }
 
-    /// Orders a worker to stop a run by the name of its task.
+    /// Orders a worker to stop a run given by the name of its task.
     pub(super) fn send_stop_by_name(
         &mut self,
         key: TaskKey,
