--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -206,7 +206,7 @@
             name: "q".into(),
             service: "s".into(),
             priority,
-            attempts: 3,
+            max_attempts: 3,
             stretch: 2_000,
             slack: 1_000,
             advised: false,
@@ -450,7 +450,7 @@
         },
         best_effort: fills,
         checkpoints: fills,
-        after,
+        depends_on: after,
         ..StepSpec::default()
     };
     let image = random.below(9);
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -30,7 +30,7 @@
         name: "q".into(),
         service: "s".into(),
         priority: 0,
-        attempts: 1,
+        max_attempts: 1,
         stretch: 1_000,
         slack: 0,
         advised: false,
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -44,7 +44,7 @@
             name: route.name,
             service: route.service,
             priority: route.priority,
-            attempts: route.max_attempts.max(1),
+            max_attempts: route.max_attempts.max(1),
             stretch: (route.stretch * 1_000.0) as u32,
             slack: route.target_latency_ms,
             advised: route.advice.is_some(),
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -49,7 +49,7 @@
     assert_eq!(queues.version(), 7);
     let (route, rest) = queues.find("a.example", "/q/x/1").expect("a route");
     assert_eq!((&*route.queue.name, rest), ("r-long", "1"));
-    assert_eq!((route.queue.attempts, route.queue.stretch), (3, 1_500));
+    assert_eq!((route.queue.max_attempts, route.queue.stretch), (3, 1_500));
     assert_eq!(route.queue.slack, 250);
     let (route, _) = queues.find("a.example", "/q/1").expect("a route");
     assert_eq!(&*route.queue.service, "s2");
@@ -96,7 +96,10 @@
     );
     assert!(second.checkpoints && second.gang && second.one_rack && second.lasting);
     assert!(second.best_effort && second.speculative);
-    assert_eq!((second.latency_target, second.disruptions), (50, Some(0)));
+    assert_eq!(
+        (second.latency_target, second.max_disruptions),
+        (50, Some(0))
+    );
     assert_eq!(
         second.reserved().cpu,
         0,
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -112,7 +112,7 @@
             return;
         };
         let lasting = job.step(key).lasting;
-        let attempts = job.row.queue.attempts;
+        let attempts = job.row.queue.max_attempts;
         if completion.outcome == RunOutcome::Failed
             && let Some(task) = job.task_mut(key)
         {
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -247,7 +247,7 @@
         let Some(job) = self.jobs.get(&key.job) else {
             return false;
         };
-        let Some(bound) = job.step(key).disruptions else {
+        let Some(bound) = job.step(key).max_disruptions else {
             return true;
         };
         let at_work = |member: &TaskKey| {
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -17,7 +17,8 @@
     /// 0 goes first.
     pub priority: u32,
     /// Failed runs of one task after which the job has failed.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// Thousandths of its ideal run time that a job may take to be on time.
     pub stretch: u32,
     /// Milliseconds beyond that which still count as on time.
@@ -311,7 +312,7 @@
     pub fn critical_path(&self, span: impl Fn(usize) -> Millis) -> Millis {
         let mut ends: Vec<Millis> = Vec::with_capacity(self.spec.steps.len());
         for (place, step) in self.spec.steps.iter().enumerate() {
-            let start = step.after.iter().filter_map(|a| ends.get(*a)).max();
+            let start = step.depends_on.iter().filter_map(|a| ends.get(*a)).max();
             ends.push(start.copied().unwrap_or(0) + span(place));
         }
         ends.into_iter().max().unwrap_or(0)
@@ -321,7 +322,7 @@
     pub fn dependencies_done(&self, round: usize, step: usize) -> bool {
         let steps = &self.row.rounds[round];
         let done = |s: &usize| steps[*s].iter().all(|t| t.phase == Phase::Done);
-        self.spec.steps[step].after.iter().all(done)
+        self.spec.steps[step].depends_on.iter().all(done)
     }
 
     /// Returns true when all tasks of all rounds are done.
--- a/src/sched/placement_pass.rs
+++ b/src/sched/placement_pass.rs
@@ -354,7 +354,8 @@
             suspect: self.is_suspect(key),
             service: &job.row.queue.service,
             step,
-            last_attempt: !step.lasting && self.failure_count(key) + 1 >= job.row.queue.attempts,
+            last_attempt: !step.lasting
+                && self.failure_count(key) + 1 >= job.row.queue.max_attempts,
             image: self.interference.image_number(&step.image),
             interference: self
                 .settings
--- a/src/sched/spec.rs
+++ b/src/sched/spec.rs
@@ -108,16 +108,16 @@
     /// The caller's rough guess of one task's run time, in milliseconds.
     pub estimate: Millis,
     /// Earlier steps that must be done first.
-    #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub after: Vec<usize>,
+    #[serde(rename = "after", skip_serializing_if = "Vec::is_empty")]
+    pub depends_on: Vec<usize>,
     /// Tasks of one image behave alike; empty when unnamed.
-    #[serde(skip_serializing_if = "no_text")]
+    #[serde(skip_serializing_if = "is_empty")]
     pub image: Name,
     /// Label that the worker must carry; empty for none.
-    #[serde(skip_serializing_if = "no_text")]
+    #[serde(skip_serializing_if = "is_empty")]
     pub label: Name,
     /// Rack on which the data lies; empty for none.
-    #[serde(skip_serializing_if = "no_text")]
+    #[serde(skip_serializing_if = "is_empty")]
     pub rack: Name,
     /// Most tasks of the step on one worker; 0 for no bound.
     #[serde(rename = "spread", skip_serializing_if = "is_zero_u32")]
@@ -126,8 +126,8 @@
     #[serde(rename = "target", skip_serializing_if = "is_zero")]
     pub latency_target: Millis,
     /// Most tasks that may be away at once through the scheduler's doing.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub disruptions: Option<u32>,
+    #[serde(rename = "disruptions", skip_serializing_if = "Option::is_none")]
+    pub max_disruptions: Option<u32>,
     /// Checkpoints its progress.
     #[serde(rename = "saves", skip_serializing_if = "is_false")]
     pub checkpoints: bool,
@@ -177,7 +177,7 @@
             if step.count == 0 {
                 findings.push(format!("step {place} has no tasks"));
             }
-            if step.after.iter().any(|a| *a >= place) {
+            if step.depends_on.iter().any(|a| *a >= place) {
                 findings.push(format!("step {place} waits for a step that is not earlier"));
             }
             if step.resources.largest_component() > RESOURCE_LIMIT {
@@ -207,6 +207,6 @@
     !value
 }
 
-fn no_text(text: &Name) -> bool {
+fn is_empty(text: &Name) -> bool {
     text.is_empty()
 }
--- a/src/sched/tests/directory.rs
+++ b/src/sched/tests/directory.rs
@@ -33,7 +33,7 @@
     let mut world = World::new(2);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     let step = StepSpec {
-        disruptions: Some(1),
+        max_disruptions: Some(1),
         max_per_worker: 2,
         ..lasting(4, 1_000)
     };
--- a/src/sched/tests/jobs.rs
+++ b/src/sched/tests/jobs.rs
@@ -8,7 +8,7 @@
 fn steps_run_in_their_order_and_the_end_is_shown_once_kept() {
     let mut world = World::new(2);
     let second = crate::sched::spec::StepSpec {
-        after: vec![0],
+        depends_on: vec![0],
         ..step(2, 1_000)
     };
     let ticket = world.submit("j1", job(vec![step(3, 1_000), second]));
@@ -155,7 +155,7 @@
     let mut world = World::new(1);
     let none = world.submit("j1", job(vec![]));
     let cycle = crate::sched::spec::StepSpec {
-        after: vec![0],
+        depends_on: vec![0],
         ..step(0, 1_000)
     };
     let cycle = world.submit("j2", job(vec![cycle]));
--- a/src/sched/tests/order.rs
+++ b/src/sched/tests/order.rs
@@ -187,7 +187,7 @@
         job(vec![
             step(4, 1_000),
             StepSpec {
-                after: vec![0],
+                depends_on: vec![0],
                 ..step(4, 1_000)
             },
         ]),
--- a/src/sched/tests/overload.rs
+++ b/src/sched/tests/overload.rs
@@ -118,7 +118,7 @@
             ..step(2, cpu)
         };
         let second = StepSpec {
-            after: vec![0],
+            depends_on: vec![0],
             ..first.clone()
         };
         job(vec![first, second])
--- a/src/sched/tests/random.rs
+++ b/src/sched/tests/random.rs
@@ -103,7 +103,7 @@
 
 fn spec(random: &mut Random) -> JobSpec {
     let second = StepSpec {
-        after: vec![0],
+        depends_on: vec![0],
         ..step(1 + random.below(3) as u32, 1_000)
     };
     job(vec![step(1 + random.below(4) as u32, 1_000), second])
--- a/src/sched/tests/takeover.rs
+++ b/src/sched/tests/takeover.rs
@@ -53,7 +53,7 @@
 /// Returns the step with a dependency on the first step.
 fn after(step: StepSpec) -> StepSpec {
     StepSpec {
-        after: vec![0],
+        depends_on: vec![0],
         ..step
     }
 }
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -104,7 +104,7 @@
         name: "q".into(),
         service: "s".into(),
         priority: 0,
-        attempts: 3,
+        max_attempts: 3,
         stretch: 2_000,
         slack: 500,
         advised: false,
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -328,7 +328,7 @@
             self.doubles.push(text);
         }
         let failed = self.failed.get(&start.task).copied().unwrap_or(0);
-        if failed >= queue().attempts {
+        if failed >= queue().max_attempts {
             let text = format!("{} after {failed} failed runs at {}", start.task, self.now);
             self.doubles.push(text);
         }
