--- a/src/sched.rs
+++ b/src/sched.rs
@@ -5,10 +5,10 @@
 //! stopped (`starts`, `late_starts`), watched (`reports`), ended (`completions`), shown (`requests`); once it is
 //! over, `history` knows what callers may still ask.
 //! Workers come and go by `directory` and `lost_workers`, get nothing new by `cordon`, and are
-//! asked in turn by `poll_schedule`; `addresses` tells who was listed where. What they report of
-//! their load is taken in by `gauges` (with `recently_ended` and `loads`) and becomes what
-//! `interference` knows; `throttling` and `swaps` keep fillers from slowing serving tasks by it, a little less so
-//! while `backlog` is long. `predecessors` tells what earlier owners may still do, `failover`
+//! asked in turn by `poll_schedule`; `addresses` tells who was listed where. The load that they
+//! report is recorded by `gauges` (with `recently_ended`, `loads` and `breaches`), from which
+//! `interference` learns how best-effort tasks slow serving tasks; `throttling` and `swaps` limit
+//! that, a little less while `backlog` is long. `predecessors` tells what earlier owners may still do, `failover`
 //! which box comes next; `mechanisms` switches parts of the scheduler off.
 //! Everything here is plain state without sockets and clocks.
 
--- a/src/sched/backlog.rs
+++ b/src/sched/backlog.rs
@@ -17,7 +17,7 @@
 impl Owner {
     /// Updates the backlog level from the waiting tasks. Jobs whose value is lost do not count,
     /// since they are no reason to load serving tasks higher.
-    pub(super) fn measure_backlog(&mut self) {
+    pub(super) fn update_backlog_level(&mut self) {
         let capacity: u64 = self.workers.values().map(|w| w.listing.capacity.cpu).sum();
         let waiting = self.waiting_work() / CORE_SECOND;
         let seconds = waiting * 1_000.0 / capacity.max(1) as f64;
--- a/src/sched/breaches.rs
+++ b/src/sched/breaches.rs
@@ -30,12 +30,12 @@
     /// Returns the breach after a report, where `over` tells whether the tail is over the target.
     ///
     /// Gauges are imprecise: a tail below the target ends a breach only a gauge window after the
-    /// last tail above it, or once the breach has lasted `halt` milliseconds, when everything
+    /// last tail above it, or once the breach has lasted `halt_after` milliseconds, when everything
     /// beside the serving task is halted.
     pub fn after_report(
-        before: Option<Self>,
+        previous: Option<Self>,
         over: bool,
-        halt: Millis,
+        halt_after: Millis,
         now: Millis,
     ) -> Option<Self> {
         let new = Self {
@@ -44,14 +44,15 @@
             current: true,
             logged: false,
         };
-        match (before, over) {
-            (before, true) => Some(Self {
+        match (previous, over) {
+            (previous, true) => Some(Self {
                 last: now,
                 current: true,
-                ..before.unwrap_or(new)
+                ..previous.unwrap_or(new)
             }),
             (Some(breach), false)
-                if now < breach.last + GAUGE_WINDOW && breach.duration(breach.last) < halt =>
+                if now < breach.last + GAUGE_WINDOW
+                    && breach.duration(breach.last) < halt_after =>
             {
                 Some(Self {
                     current: false,
@@ -70,7 +71,7 @@
 
 impl Owner {
     /// Logs an ongoing or ended breach of a serving task, and records the length of an ended one.
-    pub(super) fn report_breach(&mut self, name: &Name, key: TaskKey, before: Option<Breach>) {
+    pub(super) fn report_breach(&mut self, name: &Name, key: TaskKey, previous: Option<Breach>) {
         let now = self.now.steady;
         let Some(worker) = self.workers.get(name) else {
             return;
@@ -83,7 +84,7 @@
         };
         let (task, run, target) = (self.task_name(key), placement.run, placement.latency_target);
         let (tail, own) = (gauge.tail_latency, gauge.own_load);
-        match (before, gauge.breach) {
+        match (previous, gauge.breach) {
             (_, Some(breach)) if !breach.logged && breach.duration(now) >= LOG_AFTER => {
                 let beside = self.best_effort_text(worker);
                 log::info!(target: "task", "task={task} run={run} event=over-target worker={name} tail_ms={tail} target_ms={target} over_ms={} own_load={own:.2} beside={beside}", breach.duration(now));
@@ -114,10 +115,10 @@
         let Some(gauge) = gauge.filter(|g| g.breach.is_some()) else {
             return;
         };
-        let before = gauge.breach;
-        let breach = Breach::after_report(before, false, self.settings.halt_after(), now);
+        let previous = gauge.breach;
+        let breach = Breach::after_report(previous, false, self.settings.halt_after(), now);
         worker.update_gauge(key, Gauge { breach, ..gauge });
-        self.report_breach(name, key, before);
+        self.report_breach(name, key, previous);
     }
 
     fn mark_breach_logged(&mut self, name: &Name, key: TaskKey) {
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -19,7 +19,7 @@
 
 impl Owner {
     /// Handles the completion of a run that a worker reports.
-    pub(super) fn record_completion(&mut self, name: &Name, completion: &EndedRun) {
+    pub(super) fn handle_completion(&mut self, name: &Name, completion: &EndedRun) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -97,18 +97,18 @@
             .estimate(step, key.index, now)
             .load
             .clamp(0.0, busy);
-        let before = placement.gauge.as_ref().and_then(|g| g.breach);
+        let previous = placement.gauge.as_ref().and_then(|g| g.breach);
         let over = run.gauge * WHOLE_PERCENT > placement.latency_target * OVER_PERCENT;
         let gauge = Gauge {
             busy,
             tail_latency: run.gauge,
-            breach: Breach::after_report(before, over, self.settings.halt_after(), now),
+            breach: Breach::after_report(previous, over, self.settings.halt_after(), now),
             own_load,
         };
         let number = placement.image_number;
         worker.update_gauge(key, gauge.clone());
-        if before.is_some() || gauge.breach.is_some() {
-            self.report_breach(name, key, before);
+        if previous.is_some() || gauge.breach.is_some() {
+            self.report_breach(name, key, previous);
         }
         Some((number, gauge))
     }
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -327,7 +327,7 @@
                 self.handle_stop_reply(key, run, &incarnation, reply)
             }
             Event::Throttled(key, run, percent, incarnation, reply) => {
-                self.throttle_answered(key, run, percent, &incarnation, reply);
+                self.handle_throttle_reply(key, run, percent, &incarnation, reply);
             }
             Event::Advised(step, asked, reply) => self.handle_advice(step, asked, reply),
             Event::CommitEnded(number, written) => {
@@ -381,7 +381,7 @@
             self.journal.touch(number);
             self.queue_ready_tasks(number);
         }
-        self.measure_backlog();
+        self.update_backlog_level();
         self.export_longest_breach();
         self.archive_finished();
         self.refuse_parked();
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -171,7 +171,7 @@
     fn apply_report(&mut self, name: &Name, sent: Millis, report: Report) {
         let complete = report.ended.len() < MAX_COMPLETIONS;
         for ended in &report.ended {
-            self.record_completion(name, ended);
+            self.handle_completion(name, ended);
         }
         let running: Vec<ReportedRun<'_>> =
             report.running.iter().map(|r| self.resolve_run(r)).collect();
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -126,7 +126,7 @@
         };
         let mut runs = best_effort_runs(worker);
         let margin = self.backlog_level * BACKLOG_MARGIN;
-        let (halt, now) = (self.settings.halt_after(), self.now.steady);
+        let (halt_after, now) = (self.settings.halt_after(), self.now.steady);
         let mut high = false;
         for reported in running {
             if reported.run.gauge == 0 {
@@ -143,7 +143,7 @@
             high |= gauge.busy.max(expected) > HIGH_BUSY + margin;
             if gauge
                 .breach
-                .is_some_and(|breach| breach.current && breach.duration(now) >= halt)
+                .is_some_and(|breach| breach.current && breach.duration(now) >= halt_after)
             {
                 runs.iter_mut().for_each(|run| run.wanted = 0.0);
                 high = true;
@@ -211,7 +211,7 @@
     }
 
     /// Handles the reply to a throttle order, `percent` being the ordered speed.
-    pub(super) fn throttle_answered(
+    pub(super) fn handle_throttle_reply(
         &mut self,
         key: TaskKey,
         run: u32,
@@ -220,12 +220,12 @@
         reply: Reply<OrderAck>,
     ) {
         let name = &incarnation.id;
-        let answers = self.accept_reply(incarnation, &reply);
+        let accepted = self.accept_reply(incarnation, &reply);
         let Some(placement) = self.placement_mut(name, key, run) else {
             return;
         };
         placement.throttle_pending = false;
-        if !answers {
+        if !accepted {
             return;
         }
         match reply {
