--- a/src/sched/tests/random.rs
+++ b/src/sched/tests/random.rs
@@ -1,4 +1,4 @@
-//! Randomised runs with faults; one run of a task at a time is asserted.
+//! Randomised simulations with faults: no task runs twice at a time, and all jobs end.
 
 use super::world::{Faults, World, job, step};
 use crate::sched::job::JobState;
@@ -9,74 +9,83 @@
 use crate::utils::random::Random;
 
 /// Milliseconds between two random changes.
-const BEAT: u64 = 400;
-/// Random changes in one course.
+const CHANGE_INTERVAL: u64 = 400;
+/// Random changes in one simulation.
 const CHANGES: u64 = 40;
-/// Milliseconds after the faults in which everything comes to its end.
-const CALM: u64 = 40_000;
-/// A task that crashes its workers, and the most that may crash under it: a start that is
-/// the third after the third crash is one too many.
-const FATAL: &str = "job-1.0.0.0";
-const CRASHES: usize = 5;
-/// A course in which news of a worker's room came while the box was suspended: told out of
-/// their order, they gave a worker 4,000 where it had 2,500.
-const NEWS_IN_ORDER: u64 = 24;
-/// Jobs in one course.
+/// Milliseconds without faults at the end, in which all jobs end.
+const CALM_TIME: u64 = 40_000;
+/// A task that crashes its workers.
+const CRASHING_TASK: &str = "job-1.0.0.0";
+/// Most workers that the task may crash: after its third crash at most two more starts.
+const MAX_CRASHES: usize = 5;
+/// A seed with updates of a worker's resources while the box is suspended. Delivered out of
+/// order, they left the worker with 4,000 where it had 2,500.
+const ORDERED_UPDATES_SEED: u64 = 24;
+/// Jobs submitted at the start of one simulation.
 const JOBS: u64 = 6;
-/// Milliseconds for which the state of an ended job is told, and those after it was
-/// handed in for which it is certainly told.
-const REMEMBER: u64 = 10_000;
-const TOLD: u64 = 9_000;
+/// Milliseconds for which finished jobs are kept.
+const RETENTION: u64 = 10_000;
+/// Milliseconds after its submission for which a job is certainly known.
+const KNOWN_TIME: u64 = 9_000;
 
-/// A job that was handed in.
-struct Handed {
+/// A submitted job.
+struct SubmittedJob {
     id: String,
     spec: JobSpec,
     at: u64,
     ticket: u64,
-    /// What it was shown to be once it was over.
-    over: Option<JobState>,
+    /// The final state that was shown, if any.
+    final_state: Option<JobState>,
 }
 
-fn hand_in(world: &mut World, id: String, spec: JobSpec) -> Handed {
+/// Submits a job.
+fn submit_job(world: &mut World, id: String, spec: JobSpec) -> SubmittedJob {
     let ticket = world.submit(&id, spec.clone());
-    Handed {
+    SubmittedJob {
         id,
         spec,
         at: world.now,
         ticket,
-        over: None,
+        final_state: None,
     }
 }
 
-/// A look at a job, whose answer may come later.
-struct Look {
+/// A query of a job's state, whose answer may come later.
+struct Query {
     ticket: u64,
     id: String,
     at: u64,
-    /// True when the job had been accepted by then.
+    /// True if the job had been accepted before the query.
     accepted: bool,
-    /// What it had been shown to be by then, if it was over.
-    over: Option<JobState>,
+    /// The final state that had been shown before the query, if any.
+    final_state: Option<JobState>,
 }
 
-impl Look {
-    /// Returns what is wrong with its answer; an owner that is replaced gives none.
-    fn wrong(&self, world: &World) -> Option<String> {
+impl Query {
+    /// Returns an error if the answer contradicts what is known of the job. A replaced owner
+    /// gives no answer.
+    fn error(&self, world: &World) -> Option<String> {
         let answer = world.answers.get(&self.ticket)?;
-        let wrong = match answer {
+        let contradicts = match answer {
             Answer::Unknown => self.accepted,
-            Answer::State(shown) => self.over.is_some_and(|over| over != *shown),
+            Answer::State(shown) => self.final_state.is_some_and(|state| state != *shown),
             _ => false,
         };
-        let Self { id, at, over, .. } = self;
-        wrong.then(|| format!("{id} at {at} is {answer:?}, was {over:?}"))
+        let Self {
+            id,
+            at,
+            final_state,
+            ..
+        } = self;
+        contradicts.then(|| {
+            format!("job {id} at {at} ms: answer {answer:?}, final state before {final_state:?}")
+        })
     }
 }
 
-/// Asks for a job, hands it in again or cancels it.
-fn visit(world: &mut World, random: &mut Random, job: &mut Handed) -> Option<Look> {
-    if world.now > job.at + TOLD {
+/// Cancels a job or submits it again, or neither, and queries its state.
+fn visit_job(world: &mut World, random: &mut Random, job: &mut SubmittedJob) -> Option<Query> {
+    if world.now > job.at + KNOWN_TIME {
         return None;
     }
     match random.below(6) {
@@ -84,24 +93,24 @@
         1 | 2 => drop(world.submit(&job.id, job.spec.clone())),
         _ => {}
     }
-    let look = Look {
+    let query = Query {
         accepted: world.answers.get(&job.ticket) == Some(&Answer::Accepted),
         ticket: world.ask(JobRequest::Show(job.id.as_str().into())),
         id: job.id.clone(),
         at: world.now,
-        over: job.over,
+        final_state: job.final_state,
     };
-    let shown = world.answers.get(&look.ticket);
+    let shown = world.answers.get(&query.ticket);
     if let Some(Answer::State(
-        over @ (JobState::Completed | JobState::Failed | JobState::Cancelled),
+        state @ (JobState::Completed | JobState::Failed | JobState::Cancelled),
     )) = shown
     {
-        job.over = Some(*over);
+        job.final_state = Some(*state);
     }
-    Some(look)
+    Some(query)
 }
 
-fn spec(random: &mut Random) -> JobSpec {
+fn random_spec(random: &mut Random) -> JobSpec {
     let second = StepSpec {
         depends_on: vec![0],
         ..step(1 + random.below(3) as u32, 1_000)
@@ -109,14 +118,15 @@
     job(vec![step(1 + random.below(4) as u32, 1_000), second])
 }
 
-/// Returns a worker by its place among those that are there.
-fn worker(world: &World, random: &mut Random) -> Option<Name> {
-    let place = random.below(4) as usize;
-    world.workers.keys().nth(place).cloned()
+/// Returns a random worker, or `None` when the drawn index has no worker.
+fn random_worker(world: &World, random: &mut Random) -> Option<Name> {
+    let index = random.below(4) as usize;
+    world.workers.keys().nth(index).cloned()
 }
 
+/// Applies a random fault or change.
 fn change(world: &mut World, random: &mut Random) {
-    let worker = worker(world, random);
+    let worker = random_worker(world, random);
     match random.below(8) {
         0 | 1 => {
             if let Some(worker) = worker.and_then(|id| world.workers.get_mut(&id)) {
@@ -137,9 +147,9 @@
     }
 }
 
-/// Has a worker start again under its id; the directory tells so, or not yet.
-fn change_lives(world: &mut World, random: &mut Random) {
-    let worker = worker(world, random);
+/// Restarts a random worker under its id, with or without an update of the directory.
+fn restart_worker(world: &mut World, random: &mut Random) {
+    let worker = random_worker(world, random);
     match (random.below(3), worker) {
         (0, Some(id)) => world.restart(&id),
         (1, Some(id)) => {
@@ -150,9 +160,9 @@
     }
 }
 
-/// Crashes a worker, gives it another room or suspends the box.
+/// Crashes or resizes a random worker, or suspends the box.
 fn change_machines(world: &mut World, random: &mut Random) {
-    let worker = worker(world, random);
+    let worker = random_worker(world, random);
     match (random.below(4), worker) {
         (0, Some(id)) => world.crash(&id),
         (1, Some(id)) => {
@@ -165,8 +175,8 @@
     }
 }
 
-/// Gives all workers their whole room.
-fn restore_rooms(world: &mut World) {
+/// Gives all workers their full capacity.
+fn restore_capacity(world: &mut World) {
     let ids: Vec<Name> = world.workers.keys().cloned().collect();
     for id in ids {
         let capacity = world.workers[&id].listing.capacity;
@@ -180,40 +190,42 @@
     }
 }
 
-/// Returns what is wrong with how workers were treated.
-fn machines_wrong(world: &World) -> Vec<String> {
-    let mut wrong = world.excesses.clone();
-    let crashes = world.crashes.under(FATAL);
-    if crashes > CRASHES {
-        wrong.push(format!("{crashes} workers crashed under {FATAL}"));
+/// Returns the errors in the use of workers: exceeded resources and too many crashes.
+fn worker_errors(world: &World) -> Vec<String> {
+    let mut errors = world.excesses.clone();
+    let crashes = world.crashes.under(CRASHING_TASK);
+    if crashes > MAX_CRASHES {
+        errors.push(format!(
+            "{crashes} workers crashed under {CRASHING_TASK}, at most {MAX_CRASHES} may"
+        ));
     }
-    wrong
+    errors
 }
 
-/// What a course has beside its other changes.
+/// Additional changes of a simulation.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Beside {
-    /// Nothing.
+enum ExtraChanges {
+    /// No additional changes.
     Nothing,
-    /// Crashes, rooms that change, a box that is suspended, and a task that crashes its
+    /// Crashes and resizing of workers, suspensions of the box, and a task that crashes its
     /// workers.
     Machines,
-    /// Workers that start again under their ids.
+    /// Restarts of workers under their ids.
     Restarts,
 }
 
-/// Runs jobs through changes that a seed draws.
-fn course(seed: u64, beside: Beside) -> bool {
-    let machines = beside == Beside::Machines;
+/// Simulates jobs under random changes drawn from a seed; returns true without errors.
+fn simulate(seed: u64, extra: ExtraChanges) -> bool {
+    let machines = extra == ExtraChanges::Machines;
     let mut random = Random::new(seed);
     let mut world = World::new(4);
     world.seed(seed ^ 1);
-    world.bounds.retention = REMEMBER;
+    world.bounds.retention = RETENTION;
     world.owner.change_settings(world.bounds);
     if machines {
-        world.crashes.by_task.insert(FATAL.into(), 10);
+        world.crashes.by_task.insert(CRASHING_TASK.into(), 10);
     }
-    let (mut jobs, mut looks) = (Vec::new(), Vec::new());
+    let (mut jobs, mut queries) = (Vec::new(), Vec::new());
     world.script = |task, run| {
         let failed = (task.len() as u32 + run).is_multiple_of(5);
         (
@@ -226,50 +238,55 @@
         )
     };
     for number in 0..JOBS {
-        let spec = spec(&mut random);
-        jobs.push(hand_in(&mut world, format!("job-{number}"), spec));
+        let spec = random_spec(&mut random);
+        jobs.push(submit_job(&mut world, format!("job-{number}"), spec));
         world.run(200);
     }
     for number in 0..CHANGES {
         change(&mut world, &mut random);
-        match beside {
-            Beside::Nothing => {}
-            Beside::Machines => change_machines(&mut world, &mut random),
-            Beside::Restarts => change_lives(&mut world, &mut random),
+        match extra {
+            ExtraChanges::Nothing => {}
+            ExtraChanges::Machines => change_machines(&mut world, &mut random),
+            ExtraChanges::Restarts => restart_worker(&mut world, &mut random),
         }
         if number % 3 == 0 {
-            let spec = spec(&mut random);
-            jobs.push(hand_in(&mut world, format!("late-{number}"), spec));
+            let spec = random_spec(&mut random);
+            jobs.push(submit_job(&mut world, format!("late-{number}"), spec));
         }
-        let place = random.below(jobs.len() as u64) as usize;
-        looks.extend(visit(&mut world, &mut random, &mut jobs[place]));
-        world.run(BEAT);
+        let index = random.below(jobs.len() as u64) as usize;
+        queries.extend(visit_job(&mut world, &mut random, &mut jobs[index]));
+        world.run(CHANGE_INTERVAL);
     }
     world.faults = Faults::default();
     world.store_down = false;
     world.workers.values_mut().for_each(|w| w.cut = false);
     if machines {
-        world.run(CALM / 4);
-        restore_rooms(&mut world);
+        world.run(CALM_TIME / 4);
+        restore_capacity(&mut world);
     }
     world.list();
-    world.run(CALM);
-    let mut wrong: Vec<String> = looks.iter().filter_map(|l| l.wrong(&world)).collect();
-    wrong.append(&mut world.doubles);
-    wrong.extend(machines_wrong(&world));
-    wrong.extend(world.running().into_iter().map(|r| format!("{r:?} runs")));
+    world.run(CALM_TIME);
+    let mut errors: Vec<String> = queries.iter().filter_map(|q| q.error(&world)).collect();
+    errors.append(&mut world.doubles);
+    errors.extend(worker_errors(&world));
+    errors.extend(
+        world
+            .running()
+            .into_iter()
+            .map(|r| format!("{r:?} still runs")),
+    );
     for table in [JOB_TABLE, SPEC_TABLE, HISTORY_TABLE] {
         let left = world.ids(table).into_iter();
-        wrong.extend(left.map(|id| format!("{id} is left in {table}")));
+        errors.extend(left.map(|id| format!("job {id} is left in table {table}")));
     }
-    if !wrong.is_empty() {
-        eprintln!("seed {seed}: {wrong:?}");
+    if !errors.is_empty() {
+        eprintln!("seed {seed}: {errors:?}");
     }
-    wrong.is_empty()
+    errors.is_empty()
 }
 
-/// Returns the seeds to run: `FIRST..LAST` of `WILLOWPOINT_SEEDS`, or a few
-/// fixed ones, so that CI has the same verdict each time.
+/// Returns the seeds to run: the range `FIRST..LAST` of `WILLOWPOINT_SEEDS`, or by default a
+/// few fixed seeds, so that the result in CI is reproducible.
 pub(super) fn seeds() -> std::ops::Range<u64> {
     let text = std::env::var("WILLOWPOINT_SEEDS").unwrap_or_default();
     let ends = text.split_once("..");
@@ -278,24 +295,26 @@
 }
 
 #[test]
-fn no_task_runs_twice_at_a_time_and_all_end_and_are_forgotten() {
+fn no_task_runs_twice_at_a_time_and_all_jobs_end_and_expire() {
     let failed: Vec<u64> = seeds()
-        .filter(|seed| !course(*seed, Beside::Nothing))
+        .filter(|seed| !simulate(*seed, ExtraChanges::Nothing))
         .collect();
     assert!(failed.is_empty(), "seeds {failed:?}");
 }
 
 #[test]
-fn the_same_holds_where_workers_crash_and_shrink_and_boxes_are_suspended() {
-    let seeds = seeds().chain([NEWS_IN_ORDER]);
+fn the_same_holds_with_worker_crashes_resizing_and_suspended_boxes() {
+    let seeds = seeds().chain([ORDERED_UPDATES_SEED]);
     let failed: Vec<u64> = seeds
-        .filter(|seed| !course(*seed, Beside::Machines))
+        .filter(|seed| !simulate(*seed, ExtraChanges::Machines))
         .collect();
     assert!(failed.is_empty(), "seeds {failed:?}");
 }
 
 #[test]
-fn the_same_holds_where_workers_start_again_under_their_ids() {
-    let failed: Vec<u64> = seeds().filter(|s| !course(*s, Beside::Restarts)).collect();
+fn the_same_holds_with_workers_that_restart_under_their_ids() {
+    let failed: Vec<u64> = seeds()
+        .filter(|s| !simulate(*s, ExtraChanges::Restarts))
+        .collect();
     assert!(failed.is_empty(), "seeds {failed:?}");
 }
