--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -54,7 +54,7 @@
 /// Returns by how much a swap of two tasks lowers the sum of their distances to the other tasks
 /// of their workers.
 fn swap_gain(distances: &ImageDistances, a: &Candidate, b: &Candidate) -> f64 {
-    // After the swap neither of the two tasks runs beside the other one.
+    // Each task takes the place of the other, which is then not among its neighbours.
     let apart = distances.between(a.image, b.image);
     let after = distance_to(distances, a.image, &b.images) - apart
         + distance_to(distances, b.image, &a.images)
