--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -1,5 +1,5 @@
-//! Gangs: tasks of one step that only work together, share the number of their
-//! run and their checkpoint, and end together.
+//! Gangs: tasks of one step that must run at the same time. They share a run number and a
+//! checkpoint, and end together.
 
 use super::job::{Phase, TaskKey};
 use super::owner::Owner;
@@ -12,14 +12,14 @@
         (0..count).map(|index| TaskKey { index, ..key }).collect()
     }
 
-    /// Returns the tasks whose state a task shares: its gang, or itself alone.
+    /// Returns all members of a task's gang, or the task alone if it is in none.
     pub(super) fn gang_or_self(&self, key: TaskKey) -> Vec<TaskKey> {
         let gang = self.jobs.get(&key.job).is_some_and(|j| j.step(key).gang);
         if gang { self.members(key) } else { vec![key] }
     }
 
-    /// Stops the members of a gang that lost one: they would hold their room
-    /// and wait for it in vain.
+    /// Stops the other members of the gang of a lost task, as they would hold their resources
+    /// without making progress.
     pub(super) fn stop_gang(&mut self, lost: TaskKey) {
         for member in self.members(lost) {
             if member != lost {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Marks a task as done; one end of a gang's run stands for all its members.
+    /// Marks a task as done. The completion of one member completes its whole gang.
     pub(super) fn mark_done(&mut self, key: TaskKey) {
         let peers = self.gang_or_self(key);
         let Some(job) = self.jobs.get_mut(&key.job) else {
@@ -45,10 +45,10 @@
         }
     }
 
-    /// Takes in a checkpoint of a task; that of one member is good for its gang,
-    /// whose next run has to start from one.
-    pub(super) fn save_checkpoint(&mut self, key: TaskKey, saved: &Name) {
-        if saved.is_empty() {
+    /// Records a checkpoint of a task. All members of a gang take over that of one, as their
+    /// next run has to start from the same checkpoint.
+    pub(super) fn save_checkpoint(&mut self, key: TaskKey, checkpoint: &Name) {
+        if checkpoint.is_empty() {
             return;
         }
         let peers = self.gang_or_self(key);
@@ -57,12 +57,12 @@
         };
         for peer in peers {
             if let Some(task) = job.task_mut(peer) {
-                task.checkpoint = saved.clone();
+                task.checkpoint = checkpoint.clone();
             }
         }
     }
 
-    /// Returns how often a task has failed; a gang fails with each member.
+    /// Returns the number of failed runs of a task, or of all members of its gang.
     pub(super) fn failure_count(&self, key: TaskKey) -> u32 {
         let Some(job) = self.jobs.get(&key.job) else {
             return 0;
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -1,4 +1,4 @@
-//! The state of one job, and how it is kept in the store.
+//! State of one job and its tasks, as the owner holds it and as the store keeps it.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,42 +7,42 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// The queue that a job was handed to, with what decides about its tasks.
+/// The queue that a job was submitted to, with the rules for its tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Queue {
     /// Name of the queue.
     pub name: Name,
     /// Service whose workers run the tasks.
     pub service: Name,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Failed runs of one task after which the job has failed.
+    /// Number of failed runs of one task after which its job has failed.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
-    /// Thousandths of its ideal run time that a job may take to be on time.
+    /// Time that a job may take to be on time, in thousandths of its ideal duration.
     pub stretch: u32,
-    /// Milliseconds beyond that which still count as on time.
+    /// Milliseconds beyond that time which still count as on time.
     pub slack: Millis,
-    /// True when an advisor tells which workers may run a step.
+    /// True when an advisor decides which workers may run a step.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub advised: bool,
 }
 
-/// One task of a job.
+/// Identifies a task at its current owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey {
-    /// Number of the job at its present owner.
+    /// Number of the job at its current owner.
     pub job: u32,
     /// Round of a scheduled job; 0 otherwise.
     pub round: u32,
-    /// Step.
+    /// Index of the step.
     pub step: u32,
-    /// Number within the step.
+    /// Index within the step.
     pub index: u32,
 }
 
 impl TaskKey {
-    /// Returns the step and round that the task belongs to.
+    /// Returns the key of the step and round that the task belongs to.
     pub fn step_key(self) -> StepKey {
         StepKey {
             job: self.job,
@@ -52,19 +52,19 @@
     }
 }
 
-/// One round of a step of a job.
+/// Identifies one round of a step at its current owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepKey {
-    /// Number of the job at its present owner.
+    /// Number of the job at its current owner.
     pub job: u32,
     /// Round of a scheduled job; 0 otherwise.
     pub round: u32,
-    /// Step.
+    /// Index of the step.
     pub step: u32,
 }
 
 impl StepKey {
-    /// Returns a task of it.
+    /// Returns the key of the task with an index.
     pub fn task(self, index: u32) -> TaskKey {
         TaskKey {
             job: self.job,
@@ -75,49 +75,49 @@
     }
 }
 
-/// How far a task is.
+/// Progress of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Waits for a start.
+    /// The task waits for a start.
     #[default]
     #[serde(rename = "w")]
     Waiting,
-    /// Given to a worker; it may be running there.
+    /// The task was given to this worker and may be running.
     #[serde(rename = "p")]
     Placed(Name),
-    /// Ended well.
+    /// The task has completed.
     #[serde(rename = "d")]
     Done,
 }
 
-/// State of one task.
+/// Stored state of one task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
-    /// How far it is.
+    /// Progress of the task.
     #[serde(rename = "p")]
     pub phase: Phase,
-    /// Start of the worker that it was last given to, where that told it.
+    /// Boot time of the worker that the task was last given to, if that worker reports one.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub boot: BootTime,
     /// Number of the last run; 0 before the first.
     #[serde(rename = "r", default)]
     pub run: u32,
-    /// Runs that ended as failed.
+    /// Number of failed runs.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub failures: u32,
     /// Last checkpoint; empty for none.
     #[serde(rename = "s", default, skip_serializing_if = "is_empty")]
     pub checkpoint: Name,
-    /// Workers that have certainly crashed under it.
+    /// Number of workers that have certainly crashed while they ran the task.
     #[serde(rename = "c", default, skip_serializing_if = "is_zero")]
     pub crashes: u32,
-    /// Workers that may have crashed under it, by its start.
+    /// Number of workers that may have crashed while they ran or started the task.
     #[serde(rename = "l", default, skip_serializing_if = "is_zero")]
     pub losses: u32,
-    /// Workers that went under it at once with many others.
+    /// Number of workers that were lost with the task at the same time as many others.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
     pub outages: u32,
-    /// True when it may have caused the last of these.
+    /// True when the task may have caused the last of these losses.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub suspect: bool,
 }
@@ -130,22 +130,22 @@
     text.is_empty()
 }
 
-/// Whether a job goes on.
+/// Outcome of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It goes on.
+    /// The job is not finished.
     #[default]
     Open,
-    /// All its tasks are done.
+    /// All tasks are done.
     Completed,
-    /// A task failed too often.
+    /// A task has failed too often.
     Failed,
-    /// Its caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
 impl Outcome {
-    /// Returns what callers are shown; `begun` once a task has.
+    /// Returns the state that callers are told; `begun` is true once a task has begun.
     pub fn state(self, begun: bool) -> JobState {
         match self {
             Self::Completed => JobState::Completed,
@@ -157,25 +157,25 @@
     }
 }
 
-/// The row of a job, written anew with each change.
+/// The row of a job in the store, replaced with each change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRow {
-    /// Queue as it was when the job was accepted.
+    /// Queue as configured when the job was accepted.
     pub queue: Queue,
-    /// Milliseconds since the Unix epoch of its acceptance.
+    /// When the job was accepted, in milliseconds since the Unix epoch.
     pub accepted: Millis,
-    /// Whether it goes on.
+    /// Outcome of the job.
     pub outcome: Outcome,
-    /// Milliseconds since the Unix epoch of its end; 0 while it is open.
+    /// When the job ended, in milliseconds since the Unix epoch; 0 while it is open.
     pub ended: Millis,
-    /// True once a worker has begun one of its tasks; written with the next change.
+    /// True once a worker has begun a task. Stored with the next other change.
     #[serde(default)]
     pub begun: bool,
     /// Tasks by round, step and index.
     pub rounds: Vec<Vec<Vec<Task>>>,
 }
 
-/// What callers are shown of a job.
+/// State of a job as callers are told it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
     /// No task has begun.
@@ -184,33 +184,33 @@
     Running,
     /// All tasks are done.
     Completed,
-    /// Given up after failures.
+    /// A task has failed too often.
     Failed,
-    /// Cancelled.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
-/// A job at its owner.
+/// A job as its owner holds it.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Id chosen by the caller.
     pub id: Name,
-    /// What was asked for.
+    /// Description given by the caller.
     pub spec: std::sync::Arc<JobSpec>,
-    /// State as the owner knows it.
+    /// Current state, which may be newer than the one in the store.
     pub row: JobRow,
-    /// The outcome that the store is known to hold; callers are shown only this.
+    /// Outcome that the store is known to have; callers are told only this one.
     pub stored_outcome: Outcome,
-    /// The outcome in the commit that was built last.
+    /// Outcome in the latest commit.
     pub sent_outcome: Outcome,
-    /// True once the store is known to hold the job.
+    /// True once the store is known to have the job.
     pub stored: bool,
-    /// True when the commit that was built last puts its small row in place of these.
+    /// True when the latest commit replaces the job's rows by a small row of the history.
     pub archived: bool,
 }
 
 impl Job {
-    /// Returns a job that was just handed in.
+    /// Returns a job that was just submitted.
     pub fn new(id: Name, spec: JobSpec, queue: Queue, accepted: Millis) -> Self {
         let mut job = Self {
             id,
@@ -254,7 +254,7 @@
             .push(self.spec.steps.iter().map(tasks).collect());
     }
 
-    /// Adds the rounds of a scheduled job that are due; true when there was one.
+    /// Adds the rounds of a scheduled job that are due. Returns true when there were any.
     pub fn add_due_rounds(&mut self, wall: Millis) -> bool {
         let Some(schedule) = self.spec.schedule else {
             return false;
@@ -270,12 +270,12 @@
         self.row.rounds.len() > before
     }
 
-    /// Returns true while the job goes on.
+    /// Returns true while the job is not finished.
     pub fn is_open(&self) -> bool {
         self.row.outcome == Outcome::Open
     }
 
-    /// Returns a task.
+    /// Returns the state of a task.
     pub fn task(&self, key: TaskKey) -> Option<&Task> {
         let step = self
             .row
@@ -285,7 +285,7 @@
         step.get(key.index as usize)
     }
 
-    /// Returns a task for changing it.
+    /// Returns the state of a task, mutably.
     pub fn task_mut(&mut self, key: TaskKey) -> Option<&mut Task> {
         let round = self.row.rounds.get_mut(key.round as usize)?;
         round
@@ -298,27 +298,28 @@
         &self.spec.steps[key.step as usize]
     }
 
-    /// Returns the name of a task on its workers.
+    /// Returns the name by which workers know a task.
     pub fn task_name(&self, key: TaskKey) -> String {
         format!("{}.{}.{}.{}", self.id, key.round, key.step, key.index)
     }
 
-    /// Returns the declared milliseconds of its longest chain of steps.
+    /// Returns the duration of the critical path by the declared estimates, in milliseconds.
     pub fn ideal_duration(&self) -> Millis {
         self.critical_path(|step| self.spec.steps[step].estimate)
     }
 
-    /// Returns the longest chain of steps, where `span` gives the time of each.
-    pub fn critical_path(&self, span: impl Fn(usize) -> Millis) -> Millis {
+    /// Returns the duration of the longest chain of dependent steps, where `duration` returns
+    /// that of a step by its index.
+    pub fn critical_path(&self, duration: impl Fn(usize) -> Millis) -> Millis {
         let mut ends: Vec<Millis> = Vec::with_capacity(self.spec.steps.len());
-        for (place, step) in self.spec.steps.iter().enumerate() {
-            let start = step.depends_on.iter().filter_map(|a| ends.get(*a)).max();
-            ends.push(start.copied().unwrap_or(0) + span(place));
+        for (index, step) in self.spec.steps.iter().enumerate() {
+            let start = step.depends_on.iter().filter_map(|d| ends.get(*d)).max();
+            ends.push(start.copied().unwrap_or(0) + duration(index));
         }
         ends.into_iter().max().unwrap_or(0)
     }
 
-    /// Returns true when all steps that a step waits for are done.
+    /// Returns true when all steps that a step depends on are done.
     pub fn dependencies_done(&self, round: usize, step: usize) -> bool {
         let steps = &self.row.rounds[round];
         let done = |s: &usize| steps[*s].iter().all(|t| t.phase == Phase::Done);
@@ -332,7 +333,7 @@
         self.row.rounds.len() >= rounds && tasks.all(|t| t.phase == Phase::Done)
     }
 
-    /// Returns all tasks with their keys; `number` is the job's number.
+    /// Returns all tasks with their keys, where `number` is that of the job.
     pub fn tasks(&self, number: u32) -> impl Iterator<Item = (TaskKey, &Task)> {
         let rounds = self.row.rounds.iter().enumerate();
         rounds.flat_map(move |(round, steps)| {
@@ -350,13 +351,13 @@
         })
     }
 
-    /// Returns what callers are shown, which is never ahead of the store.
+    /// Returns the state that callers are told. Its outcome is never ahead of the store.
     pub fn state(&self) -> JobState {
         self.stored_outcome.state(self.row.begun)
     }
 }
 
-/// Splits the name of a task into the job's id, round, step and index.
+/// Parses the name of a task into the job's id, round, step and index.
 pub fn parse_task_name(name: &str) -> Option<(&str, u32, u32, u32)> {
     let mut parts = name.rsplitn(4, '.');
     let index = parts.next()?.parse().ok()?;
--- a/src/sched/placement.rs
+++ b/src/sched/placement.rs
@@ -1,4 +1,4 @@
-//! A task that was given to a worker, and how far it is there.
+//! A task that was placed on a worker: its stage, resources and speed.
 
 use super::breaches::Breach;
 use super::incarnation::BootTime;
@@ -7,52 +7,52 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// How far a placed task is on its worker.
+/// Stage of a placed task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The owner before placed it, and may have started it or not: any report
-    /// of the worker tells.
+    /// An earlier owner placed the task and may have started it. The next report of the worker
+    /// tells which.
     Inherited,
-    /// Its placement is not known to be in the store; nothing was sent.
+    /// The store has not confirmed the placement; no start was sent.
     Recording,
     /// The start was sent and has no answer yet.
     Starting,
-    /// The worker confirmed it at this time.
+    /// The worker confirmed the run at this time.
     Running(Millis),
-    /// It may be running or be started late: a stop is needed to know.
+    /// The task may be running or may still be started: only a stop tells.
     Doubt,
-    /// A stop was answered at this time; a later report tells how it ended.
+    /// A stop was answered at this time; a later report tells how the run ended.
     Stopped(Millis),
     /// A stop of a running task was sent at this time.
     Stopping(Millis),
 }
 
-/// A task that was given to a worker.
+/// A task that was placed on a worker.
 #[derive(Clone, Debug)]
 pub(super) struct Placement {
     /// Number of the run.
     pub run: u32,
-    /// How far it is.
+    /// Stage of the run.
     pub stage: Stage,
-    /// Start of the worker that it was given to, by the store.
+    /// Boot time of the worker that the task was given to, as stored.
     pub boot: BootTime,
-    /// Room that it holds.
+    /// Resources reserved for the task.
     pub resources: Resources,
-    /// Processor share that it would like beyond what it holds.
+    /// Thousandths of cores that the task can use without a reservation.
     pub unreserved_cpu: u64,
-    /// True when it serves users under a latency target.
+    /// True when the task has a latency target.
     pub serving: bool,
-    /// True when it takes what others leave.
+    /// True when no processors are reserved for the task.
     pub best_effort: bool,
-    /// True when it runs until its job is cancelled.
+    /// True when the task runs until its job is cancelled.
     pub lasting: bool,
-    /// Image that it runs; tasks of one image behave alike.
+    /// Image of the task; tasks of one image behave alike.
     pub image: Name,
-    /// Number of that image.
+    /// Number of the image in the interference model.
     pub image_number: ImageNumber,
-    /// Latency that a serving task must stay under, in milliseconds.
+    /// Tail latency that a serving task must stay under, in milliseconds; 0 for other tasks.
     pub latency_target: Millis,
-    /// Processor share at full speed.
+    /// Thousandths of cores at full speed.
     pub cpu: u64,
     /// Speed last ordered, in percent.
     pub speed: u32,
@@ -62,22 +62,22 @@
     pub throttled_at: Millis,
     /// True while a change of the speed has no answer.
     pub throttle_pending: bool,
-    /// When it was placed.
+    /// When the task was placed.
     pub placed_at: Millis,
-    /// When its worker first told that it runs.
+    /// When the worker first reported the run.
     pub confirmed_at: Option<Millis>,
-    /// True once a lasting task is at work.
+    /// True once a lasting task has reported that it is ready.
     pub at_work: bool,
-    /// Last gauge of a serving task.
+    /// Last measured load of a serving task.
     pub gauge: Option<Gauge>,
-    /// Processor share in use as reported last; of a filler.
+    /// Thousandths of cores that a best-effort task used by its last report.
     pub cpu_used: Option<u64>,
-    /// True while a crash of the worker would be laid to it alone.
+    /// True while a crash of the worker would be attributed to this task alone.
     pub suspect: bool,
 }
 
 impl Placement {
-    /// Takes in that its worker tells that it runs.
+    /// Records that the worker reported the run.
     pub fn confirm(&mut self, now: Millis) {
         self.confirmed_at.get_or_insert(now);
         if matches!(self.stage, Stage::Inherited | Stage::Starting) {
@@ -85,27 +85,27 @@
         }
     }
 
-    /// Returns true once its worker has confirmed it.
+    /// Returns true once the worker has confirmed the run.
     pub fn has_started(&self) -> bool {
         use Stage::{Running, Stopped, Stopping};
         matches!(self.stage, Running(_) | Stopping(_) | Stopped(_))
     }
 
-    /// Returns true while its worker has confirmed it and no stop was sent.
+    /// Returns true while the run is confirmed and no stop was sent.
     pub fn is_running(&self) -> bool {
         matches!(self.stage, Stage::Running(_))
     }
 }
 
-/// How busy a serving task was.
+/// Load of a serving task by its last report.
 #[derive(Clone, Debug)]
 pub(super) struct Gauge {
-    /// Busy share of its server, from 0 to 1.
+    /// Busy share of the task's server, from 0 to 1.
     pub busy: f64,
-    /// Its tail, in milliseconds.
+    /// Tail latency, in milliseconds.
     pub tail_latency: Millis,
     /// The ongoing breach of the latency target.
     pub breach: Option<Breach>,
-    /// The part of it that is its own load, as estimated.
+    /// Estimated part of `busy` that is the task's own load, without interference.
     pub own_load: f64,
 }
