--- a/src/cell.rs
+++ b/src/cell.rs
@@ -4,13 +4,13 @@
 //! One [`Cell`] counts the room of its workers in one place. It is plain
 //! state: events and the time go in, actions come out.
 
-mod lot;
 mod outcome;
 mod record;
 mod relief;
 mod requests;
 mod room;
 mod runs;
+mod shard;
 mod start;
 mod state;
 
@@ -18,10 +18,10 @@
 mod tests;
 
 pub use crate::harm::{Harm, Sample};
-pub use lot::{Live, Lot};
 pub use requests::{Ask, Class, Sent};
 pub use room::Worker;
 pub use runs::{Called, Report, Run, RunId, RunPhase, RunState};
+pub use shard::{Live, Lot};
 pub use state::{Asked, Cell, Exchange, Place, Quota, SyncResult, Times};
 
 use std::net::SocketAddr;
--- a/src/cell/outcome.rs
+++ b/src/cell/outcome.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::Action;
-use super::lot::{Live, Lot, Writing};
 use super::runs::{Called, Report, Run, RunId, RunPhase, RunState};
+use super::shard::{Live, Lot, Writing};
 use super::state::Cell;
 use crate::constants::WHOLE;
 use crate::invariant::{self, Rule};
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -1,7 +1,7 @@
 //! Records: the rows of changed lots, and what their writes settle.
 
 use super::Action;
-use super::lot::{Live, Writing, end_waiting};
+use super::shard::{Live, Writing, end_waiting};
 use super::state::Cell;
 use crate::job::Versioned;
 use crate::lease::Written;
--- a/src/cell/start.rs
+++ b/src/cell/start.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use super::lot::{Live, Lot};
 use super::relief::LOWEST;
 use super::room::Worker;
 use super::runs::{Run, RunPhase};
+use super::shard::{Live, Lot};
 use super::state::Cell;
 use super::{Action, Pick, Size};
 use crate::constants::WHOLE;
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-use super::lot::Lot;
 use super::requests::Queue;
 use super::room::Worker;
 use super::runs::{Report, Run, RunId, RunPhase};
+use super::shard::Lot;
 use super::{Action, Policy, Shape};
 use crate::harm::{Harm, Sample};
 use crate::utils::Name;
