--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -15,7 +15,7 @@
 };
 use willowpoint::config::{Config, EntryRow};
 use willowpoint::guard::{Guard, Memory};
-use willowpoint::job::{LotRow, Spec, TaskRow, Versioned};
+use willowpoint::job::{JobShardRow, Spec, TaskRow, Versioned};
 use willowpoint::proto;
 use willowpoint::route::{Load, Router};
 use willowpoint::utils::Name;
@@ -119,10 +119,10 @@
         request.encoded_len()
     );
     let points = [8, 64, 256].map(|n| {
-        let row = willowpoint::table::encode(&lot(n).row);
+        let row = willowpoint::table::encode(&shard(n).row);
         (n as f64, row.len() as f64)
     });
-    line("bytes: task in a lot's row", "B", &points);
+    line("bytes: task in a job shard's row", "B", &points);
     let points = [100, 500, 1_000].map(|n| {
         let entries = willowpoint::table::encode(&config(n));
         (n as f64, entries.len() as f64)
@@ -221,7 +221,7 @@
     let mut best = f64::MAX;
     for _ in 0..20 {
         let mut cell = cell(0, workers, 0);
-        cell.load(1_000, vec![lot(256)]);
+        cell.load(1_000, vec![shard(256)]);
         let start = Instant::now();
         let started = cell.start(1_000).len();
         best = best.min(start.elapsed().as_nanos() as f64 / started.max(1) as f64);
@@ -258,7 +258,7 @@
     cell.load(0, Vec::new());
     exchange(&mut cell, 1_000, 0);
     if runs > 0 {
-        cell.load(1_000, vec![lot(workers * runs)]);
+        cell.load(1_000, vec![shard(workers * runs)]);
         let mut started = cell.start(1_000);
         while !started.is_empty() {
             for action in started.drain(..) {
@@ -301,7 +301,7 @@
     }
 }
 
-fn lot(tasks: usize) -> Versioned {
+fn shard(tasks: usize) -> Versioned {
     let spec = Spec {
         id: "settlement-2026-11".into(),
         team: "ledger".into(),
@@ -318,7 +318,7 @@
     Versioned {
         key: "lot/hall-01/rack-001/settlement-2026-11.0".into(),
         version: 1,
-        row: LotRow {
+        row: JobShardRow {
             spec,
             submitted: 1,
             epoch: 0,
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -12,7 +12,7 @@
     Action, Ask, Asked, Called, Cell, Class, Exchange, Pick, Place, Policy, RunState, Sample, Sent,
     Shape, Size, SyncResult, Times,
 };
-use willowpoint::job::{LotRow, Spec, TaskRow, Versioned};
+use willowpoint::job::{JobShardRow, Spec, TaskRow, Versioned};
 use willowpoint::lease::Written;
 use willowpoint::standin::worker::state::{Active, Start, Sync, Task, Worker};
 use willowpoint::utils::Name;
@@ -165,7 +165,7 @@
         };
         let places: Vec<Place> = (0..WORKERS).map(place).collect();
         cell.places(&places, &Default::default());
-        cell.load(0, KINDS.iter().map(|k| lot(k)).collect());
+        cell.load(0, KINDS.iter().map(|k| shard(k)).collect());
         let shape = Shape {
             slots: SLOTS,
             connections: 64,
@@ -397,7 +397,7 @@
     worker.trim_start_matches('w').parse().unwrap_or(0)
 }
 
-fn lot(kind: &str) -> Versioned {
+fn shard(kind: &str) -> Versioned {
     let spec = Spec {
         id: format!("{kind}-1").into(),
         team: kind.into(),
@@ -414,7 +414,7 @@
     Versioned {
         key: format!("lot/h/r/{kind}-1.0").into(),
         version: 1,
-        row: LotRow {
+        row: JobShardRow {
             spec,
             submitted: 0,
             epoch: 0,
--- a/src/cell.rs
+++ b/src/cell.rs
@@ -21,7 +21,7 @@
 pub use requests::{Ask, Class, Sent};
 pub use room::Worker;
 pub use runs::{Called, Report, Run, RunId, RunPhase, RunState};
-pub use shard::{Live, Lot};
+pub use shard::{JobShard, Live};
 pub use state::{Asked, Cell, Exchange, Place, Quota, SyncResult, Times};
 
 use std::net::SocketAddr;
@@ -284,13 +284,13 @@
         /// Thousandths.
         share: u32,
     },
-    /// Write a lot's row.
+    /// Write a job shard's row.
     Write {
         /// Key of the row.
         key: Name,
         /// Version the row must have.
         expect: u64,
         /// New contents.
-        row: job::LotRow,
+        row: job::JobShardRow,
     },
 }
--- a/src/cell/outcome.rs
+++ b/src/cell/outcome.rs
@@ -4,7 +4,7 @@
 
 use super::Action;
 use super::runs::{Called, Report, Run, RunId, RunPhase, RunState};
-use super::shard::{Live, Lot, Writing};
+use super::shard::{JobShard, Live, Writing};
 use super::state::Cell;
 use crate::constants::WHOLE;
 use crate::invariant::{self, Rule};
@@ -65,7 +65,7 @@
             return Vec::new();
         };
         let cancelled = self
-            .lots
+            .shards
             .values()
             .any(|l| l.cancelled && l.row.spec.id == job);
         match cancelled {
@@ -77,26 +77,26 @@
     /// Puts a task back whose run never started.
     fn unstarted(&mut self, run: &Run) {
         let ended = self.uncount(run);
-        let Some((lot, index)) = ended else {
+        let Some((shard, index)) = ended else {
             return;
         };
-        lot.live[index] = Live::Waiting;
-        if lot.cancelled {
-            lot.live[index] = Live::Ended;
-            lot.row.tasks[index].phase = Phase::Cancelled;
-            lot.dirty = true;
+        shard.live[index] = Live::Waiting;
+        if shard.cancelled {
+            shard.live[index] = Live::Ended;
+            shard.row.tasks[index].phase = Phase::Cancelled;
+            shard.dirty = true;
         }
     }
 
     /// Takes a run out of its team's count; returns the task if it is its run.
-    fn uncount(&mut self, run: &Run) -> Option<(&mut Lot, usize)> {
-        let (lot, index) = self.task(&run.job, run.task)?;
-        let team = lot.row.spec.team.clone();
+    fn uncount(&mut self, run: &Run) -> Option<(&mut JobShard, usize)> {
+        let (shard, index) = self.task(&run.job, run.task)?;
+        let team = shard.row.spec.team.clone();
         if let Some(used) = self.teams.get_mut(&team) {
             *used = used.saturating_sub(u64::from(run.size.cores));
         }
-        let (lot, index) = self.task(&run.job, run.task).filter(|(_, i)| *i == index)?;
-        (lot.live[index] == Live::Running(run.id)).then_some((lot, index))
+        let (shard, index) = self.task(&run.job, run.task).filter(|(_, i)| *i == index)?;
+        (shard.live[index] == Live::Running(run.id)).then_some((shard, index))
     }
 
     /// Takes in how a stop ended.
@@ -123,17 +123,17 @@
     /// Takes in that a run has ended; its task's row is changed and written.
     pub fn end(&mut self, now: Millis, name: &Name, run: &Run, state: RunState, kept: Millis) {
         let failures = self.policy.failures;
-        let Some((lot, index)) = self.uncount(run) else {
+        let Some((shard, index)) = self.uncount(run) else {
             return;
         };
-        let task = &mut lot.row.tasks[index];
-        let cancelled = lot.cancelled;
+        let task = &mut shard.row.tasks[index];
+        let cancelled = shard.cancelled;
         match state {
             RunState::Finished => task.phase = Phase::Done,
             _ if cancelled => task.phase = Phase::Cancelled,
             RunState::Failed => {
                 task.failures += 1;
-                lot.shunned.insert(index, name.clone());
+                shard.shunned.insert(index, name.clone());
                 if task.failures >= failures {
                     task.phase = Phase::Failed;
                 }
@@ -143,12 +143,12 @@
                 task.saved = task.saved.max(kept);
             }
         }
-        lot.live[index] = match task.phase {
+        shard.live[index] = match task.phase {
             Phase::Open => Live::Recording,
             _ => Live::Ended,
         };
-        lot.dirty = true;
-        lot.acks.push((name.clone(), run.id));
+        shard.dirty = true;
+        shard.acks.push((name.clone(), run.id));
         let job = run.job.clone();
         match state {
             RunState::Finished => self.succeeded(name),
@@ -189,9 +189,9 @@
         worker.quarantines += 1;
         let blamed = std::mem::take(&mut worker.failing);
         log::warn!(target: "cell", "{name} fails every task; in quarantine for {span} ms");
-        for lot in self.lots.values_mut() {
-            if blamed.contains(&lot.row.spec.id) {
-                forgive(lot, name);
+        for shard in self.shards.values_mut() {
+            if blamed.contains(&shard.row.spec.id) {
+                forgive(shard, name);
             }
         }
     }
@@ -234,16 +234,16 @@
 
     /// Ties a running run to its task, or stops it when it has none.
     fn adopt(&mut self, name: &Name, report: &Report, now: Millis) -> Option<Action> {
-        let Some((lot, index)) = self.task(&report.job, report.task) else {
+        let Some((shard, index)) = self.task(&report.job, report.task) else {
             return self.stop_once(name, report.id);
         };
-        match lot.live[index] {
+        match shard.live[index] {
             Live::Running(id) if id == report.id => None,
             Live::Held => {
-                lot.live[index] = Live::Running(report.id);
-                let team = lot.row.spec.team.clone();
-                let urgent = lot.row.spec.urgent;
-                let saved = lot.row.tasks[index].saved;
+                shard.live[index] = Live::Running(report.id);
+                let team = shard.row.spec.team.clone();
+                let urgent = shard.row.spec.urgent;
+                let saved = shard.row.tasks[index].saved;
                 *self.teams.entry(team).or_default() += u64::from(report.size.cores);
                 let worker = self.workers.get_mut(name)?;
                 worker.change(report.id, |r| {
@@ -276,25 +276,25 @@
 
     /// Takes in a worker's word on a run that has ended.
     fn settle_ended(&mut self, now: Millis, name: &Name, run: &Run, report: &Report) {
-        let Some((lot, index)) = self.task(&run.job, run.task) else {
+        let Some((shard, index)) = self.task(&run.job, run.task) else {
             return self.acknowledge(name, run.id);
         };
-        match lot.live[index] {
+        match shard.live[index] {
             Live::Running(id) if id == run.id => {
                 self.end(now, name, run, report.state, report.progress);
             }
             // A finished task is done, whichever of its runs finished it.
             Live::Held if report.state == RunState::Finished => {
-                lot.live[index] = Live::Running(run.id);
+                shard.live[index] = Live::Running(run.id);
                 self.end(now, name, run, report.state, report.progress);
             }
             // It may not be the last run of the task: its work is kept, and
             // the task is held on.
             Live::Held => {
-                let task = &mut lot.row.tasks[index];
+                let task = &mut shard.row.tasks[index];
                 task.saved = task.saved.max(report.progress);
-                lot.dirty = true;
-                lot.acks.push((name.clone(), run.id));
+                shard.dirty = true;
+                shard.acks.push((name.clone(), run.id));
             }
             _ => self.acknowledge(name, run.id),
         }
@@ -314,7 +314,7 @@
 
     fn awaits(&self, id: RunId) -> bool {
         let pending = |w: &Writing| w.acks.iter().any(|(_, r)| *r == id);
-        self.lots.values().any(|l| {
+        self.shards.values().any(|l| {
             l.acks.iter().any(|(_, r)| *r == id) || l.writing.as_ref().is_some_and(pending)
         })
     }
@@ -339,37 +339,37 @@
     /// Counts a young run that went without a word. A task that brings its workers down
     /// reports no failure, and would take one after the other.
     fn count_vanished(&mut self, run: &Run) {
-        let Some((lot, index)) = self.task(&run.job, run.task) else {
+        let Some((shard, index)) = self.task(&run.job, run.task) else {
             return;
         };
-        let count = lot.vanished.entry(index).or_insert(0);
+        let count = shard.vanished.entry(index).or_insert(0);
         *count += 1;
-        let task = &mut lot.row.tasks[index];
+        let task = &mut shard.row.tasks[index];
         if *count < VANISHED || task.phase != Phase::Open {
             return;
         }
         log::warn!(target: "cell", "{} {} is given up: {count} young runs went with their workers", run.job, run.task);
         task.phase = Phase::Failed;
-        lot.live[index] = Live::Ended;
-        lot.dirty = true;
+        shard.live[index] = Live::Ended;
+        shard.dirty = true;
     }
 }
 
 /// Takes back what a worker's own fault was counted for.
-fn forgive(lot: &mut Lot, name: &Name) {
-    let blamed: Vec<usize> = lot
+fn forgive(shard: &mut JobShard, name: &Name) {
+    let blamed: Vec<usize> = shard
         .shunned
         .iter()
         .filter(|(_, worker)| *worker == name)
         .map(|(index, _)| *index)
         .collect();
     for index in blamed {
-        let task = &mut lot.row.tasks[index];
+        let task = &mut shard.row.tasks[index];
         task.failures = task.failures.saturating_sub(1);
         if task.phase == Phase::Failed {
             continue;
         }
-        lot.dirty = true;
+        shard.dirty = true;
     }
 }
 
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -1,4 +1,4 @@
-//! Records: the rows of changed lots, and what their writes settle.
+//! Records: the rows of changed job shards, and what their writes settle.
 
 use super::Action;
 use super::shard::{Live, Writing, end_waiting};
@@ -8,62 +8,62 @@
 use crate::utils::Name;
 
 impl Cell {
-    /// Writes the rows of changed lots.
+    /// Writes the rows of changed job shards.
     pub fn flush(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.loaded {
             return actions;
         }
-        for (key, lot) in &mut self.lots {
-            if !lot.dirty || lot.writing.is_some() || lot.reread {
+        for (key, shard) in &mut self.shards {
+            if !shard.dirty || shard.writing.is_some() || shard.reread {
                 continue;
             }
-            lot.dirty = false;
-            lot.row.epoch = self.epoch;
-            lot.row.seq += 1;
-            let recorded = lot.live.iter().enumerate();
+            shard.dirty = false;
+            shard.row.epoch = self.epoch;
+            shard.row.seq += 1;
+            let recorded = shard.live.iter().enumerate();
             let recorded = recorded.filter(|(_, l)| **l == Live::Recording);
-            lot.writing = Some(Writing {
-                seq: lot.row.seq,
+            shard.writing = Some(Writing {
+                seq: shard.row.seq,
                 recorded: recorded.map(|(i, _)| i).collect(),
-                acks: std::mem::take(&mut lot.acks),
+                acks: std::mem::take(&mut shard.acks),
             });
             actions.push(Action::Write {
                 key: key.clone(),
-                expect: lot.version,
-                row: lot.row.clone(),
+                expect: shard.version,
+                row: shard.row.clone(),
             });
         }
         actions
     }
 
-    /// Takes in how the write of a lot's row ended.
+    /// Takes in how the write of a job shard's row ended.
     pub fn written(&mut self, key: &Name, written: Written) {
-        let Some(lot) = self.lots.get_mut(key) else {
+        let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
         match written {
             Written::Committed => {
-                lot.version += 1;
+                shard.version += 1;
                 self.recorded(key);
             }
             Written::NotSent => self.unwritten(key),
-            Written::Conflict | Written::Unknown => lot.reread = true,
+            Written::Conflict | Written::Unknown => shard.reread = true,
         }
     }
 
-    /// Takes in a lot's row as read after a write in doubt.
+    /// Takes in a job shard's row as read after a write in doubt.
     pub fn reread(&mut self, key: &Name, row: Option<&Versioned>) {
-        let Some(lot) = self.lots.get_mut(key) else {
+        let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
         let Some(versioned) = row else {
             return;
         };
-        lot.reread = false;
-        let seq = lot.writing.as_ref().map_or(0, |w| w.seq);
+        shard.reread = false;
+        let seq = shard.writing.as_ref().map_or(0, |w| w.seq);
         let ours = versioned.row.epoch == self.epoch && versioned.row.seq == seq;
-        lot.version = versioned.version;
+        shard.version = versioned.version;
         match ours {
             true => self.recorded(key),
             false => self.unwritten(key),
@@ -71,38 +71,38 @@
     }
 
     fn recorded(&mut self, key: &Name) {
-        let Some(lot) = self.lots.get_mut(key) else {
+        let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
-        let Some(writing) = lot.writing.take() else {
+        let Some(writing) = shard.writing.take() else {
             return;
         };
         for index in writing.recorded {
-            if lot.live[index] == Live::Recording {
-                lot.live[index] = Live::Waiting;
+            if shard.live[index] == Live::Recording {
+                shard.live[index] = Live::Waiting;
             }
         }
-        if lot.cancelled {
-            end_waiting(lot);
+        if shard.cancelled {
+            end_waiting(shard);
         }
-        let ended = lot.ended();
+        let ended = shard.ended();
         for (name, id) in writing.acks {
             if let Some(worker) = self.workers.get_mut(&name) {
                 worker.acks.push(id);
             }
         }
-        if ended && let Some(lot) = self.lots.remove(key) {
-            self.closed.insert(key.clone(), lot.version);
+        if ended && let Some(shard) = self.shards.remove(key) {
+            self.closed.insert(key.clone(), shard.version);
         }
     }
 
     fn unwritten(&mut self, key: &Name) {
-        let Some(lot) = self.lots.get_mut(key) else {
+        let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
-        if let Some(writing) = lot.writing.take() {
-            lot.acks.extend(writing.acks);
-            lot.dirty = true;
+        if let Some(writing) = shard.writing.take() {
+            shard.acks.extend(writing.acks);
+            shard.dirty = true;
         }
     }
 }
--- a/src/cell/shard.rs
+++ b/src/cell/shard.rs
@@ -1,4 +1,4 @@
-//! Lots: the tasks of a job that lie in a cell, and where each of them is.
+//! Job shards: the tasks of a job that lie in a cell, and where each of them is.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use super::room::Worker;
 use super::runs::{Run, RunId};
 use super::state::{Cell, SILENT};
-use crate::job::{LotRow, Phase, Versioned};
+use crate::job::{JobShardRow, Phase, Versioned};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// What one write of a lot's row settles.
+/// What one write of a job shard's row settles.
 #[derive(Clone, Debug)]
 pub(super) struct Writing {
     pub(super) seq: u64,
@@ -48,13 +48,13 @@
     pub(super) acks: Vec<(Name, RunId)>,
 }
 
-/// A lot of the cell.
+/// A job shard of the cell.
 #[derive(Clone, Debug)]
-pub struct Lot {
+pub struct JobShard {
     /// Version of its row.
     pub version: u64,
     /// Its row as it is to be.
-    pub row: LotRow,
+    pub row: JobShardRow,
     /// Where each task is.
     pub live: Vec<Live>,
     /// True once its job was cancelled.
@@ -71,7 +71,7 @@
     pub(super) vanished: BTreeMap<usize, u32>,
 }
 
-impl Lot {
+impl JobShard {
     pub(super) fn new(now: Millis, versioned: Versioned, fresh: bool) -> Self {
         let start = |phase| match phase {
             Phase::Open if fresh => Live::Waiting,
@@ -116,23 +116,23 @@
 }
 
 impl Cell {
-    /// Takes in the lots of the cell as read after it was won.
-    pub fn load(&mut self, now: Millis, lots: Vec<Versioned>) {
+    /// Takes in the job shards of the cell as read after it was won.
+    pub fn load(&mut self, now: Millis, shards: Vec<Versioned>) {
         // Nothing of an earlier owner can be running where there was none.
         let fresh = self.epoch == 1;
-        for versioned in lots {
+        for versioned in shards {
             self.add(now, versioned, fresh);
         }
         self.loaded = true;
         self.read = now;
     }
 
-    /// Takes in a lot that was read later: new, or known already.
+    /// Takes in a job shard that was read later: new, or known already.
     pub fn offer(&mut self, now: Millis, versioned: Versioned) {
-        // A read that is older than the end of a lot must not bring it back.
+        // A read that is older than the end of a job shard must not bring it back.
         let closed = self.closed.get(&versioned.key);
         let old = closed.is_some_and(|version| versioned.version <= *version);
-        if old || self.lots.contains_key(&versioned.key) || !self.loaded {
+        if old || self.shards.contains_key(&versioned.key) || !self.loaded {
             return;
         }
         // Another owner's mark means that it may have been started before.
@@ -142,9 +142,9 @@
 
     pub(super) fn add(&mut self, now: Millis, versioned: Versioned, fresh: bool) {
         let key = versioned.key.clone();
-        let lot = Lot::new(now, versioned, fresh);
-        if !lot.ended() {
-            self.lots.entry(key).or_insert(lot);
+        let shard = JobShard::new(now, versioned, fresh);
+        if !shard.ended() {
+            self.shards.entry(key).or_insert(shard);
         }
     }
 
@@ -160,12 +160,12 @@
 
     /// Cancels the tasks of some jobs; what runs is stopped.
     pub fn cancel(&mut self, jobs: &[Name]) -> Vec<Action> {
-        for lot in self.lots.values_mut() {
-            if !jobs.contains(&lot.row.spec.id) || lot.cancelled {
+        for shard in self.shards.values_mut() {
+            if !jobs.contains(&shard.row.spec.id) || shard.cancelled {
                 continue;
             }
-            lot.cancelled = true;
-            end_waiting(lot);
+            shard.cancelled = true;
+            end_waiting(shard);
         }
         let mut stops = Vec::new();
         for worker in self.workers.values() {
@@ -182,7 +182,7 @@
     ///
     /// A start that it sent may lie unread before a worker that stands still,
     /// so every listed worker must have answered, and some time ago. What it
-    /// told before the lots were read is told again by its next answer.
+    /// told before the job shards were read is told again by its next answer.
     pub fn unhold(&mut self, now: Millis) {
         let since = self.read + self.times.sync * SILENT;
         let told = |w: &Worker| w.known && w.trusted >= since && now > w.awake + self.margin;
@@ -190,38 +190,38 @@
         if now < self.hold || !self.loaded || !self.workers.values().all(settled) {
             return;
         }
-        for lot in self.lots.values_mut() {
+        for shard in self.shards.values_mut() {
             // Work that a worker told of is recorded before it is resumed.
-            if !lot.quiet() {
+            if !shard.quiet() {
                 continue;
             }
-            for live in &mut lot.live {
+            for live in &mut shard.live {
                 if *live == Live::Held {
                     *live = Live::Waiting;
                 }
             }
-            if lot.cancelled {
-                end_waiting(lot);
+            if shard.cancelled {
+                end_waiting(shard);
             }
         }
     }
 
-    /// Returns the lot of a task and its place in there.
-    pub(super) fn task(&mut self, job: &Name, task: u32) -> Option<(&mut Lot, usize)> {
-        let holds = |l: &&mut Lot| l.row.spec.id == *job && l.index(task).is_some();
-        let lot = self.lots.values_mut().find(holds)?;
-        let index = lot.index(task)?;
-        Some((lot, index))
+    /// Returns the job shard of a task and its place in there.
+    pub(super) fn task(&mut self, job: &Name, task: u32) -> Option<(&mut JobShard, usize)> {
+        let holds = |l: &&mut JobShard| l.row.spec.id == *job && l.index(task).is_some();
+        let shard = self.shards.values_mut().find(holds)?;
+        let index = shard.index(task)?;
+        Some((shard, index))
     }
 }
 
-/// Ends the waiting tasks of a lot whose job was cancelled.
-pub(super) fn end_waiting(lot: &mut Lot) {
-    for (index, live) in lot.live.iter_mut().enumerate() {
+/// Ends the waiting tasks of a job shard whose job was cancelled.
+pub(super) fn end_waiting(shard: &mut JobShard) {
+    for (index, live) in shard.live.iter_mut().enumerate() {
         if *live == Live::Waiting {
             *live = Live::Ended;
-            lot.row.tasks[index].phase = Phase::Cancelled;
-            lot.dirty = true;
+            shard.row.tasks[index].phase = Phase::Cancelled;
+            shard.dirty = true;
         }
     }
 }
--- a/src/cell/start.rs
+++ b/src/cell/start.rs
@@ -5,7 +5,7 @@
 use super::relief::LOWEST;
 use super::room::Worker;
 use super::runs::{Run, RunPhase};
-use super::shard::{Live, Lot};
+use super::shard::{JobShard, Live};
 use super::state::Cell;
 use super::{Action, Pick, Size};
 use crate::constants::WHOLE;
@@ -57,31 +57,31 @@
         actions
     }
 
-    /// Returns the lot whose task is to start next: urgent ones first, then
+    /// Returns the job shard whose task is to start next: urgent ones first, then
     /// the team with the least of its quota in use, then the oldest.
     fn next(&self, passed: &BTreeSet<Name>) -> Option<Name> {
         let ready = self
-            .lots
+            .shards
             .iter()
-            .filter(|(key, lot)| !passed.contains(*key) && lot.live.contains(&Live::Waiting))
-            .filter(|(_, lot)| self.within_quota(lot));
-        let rank = |(key, lot): &(&Name, &Lot)| {
-            let team = &lot.row.spec.team;
+            .filter(|(key, shard)| !passed.contains(*key) && shard.live.contains(&Live::Waiting))
+            .filter(|(_, shard)| self.within_quota(shard));
+        let rank = |(key, shard): &(&Name, &JobShard)| {
+            let team = &shard.row.spec.team;
             let used = self.teams.get(team).copied().unwrap_or(0);
             let weight = self.weight(team);
             let share = (used as f64 / weight * 1_000.0) as u64;
             (
-                !lot.row.spec.urgent,
+                !shard.row.spec.urgent,
                 share,
-                lot.row.submitted,
+                shard.row.submitted,
                 (*key).clone(),
             )
         };
         ready.min_by_key(rank).map(|(key, _)| key.clone())
     }
 
-    fn within_quota(&self, lot: &Lot) -> bool {
-        let spec = &lot.row.spec;
+    fn within_quota(&self, shard: &JobShard) -> bool {
+        let spec = &shard.row.spec;
         let Some(quota) = self.quotas.get(&spec.team) else {
             return true;
         };
@@ -98,18 +98,18 @@
     }
 
     fn start_one(&mut self, now: Millis, key: &Name) -> Option<Action> {
-        let lot = self.lots.get(key)?;
-        let index = lot.live.iter().position(|l| *l == Live::Waiting)?;
-        let spec = lot.row.spec.clone();
+        let shard = self.shards.get(key)?;
+        let index = shard.live.iter().position(|l| *l == Live::Waiting)?;
+        let spec = shard.row.spec.clone();
         let size = self.corrected(&spec.kind, spec.size);
-        let shunned = lot.shunned.get(&index).cloned();
-        let saved = lot.row.tasks[index].saved;
-        let task = lot.row.tasks[index].index;
+        let shunned = shard.shunned.get(&index).cloned();
+        let saved = shard.row.tasks[index].saved;
+        let task = shard.row.tasks[index].index;
         let wanted = Wanted {
             kind: &spec.kind,
             size,
             urgent: spec.urgent,
-            starved: now >= lot.since + STARVED,
+            starved: now >= shard.since + STARVED,
             shunned,
         };
         let (name, share) = self.place(now, wanted)?;
@@ -140,9 +140,9 @@
         invariant::check(worker.within(), Rule::Room, || format!("start on {name}"));
         let rpc = worker.rpc;
         *self.teams.entry(spec.team.clone()).or_default() += u64::from(size.cores);
-        if let Some(lot) = self.lots.get_mut(key) {
-            lot.since = now;
-            let before = std::mem::replace(&mut lot.live[index], Live::Running(id));
+        if let Some(shard) = self.shards.get_mut(key) {
+            shard.since = now;
+            let before = std::mem::replace(&mut shard.live[index], Live::Running(id));
             invariant::check(before == Live::Waiting, Rule::Resume, || {
                 format!("{key} {task}")
             });
@@ -165,8 +165,8 @@
 
     /// Makes room for urgent work: the run whose stop loses least yields.
     fn start_urgent(&mut self, now: Millis, key: &Name) -> Option<Action> {
-        let lot = self.lots.get(key)?;
-        let spec = &lot.row.spec;
+        let shard = self.shards.get(key)?;
+        let spec = &shard.row.spec;
         if !spec.urgent {
             return None;
         }
@@ -178,8 +178,8 @@
         if yielding {
             return None;
         }
-        let index = lot.live.iter().position(|l| *l == Live::Waiting)?;
-        let shunned = lot.shunned.get(&index);
+        let index = shard.live.iter().position(|l| *l == Live::Waiting)?;
+        let shunned = shard.shunned.get(&index);
         // Only where the urgent task could then run.
         let victims = self
             .workers
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -6,7 +6,7 @@
 use super::requests::Queue;
 use super::room::Worker;
 use super::runs::{Report, Run, RunId, RunPhase};
-use super::shard::Lot;
+use super::shard::JobShard;
 use super::{Action, Policy, Shape};
 use crate::harm::{Harm, Sample};
 use crate::utils::Name;
@@ -111,9 +111,9 @@
     pub part: f64,
     /// Workers by name.
     pub workers: BTreeMap<Name, Worker>,
-    /// Lots by key.
-    pub lots: BTreeMap<Name, Lot>,
-    /// Versions of the rows of lots that ended under this epoch.
+    /// Job shards by key.
+    pub shards: BTreeMap<Name, JobShard>,
+    /// Versions of the rows of job shards that ended under this epoch.
     pub closed: BTreeMap<Name, u64>,
     /// Tasks evicted under this epoch.
     pub evictions: u64,
@@ -135,7 +135,7 @@
     pub(super) counter: u64,
     pub(super) round: u64,
     pub(super) hold: Millis,
-    /// When the lots were read: what workers told before settled nothing.
+    /// When the job shards were read: what workers told before settled nothing.
     pub(super) read: Millis,
     pub(super) loaded: bool,
     pub(super) margin: Millis,
@@ -154,7 +154,7 @@
             quotas: BTreeMap::new(),
             part: 1.0,
             workers: BTreeMap::new(),
-            lots: BTreeMap::new(),
+            shards: BTreeMap::new(),
             closed: BTreeMap::new(),
             evictions: 0,
             finished: 0,
@@ -225,7 +225,7 @@
                 .into_iter()
                 .any(|p| p == RunPhase::Starting || p == RunPhase::Stopping)
         };
-        let journal = self.lots.values().all(Lot::quiet);
+        let journal = self.shards.values().all(JobShard::quiet);
         self.queue.len() == 0 && !sent && journal && !self.workers.values().any(calling)
     }
 
--- a/src/cell/tests.rs
+++ b/src/cell/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the decisions in one cell.
 
 use super::*;
-use crate::job::{LotRow, Spec, TaskRow, Versioned};
+use crate::job::{JobShardRow, Spec, TaskRow, Versioned};
 use crate::lease::Written;
 
 const SHAPE: Shape = Shape {
@@ -72,7 +72,7 @@
     }
 }
 
-fn lot(job: &str, tasks: u32, cores: u32) -> Versioned {
+fn shard(job: &str, tasks: u32, cores: u32) -> Versioned {
     let spec = Spec {
         id: job.into(),
         team: "t".into(),
@@ -89,7 +89,7 @@
     Versioned {
         key: format!("lot/h/r/{job}.0").into(),
         version: 1,
-        row: LotRow {
+        row: JobShardRow {
             spec,
             submitted: 0,
             epoch: 0,
@@ -206,7 +206,7 @@
 #[test]
 fn an_evicted_task_starts_again_only_after_its_end_is_recorded() {
     let mut cell = cell(1);
-    cell.offer(0, lot("j", 1, 1_000));
+    cell.offer(0, shard("j", 1, 1_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
     cell.started(15, &worker, run.id, Called::Done(0));
     cell.stopped(20, 20_000, &worker, run.id, Called::Done(700));
@@ -233,7 +233,7 @@
 /// back without it. Returns how often it was started.
 fn lose_runs(answered: Called) -> usize {
     let mut cell = cell(2);
-    cell.offer(0, lot("j", 1, 1_000));
+    cell.offer(0, shard("j", 1, 1_000));
     let mut count = 0;
     for now in (100..60_000).step_by(100) {
         for (worker, run) in starts(&cell.tick(now, now * 1_000)) {
@@ -263,7 +263,7 @@
 #[test]
 fn a_write_in_doubt_is_settled_by_reading_the_row() {
     let mut cell = cell(1);
-    cell.offer(0, lot("j", 1, 1_000));
+    cell.offer(0, shard("j", 1, 1_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
     cell.started(15, &worker, run.id, Called::Done(0));
     cell.stopped(20, 20_000, &worker, run.id, Called::Done(700));
@@ -286,7 +286,7 @@
 fn a_new_owner_holds_what_it_can_not_account_for() {
     let mut cell = Cell::new("h/r".into(), 2, 0, Policy::default(), TIMES);
     cell.places(&[place(0)], &Default::default());
-    let mut known = lot("j", 1, 1_000);
+    let mut known = shard("j", 1, 1_000);
     known.row.epoch = 1;
     cell.load(0, vec![known]);
     answer(&mut cell, 10, 0, shaped());
@@ -300,7 +300,7 @@
 #[test]
 fn a_start_in_doubt_on_a_silent_worker_is_not_repeated() {
     let mut cell = cell(2);
-    cell.offer(0, lot("j", 1, 1_000));
+    cell.offer(0, shard("j", 1, 1_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
     cell.started(15, &worker, run.id, Called::Lost);
     let other = if &*worker == "w0" { 1 } else { 0 };
@@ -313,7 +313,7 @@
 #[test]
 fn a_throttle_without_an_answer_never_lowers_what_is_counted() {
     let mut cell = cell(1);
-    cell.offer(0, lot("j", 1, 2_000));
+    cell.offer(0, shard("j", 1, 2_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
     cell.started(15, &worker, run.id, Called::Done(0));
     let before = cell.cores(20);
@@ -331,7 +331,7 @@
     answer(&mut cell, 10, 0, reply);
     let actions = cell.admit(20, 20_000, ask(1, Class::Critical, 1_000));
     assert!(matches!(actions[..], [Action::Refuse { .. }]));
-    cell.offer(20, lot("j", 1, 500));
+    cell.offer(20, shard("j", 1, 500));
     assert!(starts(&cell.tick(30, 30_000)).is_empty());
 }
 
@@ -373,7 +373,7 @@
 fn adopts_and_waits(begin: Millis, adopted: Millis) {
     let mut cell = Cell::new("h/r".into(), 2, begin, Policy::default(), TIMES);
     cell.places(&[place(0)], &Default::default());
-    let mut known = lot("j", 1, 1_000);
+    let mut known = shard("j", 1, 1_000);
     known.row.epoch = 1;
     let key = known.key.clone();
     cell.load(begin, vec![known]);
@@ -383,7 +383,7 @@
         job: "j".into(),
         task: 0,
         kind: "k".into(),
-        size: lot("j", 1, 1_000).row.spec.size,
+        size: shard("j", 1, 1_000).row.spec.size,
         state: RunState::Running,
         progress: 10,
         share: 1_000,
@@ -406,19 +406,19 @@
             asked(now),
             Exchange::NotSent,
         );
-        assert_eq!(cell.lots[&key].live, [Live::Running(1 << 32)], "at {now}");
+        assert_eq!(cell.shards[&key].live, [Live::Running(1 << 32)], "at {now}");
     }
 }
 
 #[test]
-fn what_was_reported_before_the_lots_were_read_is_not_started_again() {
+fn what_was_reported_before_the_job_shards_were_read_is_not_started_again() {
     let mut cell = Cell::new("h/r".into(), 2, 0, Policy::default(), TIMES);
     cell.places(&[place(0)], &Default::default());
     let late = TIMES.task + TIMES.margin + 500;
     for now in (0..late).step_by(100) {
         answer(&mut cell, now, 0, shaped());
     }
-    let mut known = lot("j", 1, 1_000);
+    let mut known = shard("j", 1, 1_000);
     known.row.epoch = 1;
     cell.load(late, vec![known]);
     assert!(starts(&cell.tick(late, late * 1_000)).is_empty());
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -242,9 +242,9 @@
     },
     /// A peer's whole configuration came, or not.
     Snapshot(Option<Config>),
-    /// New lots lie in cells, or jobs were cancelled.
+    /// New job shards lie in cells, or jobs were cancelled.
     Hint {
-        /// Cells with new lots.
+        /// Cells with new job shards.
         cells: Vec<Name>,
         /// Jobs that were cancelled.
         cancelled: Vec<Name>,
@@ -338,11 +338,11 @@
     },
     /// Ask a peer for its whole configuration.
     Snapshot(SocketAddr),
-    /// Tell another box of new lots or cancelled jobs.
+    /// Tell another box of new job shards or cancelled jobs.
     Hint {
         /// Its address.
         rpc: SocketAddr,
-        /// Cells with new lots.
+        /// Cells with new job shards.
         cells: Vec<Name>,
         /// Jobs that were cancelled.
         cancelled: Vec<Name>,
--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -9,7 +9,7 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds between two scans for lots that no hint told of.
+/// Milliseconds between two scans for job shards that no hint told of.
 const RESCAN: Millis = 10_000;
 
 impl Engine {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Reads the lots of cells again whose last scan is long ago.
+    /// Reads the job shards of cells again whose last scan is long ago.
     pub(super) fn rescan(&mut self, now: Now, out: &mut Vec<Action>) {
         let due: Vec<Name> = self
             .cells
@@ -199,7 +199,7 @@
             .collect();
         for cell in due {
             self.scanned.insert(cell.clone(), now.millis);
-            self.scan_lots(&cell, out);
+            self.scan_shards(&cell, out);
         }
     }
 }
--- a/src/engine/journal.rs
+++ b/src/engine/journal.rs
@@ -1,4 +1,4 @@
-//! Lots: how they are read, written in groups and cancelled.
+//! Job shards: how they are read, written in groups and cancelled.
 
 use super::owning::cell_key;
 use super::state::Engine;
@@ -11,13 +11,13 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Rows of lots in one commit.
+/// Rows of job shards in one commit.
 const GROUP: usize = 64;
-/// Milliseconds between two reads of the jobs that have open lots here.
+/// Milliseconds between two reads of the jobs that have open job shards here.
 const JOBS: Millis = 30_000;
 
 impl Engine {
-    /// Commits changed lots of all cells in one group.
+    /// Commits changed job shards of all cells in one group.
     pub(super) fn journal(&mut self, now: Now, out: &mut Vec<Action>) {
         if now.millis < self.flushed + self.setup.pace.journal {
             return;
@@ -25,21 +25,21 @@
         self.flushed = now.millis;
         self.reread(out);
         let mut ops = Vec::new();
-        let mut lots = Vec::new();
+        let mut shards = Vec::new();
         let names: Vec<Name> = self.cells.keys().cloned().collect();
         let first = self.next_op as usize % names.len().max(1);
         for name in names[first..].iter().chain(&names[..first]) {
-            if lots.len() >= GROUP {
+            if shards.len() >= GROUP {
                 break;
             }
-            self.gather(name, &mut ops, &mut lots);
+            self.gather(name, &mut ops, &mut shards);
         }
-        if !lots.is_empty() {
-            self.store(Purpose::Journal(lots), Call::Commit(ops), out);
+        if !shards.is_empty() {
+            self.store(Purpose::Journal(shards), Call::Commit(ops), out);
         }
     }
 
-    fn gather(&mut self, name: &Name, ops: &mut Vec<Op>, lots: &mut Vec<(Name, u64, Name)>) {
+    fn gather(&mut self, name: &Name, ops: &mut Vec<Op>, shards: &mut Vec<(Name, u64, Name)>) {
         let Some(version) = self.claims.version(name) else {
             return;
         };
@@ -47,15 +47,15 @@
             return;
         };
         let epoch = cell.epoch;
-        let before = lots.len();
+        let before = shards.len();
         for action in cell.flush() {
             let CellAction::Write { key, expect, row } = action else {
                 continue;
             };
             ops.push(Op::put(key.clone(), Expect::Version(expect), &row));
-            lots.push((name.clone(), epoch, key));
+            shards.push((name.clone(), epoch, key));
         }
-        if lots.len() > before {
+        if shards.len() > before {
             // An owner that was replaced writes nothing any more.
             ops.push(Op::keep(cell_key(name), Expect::Version(version)));
         }
@@ -66,28 +66,28 @@
         if pending {
             return;
         }
-        let mut lots = Vec::new();
+        let mut shards = Vec::new();
         for (name, cell) in &self.cells {
-            let doubted = cell.lots.iter().filter(|(_, l)| l.reread());
-            lots.extend(doubted.map(|(key, _)| (name.clone(), cell.epoch, key.clone())));
+            let doubted = cell.shards.iter().filter(|(_, l)| l.reread());
+            shards.extend(doubted.map(|(key, _)| (name.clone(), cell.epoch, key.clone())));
         }
-        if !lots.is_empty() {
-            let keys = lots.iter().map(|(_, _, key)| key.clone()).collect();
-            self.store(Purpose::Reread(lots), Call::Read(keys), out);
+        if !shards.is_empty() {
+            let keys = shards.iter().map(|(_, _, key)| key.clone()).collect();
+            self.store(Purpose::Reread(shards), Call::Read(keys), out);
         }
     }
 
-    pub(super) fn rereads(&mut self, lots: &[(Name, u64, Name)], outcome: &Outcome) {
+    pub(super) fn rereads(&mut self, shards: &[(Name, u64, Name)], outcome: &Outcome) {
         let Some(rows) = rows(outcome) else {
             return;
         };
-        for (name, epoch, key) in lots {
+        for (name, epoch, key) in shards {
             let row = rows.iter().find(|r| r.key == *key);
             let versioned = row.and_then(|row| {
-                decode(row).map(|lot| Versioned {
+                decode(row).map(|shard| Versioned {
                     key: key.clone(),
                     version: row.version,
-                    row: lot,
+                    row: shard,
                 })
             });
             if let Some(cell) = self.cells.get_mut(name).filter(|c| c.epoch == *epoch) {
@@ -96,24 +96,28 @@
         }
     }
 
-    pub(super) fn journaled(&mut self, lots: &[(Name, u64, Name)], written: Written) {
-        for (name, epoch, key) in lots {
+    pub(super) fn journaled(&mut self, shards: &[(Name, u64, Name)], written: Written) {
+        for (name, epoch, key) in shards {
             if let Some(cell) = self.cells.get_mut(name).filter(|c| c.epoch == *epoch) {
                 cell.written(key, written);
             }
         }
     }
 
-    /// Reads the lots of a cell.
-    pub(super) fn scan_lots(&mut self, cell: &Name, out: &mut Vec<Action>) {
+    /// Reads the job shards of a cell.
+    pub(super) fn scan_shards(&mut self, cell: &Name, out: &mut Vec<Action>) {
         let Some(epoch) = self.cells.get(cell).map(|c| c.epoch) else {
             return;
         };
-        let prefix = job::lot_prefix(cell).into();
-        self.store(Purpose::Lots(cell.clone(), epoch), Call::Scan(prefix), out);
+        let prefix = job::shard_key_prefix(cell).into();
+        self.store(
+            Purpose::Shards(cell.clone(), epoch),
+            Call::Scan(prefix),
+            out,
+        );
     }
 
-    pub(super) fn lots(
+    pub(super) fn shards(
         &mut self,
         now: Now,
         name: &Name,
@@ -125,14 +129,14 @@
             return;
         };
         let Some(rows) = rows(outcome) else {
-            // Without its lots a cell starts no task, so that is tried again.
-            return self.scan_lots(name, out);
+            // Without its job shards a cell starts no task, so that is tried again.
+            return self.scan_shards(name, out);
         };
         let versioned = rows.iter().filter_map(|row| {
-            decode(row).map(|lot| Versioned {
+            decode(row).map(|shard| Versioned {
                 key: row.key.clone(),
                 version: row.version,
-                row: lot,
+                row: shard,
             })
         });
         match self.scanned.contains_key(name) {
@@ -145,14 +149,14 @@
         }
     }
 
-    /// Reads whether the jobs of open lots were cancelled.
+    /// Reads whether the jobs of open job shards were cancelled.
     pub(super) fn check_jobs(&mut self, now: Now, out: &mut Vec<Action>) {
         if now.millis < self.checked + JOBS {
             return;
         }
         self.checked = now.millis;
-        let lots = self.cells.values().flat_map(|c| c.lots.values());
-        let open = lots.filter(|l| !l.cancelled);
+        let shards = self.cells.values().flat_map(|c| c.shards.values());
+        let open = shards.filter(|l| !l.cancelled);
         let mut keys: Vec<Name> = open.map(|l| job::key(&l.row.spec.id).into()).collect();
         keys.sort();
         keys.dedup();
@@ -187,7 +191,7 @@
         }
     }
 
-    /// Takes in that lots were added to cells or jobs were cancelled.
+    /// Takes in that job shards were added to cells or jobs were cancelled.
     pub(super) fn hint(
         &mut self,
         now: Now,
@@ -197,7 +201,7 @@
     ) {
         for cell in cells {
             if self.scanned.contains_key(&cell) {
-                self.scan_lots(&cell, out);
+                self.scan_shards(&cell, out);
             }
         }
         self.cancel(now, &cancelled, out);
--- a/src/engine/owning.rs
+++ b/src/engine/owning.rs
@@ -154,7 +154,7 @@
         won.places(&self.places, self.config.drained());
         self.cells.insert(cell.clone(), won);
         self.refresh();
-        self.scan_lots(&cell, out);
+        self.scan_shards(&cell, out);
     }
 
     /// Stops acting for a cell that is no longer owned.
--- a/src/engine/storing.rs
+++ b/src/engine/storing.rs
@@ -20,7 +20,7 @@
     Head,
     Entries(u64),
     Changes,
-    Lots(Name, u64),
+    Shards(Name, u64),
     Reread(Vec<(Name, u64, Name)>),
     Journal(Vec<(Name, u64, Name)>),
     Jobs,
@@ -87,9 +87,9 @@
             Purpose::Head => self.head(now, &outcome, out),
             Purpose::Entries(version) => self.entries(version, &outcome, out),
             Purpose::Changes => self.changes(&outcome),
-            Purpose::Lots(cell, epoch) => self.lots(now, &cell, epoch, &outcome, out),
-            Purpose::Reread(lots) => self.rereads(&lots, &outcome),
-            Purpose::Journal(lots) => self.journaled(&lots, written(&outcome)),
+            Purpose::Shards(cell, epoch) => self.shards(now, &cell, epoch, &outcome, out),
+            Purpose::Reread(shards) => self.rereads(&shards, &outcome),
+            Purpose::Journal(shards) => self.journaled(&shards, written(&outcome)),
             Purpose::Jobs => self.jobs(now, &outcome, out),
         }
     }
--- a/src/engine/views.rs
+++ b/src/engine/views.rs
@@ -20,7 +20,7 @@
     Workers,
     /// Running and waiting tasks of own cells, of one job or of all.
     Tasks(Option<Name>),
-    /// The cells that can take lots.
+    /// The cells that can take job shards.
     Sites,
     /// The configuration in force.
     Config,
@@ -109,7 +109,7 @@
     Workers(Vec<WorkerView>),
     /// Tasks of own cells.
     Tasks(Vec<TaskView>),
-    /// Cells that can take lots, with the address of the owner; none for own ones.
+    /// Cells that can take job shards, with the address of the owner; none for own ones.
     Sites(Vec<(Site, Option<SocketAddr>)>),
     /// The configuration in force.
     Config(Config),
@@ -212,14 +212,14 @@
 
 fn tasks(cell: &Cell, job: Option<&Name>) -> Vec<TaskView> {
     let mut views = Vec::new();
-    for lot in cell.lots.values() {
-        if job.is_some_and(|j| *j != lot.row.spec.id) {
+    for shard in cell.shards.values() {
+        if job.is_some_and(|j| *j != shard.row.spec.id) {
             continue;
         }
-        for (row, live) in lot.row.tasks.iter().zip(&lot.live) {
+        for (row, live) in shard.row.tasks.iter().zip(&shard.live) {
             let run = cell.run(live);
             views.push(TaskView {
-                job: lot.row.spec.id.clone(),
+                job: shard.row.spec.id.clone(),
                 task: row.index,
                 state: live.word(row.phase),
                 worker: run.map_or_else(|| "".into(), |(w, _)| w.name.clone()),
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -12,7 +12,7 @@
 use super::shell::{Context, Message};
 use crate::cell::Size;
 use crate::engine::{Event, Query, View};
-use crate::job::{self, JobRow, LotRow, Site, Spec};
+use crate::job::{self, JobRow, JobShardRow, Site, Spec};
 use crate::lease::Written;
 use crate::proto;
 use crate::table::{Call, Expect, Op, Outcome, decode};
@@ -57,11 +57,11 @@
             "no cell has an owner yet; nothing was submitted",
         ));
     }
-    let (row, lots) = job::spread(&spec, &sites, clock::wall())
+    let (row, shards) = job::spread(&spec, &sites, clock::wall())
         .map_err(|refusal| Status::failed_precondition(refusal.to_string()))?;
     let mut ops = vec![Op::put(job::key(&spec.id), Expect::Absent, &row)];
-    for (key, lot) in row.lots.iter().zip(&lots) {
-        ops.push(Op::put(key.clone(), Expect::Absent, lot));
+    for (key, shard) in row.shards.iter().zip(&shards) {
+        ops.push(Op::put(key.clone(), Expect::Absent, shard));
     }
     match commit(&context, ops).await {
         Written::Committed => {}
@@ -75,7 +75,7 @@
         Written::Unknown => return submitted_before(&context, &spec).await,
     }
     hint_owners(&context, &row, &owners);
-    Ok(reply(&row, &lots))
+    Ok(reply(&row, &shards))
 }
 
 async fn commit(context: &Context, ops: Vec<Op>) -> Written {
@@ -101,13 +101,13 @@
             "a job with this id and another content exists",
         ));
     }
-    let lots = lots(context, &row).await?;
-    Ok(reply(&row, &lots))
+    let shards = shards(context, &row).await?;
+    Ok(reply(&row, &shards))
 }
 
 fn hint_owners(context: &Rc<Context>, row: &JobRow, owners: &BTreeMap<Name, Option<SocketAddr>>) {
     let mut hints: BTreeMap<Option<SocketAddr>, Vec<Name>> = BTreeMap::new();
-    for cell in row.lots.iter().filter_map(|key| job::lot_cell(key)) {
+    for cell in row.shards.iter().filter_map(|key| job::shard_cell(key)) {
         if let Some(owner) = owners.get(cell) {
             hints.entry(*owner).or_default().push(cell.into());
         }
@@ -139,13 +139,13 @@
     }
 }
 
-async fn lots(context: &Context, row: &JobRow) -> Result<Vec<LotRow>, Status> {
-    let rows = read(context, row.lots.clone()).await?;
+async fn shards(context: &Context, row: &JobRow) -> Result<Vec<JobShardRow>, Status> {
+    let rows = read(context, row.shards.clone()).await?;
     Ok(rows.iter().filter_map(decode).collect())
 }
 
-fn reply(row: &JobRow, lots: &[LotRow]) -> proto::JobReply {
-    let summary = job::summarize(row, lots);
+fn reply(row: &JobRow, shards: &[JobShardRow]) -> proto::JobReply {
+    let summary = job::summarize(row, shards);
     let spec = &row.spec;
     proto::JobReply {
         spec: Some(proto::JobSpec {
@@ -171,8 +171,8 @@
 /// Returns the state of a job, with the tasks that run now.
 pub(super) async fn show(context: Rc<Context>, id: String) -> Result<proto::JobReply, Status> {
     let (row, _) = load(&context, &id).await?;
-    let lots = lots(&context, &row).await?;
-    let mut reply = reply(&row, &lots);
+    let shards = shards(&context, &row).await?;
+    let mut reply = reply(&row, &shards);
     let (tasks, _) = all_tasks(&context, Some(id.as_str().into()), false).await?;
     reply.running = tasks.iter().filter(|t| t.state == "running").count() as u32;
     Ok(reply)
@@ -199,8 +199,8 @@
         let Some(row) = decode::<JobRow>(row) else {
             continue;
         };
-        let lots = lots(&context, &row).await?;
-        jobs.push(reply(&row, &lots));
+        let shards = shards(&context, &row).await?;
+        jobs.push(reply(&row, &shards));
     }
     Ok(proto::ListJobsReply {
         jobs,
@@ -241,6 +241,6 @@
             hint(context, (!own).then_some(rpc), Vec::new(), ids.clone());
         }
     }
-    let lots = lots(context, &row).await?;
-    Ok(reply(&row, &lots))
+    let shards = shards(context, &row).await?;
+    Ok(reply(&row, &shards))
 }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -153,7 +153,7 @@
     serde_json::from_slice(&reply.config).ok()
 }
 
-/// Tells another box of new lots and cancelled jobs; without an answer it
+/// Tells another box of new job shards and cancelled jobs; without an answer it
 /// finds them by itself later.
 pub async fn hint(context: &Context, rpc: SocketAddr, cells: Vec<Name>, cancelled: Vec<Name>) {
     let message = proto::HintRequest {
--- a/src/job.rs
+++ b/src/job.rs
@@ -1,6 +1,6 @@
-//! Jobs, and the lots of tasks in which they are kept.
+//! Jobs, and the job shards in which their tasks are kept.
 //!
-//! A job has one row. Its tasks lie in lots, one row each; a lot belongs to
+//! A job has one row. Its tasks lie in job shards, one row each; a job shard belongs to
 //! one cell, and only the cell's owner writes it. What runs is never written:
 //! the workers know it.
 
@@ -19,12 +19,12 @@
 
 /// Prefix of the rows of jobs in the table.
 pub const PREFIX: &str = "job/";
-/// Prefix of the rows of lots; the cell and the lot's name follow.
-pub const LOT: &str = "lot/";
+/// Prefix of the rows of job shards; the cell and the job shard's name follow.
+pub const SHARD_PREFIX: &str = "lot/";
 /// Most tasks of one job.
 pub const TASK_LIMIT: u32 = 10_000;
-/// Most tasks of one lot, so that its row stays small.
-pub const LOT_LIMIT: u32 = 256;
+/// Most tasks of one job shard, so that its row stays small.
+pub const SHARD_TASK_LIMIT: u32 = 256;
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,8 +50,9 @@
 pub struct JobRow {
     /// What was asked for.
     pub spec: Spec,
-    /// Keys of its lots.
-    pub lots: Vec<Name>,
+    /// Keys of its job shards.
+    #[serde(rename = "lots")]
+    pub shards: Vec<Name>,
     /// True once an operator cancelled it.
     pub cancelled: bool,
     /// Milliseconds since the Unix epoch of its submission.
@@ -71,7 +72,7 @@
     Cancelled,
 }
 
-/// One task in a lot's row.
+/// One task in a job shard's row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRow {
     /// Number within the job.
@@ -99,9 +100,9 @@
     }
 }
 
-/// The row of a lot.
+/// The row of a job shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LotRow {
+pub struct JobShardRow {
     /// The job's specification.
     pub spec: Spec,
     /// Milliseconds since the Unix epoch of the job's submission.
@@ -114,7 +115,7 @@
     pub tasks: Vec<TaskRow>,
 }
 
-/// A lot's row with its version.
+/// A job shard's row with its version.
 #[derive(Clone, Debug)]
 pub struct Versioned {
     /// Key of the row.
@@ -122,7 +123,7 @@
     /// Version of the row.
     pub version: u64,
     /// Contents of the row.
-    pub row: LotRow,
+    pub row: JobShardRow,
 }
 
 /// Returns the key of a job's row.
@@ -130,19 +131,19 @@
     format!("{PREFIX}{id}")
 }
 
-/// Returns the key of a lot's row.
-pub fn lot_key(cell: &str, job: &str, number: usize) -> Name {
-    format!("{LOT}{cell}/{job}.{number}").into()
+/// Returns the key of a job shard's row.
+pub fn shard_key(cell: &str, job: &str, number: usize) -> Name {
+    format!("{SHARD_PREFIX}{cell}/{job}.{number}").into()
 }
 
-/// Returns the prefix of the keys of a cell's lots.
-pub fn lot_prefix(cell: &str) -> String {
-    format!("{LOT}{cell}/")
+/// Returns the prefix of the keys of a cell's job shards.
+pub fn shard_key_prefix(cell: &str) -> String {
+    format!("{SHARD_PREFIX}{cell}/")
 }
 
-/// Returns the cell that a lot's key names: `HALL/RACK`.
-pub fn lot_cell(key: &str) -> Option<&str> {
-    let rest = key.strip_prefix(LOT)?;
+/// Returns the cell that a job shard's key names: `HALL/RACK`.
+pub fn shard_cell(key: &str) -> Option<&str> {
+    let rest = key.strip_prefix(SHARD_PREFIX)?;
     let (cell, _) = rest.rsplit_once('/')?;
     Some(cell)
 }
--- a/src/job/plan.rs
+++ b/src/job/plan.rs
@@ -1,6 +1,6 @@
 //! How a job is checked, spread over cells and summed up.
 
-use super::{JobRow, LOT_LIMIT, LotRow, Phase, Spec, TASK_LIMIT, TaskRow, lot_key};
+use super::{JobRow, JobShardRow, Phase, SHARD_TASK_LIMIT, Spec, TASK_LIMIT, TaskRow, shard_key};
 use crate::cell::{Shape, Size};
 use crate::options::is_name;
 use crate::utils::Name;
@@ -9,7 +9,7 @@
 /// Fewest tasks for which a further cell is used.
 const CHUNK: u32 = 8;
 
-/// A cell that can take lots.
+/// A cell that can take job shards.
 #[derive(Clone, Debug)]
 pub struct Site {
     /// Name of the cell.
@@ -59,7 +59,11 @@
 }
 
 /// Spreads a job over cells by their free cores, or tells why it can't run.
-pub fn spread(spec: &Spec, sites: &[Site], now: Millis) -> Result<(JobRow, Vec<LotRow>), Refusal> {
+pub fn spread(
+    spec: &Spec,
+    sites: &[Site],
+    now: Millis,
+) -> Result<(JobRow, Vec<JobShardRow>), Refusal> {
     let findings = validate(spec);
     if !findings.is_empty() {
         return Err(Refusal::Invalid(findings));
@@ -75,33 +79,34 @@
     let wanted = spec
         .tasks
         .div_ceil(CHUNK)
-        .max(spec.tasks.div_ceil(LOT_LIMIT)) as usize;
+        .max(spec.tasks.div_ceil(SHARD_TASK_LIMIT)) as usize;
     let cells = &fitting[..wanted.min(fitting.len())];
     let total: u64 = cells.iter().map(|s| s.free + 1).sum();
     let mut row = JobRow {
         spec: spec.clone(),
-        lots: Vec::new(),
+        shards: Vec::new(),
         cancelled: false,
         submitted: now,
     };
-    let mut lots = Vec::new();
+    let mut shards = Vec::new();
     let mut next = 0;
     let mut weight = 0;
     for site in cells {
         weight += site.free + 1;
         let end = (u64::from(spec.tasks) * weight / total) as u32;
         while next < end {
-            let upto = end.min(next + LOT_LIMIT);
-            row.lots.push(lot_key(&site.cell, &spec.id, row.lots.len()));
-            lots.push(lot(spec, now, next..upto));
+            let upto = end.min(next + SHARD_TASK_LIMIT);
+            row.shards
+                .push(shard_key(&site.cell, &spec.id, row.shards.len()));
+            shards.push(shard(spec, now, next..upto));
             next = upto;
         }
     }
-    Ok((row, lots))
+    Ok((row, shards))
 }
 
-fn lot(spec: &Spec, now: Millis, indexes: std::ops::Range<u32>) -> LotRow {
-    LotRow {
+fn shard(spec: &Spec, now: Millis, indexes: std::ops::Range<u32>) -> JobShardRow {
+    JobShardRow {
         spec: spec.clone(),
         submitted: now,
         epoch: 0,
@@ -123,7 +128,7 @@
     format!("a task needs {size}, and the largest workers known have {max}")
 }
 
-/// A job summed up over its lots.
+/// A job summed up over its job shards.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
     /// `open`, `done`, `failed` or `cancelled`.
@@ -137,10 +142,10 @@
 }
 
 /// Sums up a job.
-pub fn summarize(job: &JobRow, lots: &[LotRow]) -> Summary {
+pub fn summarize(job: &JobRow, shards: &[JobShardRow]) -> Summary {
     let mut summary = Summary::default();
     let mut cancelled = 0;
-    for task in lots.iter().flat_map(|l| &l.tasks) {
+    for task in shards.iter().flat_map(|l| &l.tasks) {
         summary.evictions += task.evictions;
         match task.phase {
             Phase::Done => summary.done += 1,
--- a/src/job/tests.rs
+++ b/src/job/tests.rs
@@ -35,18 +35,22 @@
 }
 
 #[test]
-fn every_task_lies_in_exactly_one_lot() {
+fn every_task_lies_in_exactly_one_job_shard() {
     let sites = [site("h/a", 9_000), site("h/b", 1_000), site("h/c", 0)];
     for tasks in [1, 7, 8, 9, 100, 1_000] {
-        let (row, lots) = spread(&spec(tasks, 1_000), &sites, 5).expect("accepted");
-        let mut seen: Vec<u32> = lots
+        let (row, shards) = spread(&spec(tasks, 1_000), &sites, 5).expect("accepted");
+        let mut seen: Vec<u32> = shards
             .iter()
             .flat_map(|l| l.tasks.iter().map(|t| t.index))
             .collect();
         seen.sort();
         assert_eq!(seen, (0..tasks).collect::<Vec<_>>());
-        assert_eq!(row.lots.len(), lots.len());
-        assert!(lots.iter().all(|l| l.tasks.len() as u32 <= LOT_LIMIT));
+        assert_eq!(row.shards.len(), shards.len());
+        assert!(
+            shards
+                .iter()
+                .all(|l| l.tasks.len() as u32 <= SHARD_TASK_LIMIT)
+        );
     }
 }
 
@@ -67,7 +71,7 @@
 }
 
 #[test]
-fn the_cell_is_read_back_from_the_key_of_a_lot() {
-    let key = lot_key("leon-1/r1", "job.7", 3);
-    assert_eq!(lot_cell(&key), Some("leon-1/r1"));
+fn the_cell_is_read_back_from_the_key_of_a_job_shard() {
+    let key = shard_key("leon-1/r1", "job.7", 3);
+    assert_eq!(shard_cell(&key), Some("leon-1/r1"));
 }
--- a/tools/trial/src/world/ends.rs
+++ b/tools/trial/src/world/ends.rs
@@ -5,7 +5,7 @@
 };
 use willowpoint::engine::{Event, Greeting, Handed, Reported};
 use willowpoint::invariant::Rule;
-use willowpoint::job::{LotRow, Phase};
+use willowpoint::job::{JobShardRow, Phase};
 use willowpoint::lease::Written;
 use willowpoint::request::Meta;
 use willowpoint::standin::worker::state::{Active, Start, Sync, Task};
@@ -438,8 +438,10 @@
             format!("run {:x} starts twice", run.id)
         });
         let (rows, _) = self.table.scan("lot/", "", usize::MAX);
-        let lots = rows.iter().filter_map(decode::<LotRow>);
-        let mut tasks = lots.filter(|l| l.spec.id == run.job).flat_map(|l| l.tasks);
+        let shards = rows.iter().filter_map(decode::<JobShardRow>);
+        let mut tasks = shards
+            .filter(|l| l.spec.id == run.job)
+            .flat_map(|l| l.tasks);
         let row = tasks.find(|t| t.index == run.task);
         let fits = row
             .as_ref()
--- a/tools/trial/src/world/load.rs
+++ b/tools/trial/src/world/load.rs
@@ -6,7 +6,7 @@
 use willowpoint::config::{self, ChangeRow, Edit, Editor, Head, Refusal, Step};
 use willowpoint::engine::{Action, Event, Query, Verdict, View};
 use willowpoint::invariant::Rule;
-use willowpoint::job::{self, JobRow, LotRow, Site, Spec};
+use willowpoint::job::{self, JobRow, JobShardRow, Site, Spec};
 use willowpoint::lease::Written;
 use willowpoint::request::Meta;
 use willowpoint::table::{Call, Expect, Op, Outcome, decode};
@@ -264,27 +264,27 @@
             work: 200 + fault.span * 20,
             urgent,
         };
-        let Ok((row, lots)) = job::spread(&spec, &sites, EPOCH + self.now) else {
+        let Ok((row, shards)) = job::spread(&spec, &sites, EPOCH + self.now) else {
             return false;
         };
         let mut ops = vec![Op::put(job::key(&spec.id), Expect::Absent, &row)];
-        let rows = row.lots.iter().zip(&lots);
-        ops.extend(rows.map(|(key, lot)| Op::put(key.clone(), Expect::Absent, lot)));
+        let rows = row.shards.iter().zip(&shards);
+        ops.extend(rows.map(|(key, shard)| Op::put(key.clone(), Expect::Absent, shard)));
         if self.table.commit(&ops).is_err() {
             return false;
         }
         self.jobs.push(spec.id);
         let cells: Vec<Name> = row
-            .lots
+            .shards
             .iter()
-            .filter_map(|k| job::lot_cell(k))
+            .filter_map(|k| job::shard_cell(k))
             .map(Name::from)
             .collect();
         self.hint(cells, Vec::new());
         true
     }
 
-    /// Tells boxes of new lots or cancelled jobs; some are not reached.
+    /// Tells boxes of new job shards or cancelled jobs; some are not reached.
     fn hint(&mut self, cells: Vec<Name>, cancelled: Vec<Name>) {
         for node in 0..BOXES {
             if self.random.chance(0.2) {
@@ -403,9 +403,9 @@
                     .check(false, Rule::Resume, || format!("{id} is lost"));
                 continue;
             };
-            let rows = self.table.read(&row.lots);
-            let lots: Vec<LotRow> = rows.iter().filter_map(decode).collect();
-            let summary = job::summarize(&row, &lots);
+            let rows = self.table.read(&row.shards);
+            let shards: Vec<JobShardRow> = rows.iter().filter_map(decode).collect();
+            let summary = job::summarize(&row, &shards);
             let name = match summary.state {
                 "done" => "jobs done",
                 "failed" => "jobs failed",
