--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting tasks are placed.
+//! Computes the order in which waiting tasks are placed.
 
 use std::collections::HashMap;
 
@@ -7,123 +7,131 @@
 use super::spec::StepSpec;
 use crate::utils::clock::Millis;
 
-/// A job that takes more than this many times its aim is worth nothing.
+/// A job that takes more than this many times the time allowed for it has no value left.
 const WORTHLESS_FACTOR: Millis = 3;
 
-/// Milliseconds after which a lasting task that ran before goes before all
-/// others: the platform wants it to run again within 6 s of its last run, also
-/// while the workers are full, and a stop and a start take up to 1.5 s.
+/// Milliseconds after which a lasting task that has run before is placed before all others. The
+/// platform requires it to run again within 6 s of its last run, also on full workers, and a
+/// stop and a start take up to 1.5 s.
 const RESTART_OVERDUE: Millis = 1_500;
-/// Milliseconds after which a lasting task that never ran goes before all others:
-/// what it is worth does not lapse, unlike that of tasks that are due.
+/// Milliseconds after which a lasting task that has never run is placed before all others. It can
+/// wait longer, as its value does not lapse, unlike that of tasks with a due time.
 const FIRST_START_OVERDUE: Millis = 6_000;
 
-/// What a job can still earn.
+/// Whether a round of a job can still be on time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Prospect {
-    /// It can still be on time.
+    /// The round can still be on time.
     OnTime,
-    /// It can still be late.
+    /// The round will be late, but still has a value.
     Late,
-    /// It is worth nothing any more.
+    /// The round has no value left.
     Worthless,
 }
 
-/// Whether a task goes before others whatever its queue.
+/// Rank of a task before the priority of its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// Room was made for it, which would lie idle while others go first.
+    /// Resources are reserved for the task and would be idle while others are placed first.
     Reserved,
-    /// It should have started.
+    /// The task should already run.
     Overdue,
-    /// It waits its turn.
+    /// The task has no urgency.
     Usual,
 }
 
-/// Longest that runs of the longest chain take, in tenths of their declared time: the
-/// longest task of a step takes longer than the step's typical one, starts take their time,
-/// and fillers are slowed. Measured on busy days, 11 to 14.
+/// Longest time that the critical path takes, in tenths of its declared time. On busy days it
+/// takes 11 to 14: the longest task of a step takes longer than its typical one, starts take
+/// time, and best-effort tasks are throttled.
 const RUN_TIME_TENTHS: u64 = 14;
-/// Worth of a job of any size, as a part of that of a typical job of its queue; the rest
-/// grows with its work.
+/// Part of the value of a typical job of a queue that every job has; the rest is proportional to
+/// the job's work.
 const BASE_VALUE: f64 = 0.3;
-/// Part of a new job's work in what is taken for typical of its queue.
+/// Weight of a new job in the moving average of its queue's typical work.
 const TYPICAL_WORK_WEIGHT: f64 = 0.05;
 
-/// Place in the order: the urgency, the queue's priority, whether it lasts, what its job
-/// can still earn, the work left for that, when it is due, and whose turn it is.
+/// Sort key of an entry, lowest first: urgency, priority of the queue, whether the task is
+/// lasting, prospect, relative cost and due time of the round, and the entry itself.
 type Rank = (Urgency, u32, bool, Prospect, u64, Millis, OrderEntry);
 
-/// What a round of a job can still earn.
+/// What decides the rank of a round of a job.
 #[derive(Clone, Copy)]
 struct RoundValue {
     prospect: Prospect,
-    /// Work left for each part of its worth, in millionths of a typical job's work.
+    /// Remaining work divided by the value of the job, both relative to a typical job of the
+    /// queue, in millionths.
     relative_cost: u64,
-    /// When it is due, in milliseconds since the Unix epoch.
+    /// When the round is due, in milliseconds since the Unix epoch.
     due: Millis,
 }
 
-/// Whose turn it is to be placed.
+/// Waiting tasks that have one place in the order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum OrderEntry {
-    /// One task, which goes before or after others of its step.
+    /// A task that may rank differently from others of its step.
     Task(TaskKey),
-    /// All other waiting tasks of a step, as they rank alike.
+    /// All other waiting tasks of a step, as they rank the same.
     Step(StepKey),
 }
 
 impl Owner {
     /// Returns the waiting tasks in the order in which they should start.
     ///
-    /// Load pattern: a burst leaves many thousand tasks waiting, and each pass of placing
-    /// orders them. By steps, of which there are twenty times fewer, a pass over 14,000
-    /// tasks is cheap enough to follow the one before at once, and holds no start up where
-    /// there is room.
+    /// Tasks are ordered by step: a burst leaves many thousand tasks waiting, and each placement
+    /// pass orders them. There are twenty times fewer steps, so that a pass over 14,000 tasks is
+    /// cheap enough to follow the last one at once and delays no start on a free worker.
     pub(super) fn placement_order(&self) -> Vec<OrderEntry> {
-        let mut known: HashMap<(u32, u32), RoundValue> = HashMap::new();
+        let mut values: HashMap<(u32, u32), RoundValue> = HashMap::new();
         let mut last = None;
         let mut ranks: Vec<Rank> = Vec::new();
         for (key, since) in &self.ready {
-            let (step, promised) = (key.step_key(), self.reservations.contains_key(key));
-            if last == Some(step) && !promised {
+            let (step, reserved) = (key.step_key(), self.reservations.contains_key(key));
+            if last == Some(step) && !reserved {
                 continue;
             }
             let Some(job) = self.jobs.get(&key.job) else {
                 continue;
             };
-            let claim = || self.round_value(job, key.round as usize);
-            let claim = *known.entry((key.job, key.round)).or_insert_with(claim);
+            let compute = || self.round_value(job, key.round as usize);
+            let value = *values.entry((key.job, key.round)).or_insert_with(compute);
             let lasting = job.step(*key).lasting;
-            let urgency = match promised {
+            let urgency = match reserved {
                 true => Urgency::Reserved,
                 false if self.is_overdue(*key, *since) => Urgency::Overdue,
                 false => Urgency::Usual,
             };
-            let turn = match promised || lasting {
+            let entry = match reserved || lasting {
                 true => OrderEntry::Task(*key),
                 false => OrderEntry::Step(step),
             };
-            if turn == OrderEntry::Step(step) {
+            if entry == OrderEntry::Step(step) {
                 last = Some(step);
             }
             let priority = job.row.queue.priority;
             let RoundValue {
                 prospect,
-                relative_cost: price,
+                relative_cost,
                 due,
-            } = claim;
-            ranks.push((urgency, priority, lasting, prospect, price, due, turn));
+            } = value;
+            ranks.push((
+                urgency,
+                priority,
+                lasting,
+                prospect,
+                relative_cost,
+                due,
+                entry,
+            ));
         }
         ranks.sort_unstable();
         ranks.into_iter().map(|rank| rank.6).collect()
     }
 
-    /// Returns what a round of a job can still earn.
+    /// Returns the prospect, relative cost and due time of a round of a job.
     ///
-    /// Load pattern: more work than fits. By due time alone, everything ends just late: each
-    /// job is worked on until it can't be on time any more. By the work left for what it is
-    /// worth, what is nearly done ends, and less is begun in vain.
+    /// With more work than the workers can do, ordering by due time alone makes every job end
+    /// just late, as each is worked on until it can't be on time any more. Ordering by remaining
+    /// work per value finishes jobs that are nearly done and begins fewer that can't be on time.
     fn round_value(&self, job: &Job, round: usize) -> RoundValue {
         let (prospect, due) = prospect(job, round, self.now.wall);
         let queue = &job.row.queue.name;
@@ -133,17 +141,17 @@
             .copied()
             .unwrap_or(0.0)
             .max(1.0);
-        let worth = BASE_VALUE + (1.0 - BASE_VALUE) * round_work(job) / typical;
+        let value = BASE_VALUE + (1.0 - BASE_VALUE) * round_work(job) / typical;
         let left = remaining_work(job, round) / typical;
-        let price = (left / worth * 1e6) as u64;
+        let relative_cost = (left / value * 1e6) as u64;
         RoundValue {
             prospect,
-            relative_cost: price,
+            relative_cost,
             due,
         }
     }
 
-    /// Takes in the work of a job in what is typical of its queue.
+    /// Updates the typical work of a queue with that of a new job.
     pub(super) fn learn_typical_work(&mut self, number: u32) {
         let job = &self.jobs[&number];
         let work = round_work(job);
@@ -152,9 +160,9 @@
         *typical += (work - *typical) * TYPICAL_WORK_WEIGHT;
     }
 
-    /// Returns the waiting tasks that have a turn together.
-    pub(super) fn waiting_tasks(&self, turn: OrderEntry) -> Vec<TaskKey> {
-        let step = match turn {
+    /// Returns the waiting tasks of an entry of the order.
+    pub(super) fn waiting_tasks(&self, entry: OrderEntry) -> Vec<TaskKey> {
+        let step = match entry {
             OrderEntry::Task(key) => return vec![key],
             OrderEntry::Step(step) => step,
         };
@@ -165,8 +173,8 @@
             .collect()
     }
 
-    /// Returns true when a task that waits since then should have started,
-    /// whatever else waits: one of a job that lasts.
+    /// Returns true when a task that waits since `since` is lasting and should be placed before
+    /// all others.
     pub(super) fn is_overdue(&self, key: TaskKey, since: Millis) -> bool {
         let job = &self.jobs[&key.job];
         let wait = if self.interrupted.contains(&key) {
@@ -178,8 +186,8 @@
     }
 }
 
-/// Returns the declared work of one task of a step, in thousandths of cores times
-/// milliseconds; never 0, as tasks without either are work too.
+/// Returns the declared work of one task of a step, in thousandths of cores times milliseconds.
+/// It is never 0, as tasks that declare neither are work too.
 fn task_work(step: &StepSpec) -> f64 {
     step.resources.cpu.max(1) as f64 * step.estimate.max(1) as f64
 }
@@ -200,24 +208,25 @@
     left.sum()
 }
 
-/// Returns what a round of a job can still earn, and when it is due.
+/// Returns the prospect of a round of a job, and when the round is due.
 pub(super) fn prospect(job: &Job, round: usize, wall: Millis) -> (Prospect, Millis) {
     let queue = &job.row.queue;
     let start = match job.spec.schedule {
         Some(schedule) => schedule.first + schedule.interval * round as u64,
         None => job.row.accepted,
     };
-    let aim = queue.slack + job.ideal_duration() * u64::from(queue.stretch) / 1_000;
+    let allowed = queue.slack + job.ideal_duration() * u64::from(queue.stretch) / 1_000;
     let end = wall + remaining_duration(job, round) * RUN_TIME_TENTHS / 10;
     let prospect = match end {
-        _ if end <= start + aim => Prospect::OnTime,
-        _ if end <= start + aim * WORTHLESS_FACTOR => Prospect::Late,
+        _ if end <= start + allowed => Prospect::OnTime,
+        _ if end <= start + allowed * WORTHLESS_FACTOR => Prospect::Late,
         _ => Prospect::Worthless,
     };
-    (prospect, start + aim)
+    (prospect, start + allowed)
 }
 
-/// Returns the declared milliseconds of the longest chain of steps not done.
+/// Returns the declared duration of the critical path of the steps that are not done, in
+/// milliseconds.
 fn remaining_duration(job: &Job, round: usize) -> Millis {
     let done = |step: usize| {
         job.row.rounds[round][step]
