--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -53,8 +53,8 @@
         if current.is_none_or(|s| s.run != run || s.stage != Stage::Recording) {
             return;
         }
-        // The worker may have shrunk since the task was placed. Workers don't check their
-        // capacity, so the start would overcommit it.
+        // The worker may have shrunk since the task was placed, and the start would overcommit a
+        // worker that accepts any order.
         let fits = worker.fits(Resources::default());
         let cordoned = worker.cordoned;
         // A best-effort task starts at full speed, which would prolong a breach of a latency
--- a/src/sched/tests/incarnation.rs
+++ b/src/sched/tests/incarnation.rs
@@ -1,4 +1,4 @@
-//! Workers that start again, under their id or another one.
+//! Tests of workers that restart, under their id or another one.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
@@ -8,21 +8,12 @@
 use crate::sched::spec::{Resources, StepSpec};
 use crate::sched::worker::Listing;
 
-/// Tasks that had ended well ran again, and a task was started once more after all the
-/// failed runs that it had. A third of the workers had started again under their ids,
-/// without a word to the store in between. Each of them counted its ends from 1 again, and
-/// the owner took them for ends that it knew, up to the number that it had taken in of the
-/// life before, and had them forgotten: the run was found missing from the next report and
-/// its task was started once more. The lines of one task, as they were:
-///
-/// ```text
-/// event=end-passed-over how=Done worker=w0 number=1 taken_in=4
-/// event=missing worker=w0 age_ms=1001
-/// event=stop worker=w0
-/// event=start run=2 worker=w0
-/// ```
+/// A worker that restarts under its id numbers its completions from 1 again. The owner took
+/// these for completions of the earlier incarnation, ignored them up to the last number it knew,
+/// and acknowledged them. The runs were then missing from the next report, so tasks that had
+/// completed were started again, and tasks that had failed exceeded their attempts by one.
 #[test]
-fn an_end_of_a_worker_that_started_again_under_its_id_is_taken_in() {
+fn completions_are_accepted_after_a_restart_under_the_same_id() {
     let mut world = World::new(1);
     world.submit("before", job(vec![step(4, 1_000)]));
     world.run(3_000);
@@ -38,18 +29,11 @@
     assert_eq!(starts.count(), 4);
 }
 
-/// Tasks were started elsewhere while they ran. Their worker had come back under another
-/// id, and ran them, when an entry was told that the life before it had written: it was
-/// taken for a third life at the address, and the one there was said to be over.
-///
-/// ```text
-/// event=new worker=w0
-/// event=over worker=w1 reason=another-life
-/// event=orphaned run=1 worker=w1 age_ms=0
-/// event=start run=2 worker=w2
-/// ```
+/// A worker restarts under another id and runs tasks when a listing of its earlier incarnation
+/// arrives late. The owner took that for a third incarnation at the address and ended the one
+/// that was there, so its tasks were started elsewhere while they ran.
 #[test]
-fn an_entry_of_a_life_that_is_over_ends_no_other() {
+fn a_late_listing_of_an_ended_incarnation_ends_no_other() {
     for boot in [None, Some(5_000)] {
         let mut world = World::new(0);
         world.add_worker("w0", 100);
@@ -77,7 +61,7 @@
     }
 }
 
-/// Hands in a job of so many tasks of 300 ms, and asserts that each runs just once.
+/// Submits a job of `count` tasks of 300 ms and asserts that each of them runs exactly once.
 fn assert_runs_once(world: &mut World, id: &str, count: u32) {
     world.script = |task, _| match task.starts_with("lasting") {
         true => (600_000, RunOutcome::Done),
@@ -92,7 +76,7 @@
 }
 
 #[test]
-fn a_worker_that_starts_again_twice_in_a_row_is_used() {
+fn a_worker_is_used_after_two_restarts_in_a_row() {
     let mut world = World::new(1);
     assert_runs_once(&mut world, "before", 4);
     world.restart("w0");
@@ -103,7 +87,7 @@
 }
 
 #[test]
-fn a_worker_that_starts_again_at_another_address_is_used() {
+fn a_worker_is_used_after_a_restart_at_another_address() {
     let mut world = World::new(1);
     assert_runs_once(&mut world, "before", 4);
     world.restart_as("w0", |l| l.address.set_port(7_000));
@@ -111,16 +95,16 @@
     assert_runs_once(&mut world, "after", 4);
 }
 
-/// Its room is that of the life that tells it; the entry of before told more.
+/// Until the new listing arrives, the known capacity is the larger one of the earlier incarnation.
 #[test]
-fn a_worker_that_starts_again_with_less_room_gets_what_fits() {
+fn a_worker_that_restarts_with_less_capacity_is_not_overcommitted() {
     let mut world = World::new(1);
     world.script = |_, _| (300, RunOutcome::Done);
     world.submit("before", job(vec![step(8, 1_000)]));
     world.run(100);
     world.restart_as("w0", |l| l.capacity.cpu = 1_000);
     world.run(2_000);
-    assert!(world.running().is_empty(), "its room is not known yet");
+    assert!(world.running().is_empty(), "the capacity is not known yet");
     world.list();
     world.run(8_000);
     assert!(world.excesses.is_empty(), "{:?}", world.excesses);
@@ -128,7 +112,7 @@
 }
 
 #[test]
-fn a_worker_that_was_to_leave_and_starts_again_is_used() {
+fn a_leaving_worker_is_used_after_a_restart() {
     let mut world = World::new(1);
     let worker = world.workers.get_mut("w0").expect("worker");
     (worker.listing.leaving, worker.listing.min_stay) = (true, 4_000);
@@ -139,8 +123,8 @@
     assert_runs_once(&mut world, "after", 4);
 }
 
-/// Has another worker come, and the first one keep too little room for a task of a core.
-fn leave_room_elsewhere(world: &mut World) {
+/// Adds a worker, and shrinks the first one so that a task of one core does not fit.
+fn move_capacity_to_another_worker(world: &mut World) {
     world.add_worker("w1", 7_100);
     world.list();
     let small = Resources {
@@ -150,13 +134,11 @@
     world.resize("w0", small);
 }
 
-/// A start lies with the network for six seconds. Its worker is asked to stop that run and says
-/// that it will not take it any more, so the task runs elsewhere; then the worker starts again
-/// under its id, knows of no stop, and carries the old start out. Seen in a soak of processes:
-/// `run=1 event=start worker=i-0`, `event=stop` answered 2.5 s later, `run=2 event=start
-/// worker=i-1` and its end as done, then `run=1 event=unknown-end how=Done worker=i-0`.
+/// A start is delayed by six seconds. The worker has meanwhile answered a stop of that run, so
+/// the task runs elsewhere. Then the worker restarts under its id. The new incarnation has
+/// received no stop, carried out the late start and ran the task a second time.
 #[test]
-fn a_life_that_begins_after_a_stop_refuses_the_late_start_as_well() {
+fn an_incarnation_that_begins_after_a_stop_refuses_the_late_start() {
     let mut world = World::new(1);
     world.script = |_, _| (300, RunOutcome::Done);
     world.run(500);
@@ -165,13 +147,13 @@
     world.run(200);
     let (_, late) = world.ordered["w0"].clone();
     assert_eq!((&*late.task, late.run), ("j1.0.0.0", 1));
-    leave_room_elsewhere(&mut world);
+    move_capacity_to_another_worker(&mut world);
     world.workers.get_mut("w0").expect("worker").cut = false;
     world.run(3_000);
     assert_eq!(
         world.shown("j1"),
         Some(JobState::Completed),
-        "on the other worker"
+        "the task runs on the other worker"
     );
     world.restart("w0");
     world.list();
@@ -181,9 +163,8 @@
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
-/// A start and the stop after it lie with the network; the lease of the silent worker ends and
-/// the task runs elsewhere. The worker answers again, gets a new lease, and then the start
-/// arrives.
+/// A start and the stop after it are delayed. The lease of the silent worker ends, and the task
+/// runs elsewhere. The worker answers again and gets a new lease before the start arrives.
 #[test]
 fn a_worker_that_was_silent_past_its_lease_refuses_the_late_start() {
     let mut world = World::new(1);
@@ -196,11 +177,15 @@
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(200);
     let (_, late) = world.ordered["w0"].clone();
-    leave_room_elsewhere(&mut world);
+    move_capacity_to_another_worker(&mut world);
     world.run(6_000);
-    assert_eq!(world.shown("j1"), Some(JobState::Completed), "elsewhere");
+    assert_eq!(
+        world.shown("j1"),
+        Some(JobState::Completed),
+        "it runs elsewhere"
+    );
     world.workers.get_mut("w0").expect("worker").cut = false;
-    // Too many for the other worker, so that this one has a lease again.
+    // More tasks than the other worker can hold, so that this one gets a lease again.
     world.submit("j2", job(vec![lasting(41, 100)]));
     world.run(1_500);
     world.carry_out(&late);
@@ -208,10 +193,10 @@
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
-/// A clock that was set back has the later life tell an earlier start. Nothing of the life
-/// before may be left before it is believed.
+/// After its clock was set back, a restarted worker reports an earlier start. That is accepted
+/// only once the leases of the earlier incarnation have certainly ended.
 #[test]
-fn a_worker_that_tells_an_earlier_start_is_used_in_the_end() {
+fn a_worker_that_reports_an_earlier_start_is_used_eventually() {
     let mut world = World::new(2);
     world.script = |_, _| (600_000, RunOutcome::Done);
     world.restart("w0");
@@ -232,7 +217,7 @@
 }
 
 #[test]
-fn lasting_tasks_are_back_at_once_after_a_restart() {
+fn lasting_tasks_run_again_at_once_after_a_restart() {
     let mut world = World::new(3);
     world.script = |_, _| (600_000, RunOutcome::Done);
     world.submit("lasting", job(vec![lasting(9, 1_000)]));
@@ -247,7 +232,7 @@
 }
 
 #[test]
-fn a_gang_whose_workers_all_start_again_runs_again_as_a_whole() {
+fn a_gang_runs_again_as_a_whole_after_all_its_workers_restart() {
     let mut world = World::new(4);
     world.script = |_, _| (3_000, RunOutcome::Done);
     let gang = StepSpec {
@@ -267,19 +252,19 @@
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
-/// The entry of before stays for as long as the store is away. The worker is asked at the
-/// usual pace meanwhile, and what it runs is held.
+/// While the store is away, the listing stays that of the earlier incarnation. The worker is
+/// polled at the usual rate meanwhile.
 #[test]
-fn a_worker_whose_entry_is_of_before_is_not_asked_without_a_pause() {
+fn a_worker_with_an_outdated_listing_is_polled_at_the_usual_rate() {
     let mut world = World::new(1);
     world.restart("w0");
     world.run(100);
     assert!(world.holds["w0"].wait > 0);
 }
 
-/// Two members of a gang on one worker: one had begun, the start of the other has no answer.
+/// One member of a gang has begun on a restarted worker, and the start of another has no answer.
 #[test]
-fn a_gang_of_which_a_member_is_in_doubt_is_not_left_half_there() {
+fn a_gang_with_a_doubtful_member_is_not_left_incomplete() {
     for lost in [0.0, 0.5, 1.0] {
         let mut world = World::new(2);
         world.script = |_, _| (900, RunOutcome::Done);
@@ -300,59 +285,60 @@
     }
 }
 
-/// Courses of news that are drawn, and their seed.
-const COURSES: u64 = 60;
+/// Number of random sequences of events.
+const SEQUENCES: u64 = 60;
+/// Seed of the random sequences.
 const SEED: u64 = 36;
 
-/// News of a worker that has started again, each of which may come at any time.
+/// What may happen after the restart of a worker, in any order.
 #[derive(Clone, Copy, Debug)]
-enum News {
-    /// The entry that its earlier life wrote last.
-    OldEntry,
-    /// The entry of its later life.
-    Entry,
-    /// What the earlier life answered to the exchange that is open.
-    OldAnswer,
-    /// Exchanges reach the later life from now on.
-    Reached,
-    /// The last start that was sent to it is carried out after all, unless the box has
-    /// given it up and closed its connection.
+enum Step {
+    /// The last listing of the earlier incarnation arrives.
+    OldListing,
+    /// The listing of the later incarnation arrives.
+    NewListing,
+    /// The answer of the earlier incarnation to the open poll arrives.
+    OldReport,
+    /// Polls reach the later incarnation from now on.
+    Reachable,
+    /// The last start that was sent to the worker is carried out, unless the box has given
+    /// it up and closed its connection.
     LateStart,
-    /// Nothing for half a second.
+    /// Half a second passes.
     Pause,
-    /// Nothing until all leases have ended.
-    Lapse,
+    /// All leases end.
+    LeasesEnd,
     /// Another owner takes over.
     Takeover,
 }
 
-const NEWS: [News; 8] = [
-    News::OldEntry,
-    News::Entry,
-    News::OldAnswer,
-    News::Reached,
-    News::LateStart,
-    News::Pause,
-    News::Lapse,
-    News::Takeover,
+const STEPS: [Step; 8] = [
+    Step::OldListing,
+    Step::NewListing,
+    Step::OldReport,
+    Step::Reachable,
+    Step::LateStart,
+    Step::Pause,
+    Step::LeasesEnd,
+    Step::Takeover,
 ];
 
-impl Arbitrary for News {
+impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        *g.choose(&NEWS).expect("some")
+        *g.choose(&STEPS).expect("some")
     }
 }
 
-/// A worker that has started again, and what is left of its earlier life.
+/// A worker that has restarted, and messages of its earlier incarnation.
 struct Restart {
     world: World,
-    entry: Listing,
-    answer: Report,
+    old_listing: Listing,
+    old_report: Report,
 }
 
 impl Restart {
-    /// Returns a world in which one of two workers has just started again, in the middle of
-    /// its work: some that ends, some that fails, some that lasts.
+    /// Returns a world in which one of two workers has just restarted while it ran tasks that
+    /// end, that fail and that last.
     fn new() -> Self {
         let mut world = World::new(2);
         world.script = |task, run| match task.as_bytes()[0] {
@@ -367,79 +353,79 @@
         world.submit("done", job(vec![step(2, 1_000)]));
         world.run(200);
         let before = &world.workers["w0"];
-        let (entry, answer) = (before.listing.clone(), before.report(world.now));
+        let (old_listing, old_report) = (before.listing.clone(), before.report(world.now));
         world.restart("w0");
         world.workers.get_mut("w0").expect("worker").cut = true;
         let mut restart = Self {
             world,
-            entry,
-            answer,
+            old_listing,
+            old_report,
         };
         restart.world.run(2);
         restart
     }
 
-    fn tell(&mut self, news: News) {
+    fn apply(&mut self, step: Step) {
         let world = &mut self.world;
-        match news {
-            News::OldEntry => {
-                let entry = DirectoryEntry::Listed(self.entry.clone());
+        match step {
+            Step::OldListing => {
+                let entry = DirectoryEntry::Listed(self.old_listing.clone());
                 world.step(Event::DirectoryChanged(vec![("w0".into(), entry)]));
             }
-            News::Entry => world.list(),
-            News::OldAnswer => {
-                let hold = world.holds["w0"].clone();
-                world.step(Event::Polled(hold, Reply::Ok(self.answer.clone())));
+            Step::NewListing => world.list(),
+            Step::OldReport => {
+                let poll = world.holds["w0"].clone();
+                world.step(Event::Polled(poll, Reply::Ok(self.old_report.clone())));
             }
-            News::Reached => world.workers.get_mut("w0").expect("worker").cut = false,
-            News::LateStart => {
+            Step::Reachable => world.workers.get_mut("w0").expect("worker").cut = false,
+            Step::LateStart => {
                 let ordered = world.ordered.get("w0").cloned();
-                let on_its_way = |(sent, _): &(u64, _)| world.now < sent + GIVEN_UP;
-                if let Some((_, start)) = ordered.filter(on_its_way) {
+                let in_flight = |(sent, _): &(u64, _)| world.now < sent + GIVEN_UP;
+                if let Some((_, start)) = ordered.filter(in_flight) {
                     world.carry_out(&start);
                 }
             }
-            News::Pause => world.run(500),
-            News::Lapse => world.run(6_000),
-            News::Takeover => world.take_over(5_000),
+            Step::Pause => world.run(500),
+            Step::LeasesEnd => world.run(6_000),
+            Step::Takeover => world.take_over(5_000),
         }
         world.run(3);
     }
 
-    /// Returns what is wrong once all news was told and time has passed.
-    fn wrong(mut self) -> Vec<String> {
+    /// Returns the faults that are found some time after the last step.
+    fn faults(mut self) -> Vec<String> {
         let world = &mut self.world;
         world.workers.get_mut("w0").expect("worker").cut = false;
         world.list();
         world.run(500);
         world.submit("after", job(vec![step(4, 500)]));
         world.run(12_000);
-        let mut wrong = std::mem::take(&mut world.doubles);
-        wrong.append(&mut world.excesses);
+        let mut faults = std::mem::take(&mut world.doubles);
+        faults.append(&mut world.excesses);
         for id in ["before", "done", "failing", "after"] {
             let shown = world.shown(id);
             if shown != Some(JobState::Completed) {
-                wrong.push(format!("{id} is {shown:?}"));
+                faults.push(format!("{id} is {shown:?}"));
             }
         }
         let running = world.running().len();
         if running != 2 {
-            wrong.push(format!("{running} lasting tasks run"));
+            faults.push(format!("{running} lasting tasks run"));
         }
-        wrong
+        faults
     }
 }
 
-/// Returns all orders of some news.
-fn orders(news: &[News]) -> Vec<Vec<News>> {
-    if news.is_empty() {
+/// Returns all permutations of some steps.
+fn permutations(steps: &[Step]) -> Vec<Vec<Step>> {
+    if steps.is_empty() {
         return vec![Vec::new()];
     }
     let mut all = Vec::new();
-    for place in 0..news.len() {
-        let mut rest = news.to_vec();
+    for place in 0..steps.len() {
+        let mut rest = steps.to_vec();
         let first = rest.remove(place);
-        all.extend(orders(&rest).into_iter().map(|mut order| {
+        all.extend(permutations(&rest).into_iter().map(|mut order| {
             order.insert(0, first);
             order
         }));
@@ -447,33 +433,34 @@
     all
 }
 
-fn told(news: &[News]) -> Vec<String> {
+/// Returns the faults that are found after these steps.
+fn faults_after(steps: &[Step]) -> Vec<String> {
     let mut restart = Restart::new();
-    for news in news {
-        restart.tell(*news);
+    for step in steps {
+        restart.apply(*step);
     }
-    restart.wrong()
+    restart.faults()
 }
 
 #[test]
-fn no_order_of_news_of_a_restart_has_a_task_run_twice() {
-    for news in orders(&NEWS[..5]) {
-        let wrong = told(&news);
-        assert!(wrong.is_empty(), "{news:?}: {wrong:?}");
+fn no_order_of_steps_after_a_restart_runs_a_task_twice() {
+    for steps in permutations(&STEPS[..5]) {
+        let faults = faults_after(&steps);
+        assert!(faults.is_empty(), "{steps:?}: {faults:?}");
     }
 }
 
 #[test]
-fn nor_has_any_other_course_of_such_news() {
-    fn property(news: Vec<News>) -> TestResult {
-        let wrong = told(&news);
-        match wrong.is_empty() {
+fn no_random_steps_after_a_restart_run_a_task_twice() {
+    fn property(steps: Vec<Step>) -> TestResult {
+        let faults = faults_after(&steps);
+        match faults.is_empty() {
             true => TestResult::passed(),
-            false => TestResult::error(format!("{news:?}: {wrong:?}")),
+            false => TestResult::error(format!("{steps:?}: {faults:?}")),
         }
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(9, SEED))
-        .tests(COURSES)
-        .quickcheck(property as fn(Vec<News>) -> TestResult);
+        .tests(SEQUENCES)
+        .quickcheck(property as fn(Vec<Step>) -> TestResult);
 }
