--- a/src/sched/tests/cordon.rs
+++ b/src/sched/tests/cordon.rs
@@ -1,4 +1,4 @@
-//! Halls that are cordoned and taken back, while work waits, runs and fails there.
+//! Tests of halls that are cordoned and uncordoned while tasks wait, run and fail in them.
 
 use std::collections::BTreeSet;
 
@@ -9,11 +9,11 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Longest time from the word to the last start, in milliseconds: what a worker is told
-/// is on its way for one, and no start is begun after the word.
-const ON_ITS_WAY: Millis = 10;
+/// Longest time in milliseconds from a cordon to the arrival of the last start that was sent
+/// before it: an order takes one millisecond.
+const ORDER_DELAY: Millis = 10;
 
-/// Returns a world of so many workers, every second of which stands in hall `h2`.
+/// Returns a world of `workers` workers, every second of them in hall `h2`.
 fn two_halls(workers: u16) -> World {
     let mut world = World::new(0);
     for number in 0..workers {
@@ -28,11 +28,11 @@
     world
 }
 
-/// Returns the tasks started in a hall from a time on.
+/// Returns the tasks that were started in a hall since a time.
 fn started_in(world: &World, hall: &str, from: Millis) -> Vec<String> {
-    let there = |id: &Name| &*world.workers[id].listing.hall == hall;
+    let in_hall = |id: &Name| &*world.workers[id].listing.hall == hall;
     let starts = world.starts.iter();
-    let starts = starts.filter(|(_, _, worker, at)| *at >= from && there(worker));
+    let starts = starts.filter(|(_, _, worker, at)| *at >= from && in_hall(worker));
     starts.map(|(task, ..)| task.clone()).collect()
 }
 
@@ -44,7 +44,7 @@
         .collect()
 }
 
-/// A steady load of short jobs, more than half of the room.
+/// Submits a steady load of short jobs that takes more than half of the capacity.
 fn load(world: &mut World, name: &str, span: Millis) {
     for number in 0..span / 100 {
         world.submit(&format!("{name}{number}"), job(vec![step(3, 500)]));
@@ -53,15 +53,18 @@
 }
 
 #[test]
-fn nothing_starts_in_a_cordoned_hall_until_it_is_taken_back() {
+fn nothing_starts_in_a_cordoned_hall_until_it_is_uncordoned() {
     let mut world = two_halls(4);
     load(&mut world, "before", 2_000);
     assert!(!started_in(&world, "h2", 0).is_empty());
     world.cordon(&["h2"]);
-    let from = world.now + ON_ITS_WAY;
+    let from = world.now + ORDER_DELAY;
     load(&mut world, "during", 6_000);
     assert_eq!(started_in(&world, "h2", from), Vec::<String>::new());
-    assert!(!started_in(&world, "h", from).is_empty(), "others serve on");
+    assert!(
+        !started_in(&world, "h", from).is_empty(),
+        "other halls are still used"
+    );
     world.cordon(&[]);
     let from = world.now;
     load(&mut world, "after", 2_000);
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn what_runs_there_goes_on() {
+fn runs_in_a_cordoned_hall_go_on() {
     let mut world = two_halls(2);
     world.script = |_, _| (8_000, RunOutcome::Done);
     world.submit("a", job(vec![step(8, 1_000)]));
@@ -82,10 +85,10 @@
     world.run(6_000);
     assert_eq!(world.shown("a"), Some(JobState::Completed));
     let starts = world.starts.iter().filter(|s| s.0.starts_with('a'));
-    assert_eq!(starts.count(), 8, "none runs again");
+    assert_eq!(starts.count(), 8, "no task runs again");
 }
 
-/// The placement is on its way to the store when the hall is cordoned.
+/// The hall is cordoned while the placement is being stored.
 #[test]
 fn a_start_that_was_not_sent_yet_is_withdrawn() {
     let mut world = two_halls(2);
@@ -98,7 +101,7 @@
 }
 
 #[test]
-fn what_fails_or_ends_there_starts_again_elsewhere() {
+fn tasks_that_fail_or_end_in_a_cordoned_hall_start_again_elsewhere() {
     let mut world = two_halls(4);
     world.script = |task, run| match (task.starts_with('l'), run) {
         (true, 1) => (1_500, RunOutcome::Done),
@@ -110,7 +113,7 @@
     world.submit("f", job(vec![step(6, 500), step(4, 500)]));
     world.run(500);
     world.cordon(&["h2"]);
-    let from = world.now + ON_ITS_WAY;
+    let from = world.now + ORDER_DELAY;
     world.run(8_000);
     assert_eq!(started_in(&world, "h2", from), Vec::<String>::new());
     assert_eq!(world.shown("f"), Some(JobState::Completed));
@@ -119,29 +122,29 @@
 }
 
 #[test]
-fn gangs_and_copies_keep_out_as_well() {
+fn gangs_and_best_effort_tasks_avoid_a_cordoned_hall() {
     let mut world = two_halls(4);
     world.cordon(&["h"]);
     let gang = StepSpec {
         gang: true,
         ..step(6, 1_000)
     };
-    let fill = StepSpec {
+    let best_effort = StepSpec {
         best_effort: true,
         ..step(4, 500)
     };
     let from = world.now;
     world.submit("g", job(vec![gang]));
-    world.submit("c", job(vec![fill]));
+    world.submit("c", job(vec![best_effort]));
     world.run(4_000);
     assert_eq!(started_in(&world, "h", from), Vec::<String>::new());
     assert_eq!(world.shown("g"), Some(JobState::Completed));
     assert_eq!(world.shown("c"), Some(JobState::Completed));
 }
 
-/// Room was made there at the cost of a run, and is not waited for any more.
+/// A run was preempted to free resources in the hall before the hall was cordoned.
 #[test]
-fn room_that_was_made_there_is_made_elsewhere() {
+fn a_reservation_in_a_cordoned_hall_is_replaced_by_one_elsewhere() {
     let mut world = two_halls(2);
     world.script = |_, _| (60_000, RunOutcome::Done);
     let (low, high) = (5, 0);
@@ -150,9 +153,9 @@
     assert_eq!(world.running().len(), 2);
     world.submit_with_priority("high", job(vec![step(1, 4_000)]), high);
     world.run(15);
-    let promised = world.owner.reservations.values().next().cloned();
-    let promised = promised.expect("a run gives way");
-    let hall = world.workers[&promised].listing.hall.clone();
+    let reserved = world.owner.reservations.values().next().cloned();
+    let reserved = reserved.expect("a run is preempted");
+    let hall = world.workers[&reserved].listing.hall.clone();
     world.cordon(&[&*hall]);
     world.run(4_000);
     assert_eq!(started_in(&world, &hall, 5_000), Vec::<String>::new());
@@ -165,7 +168,7 @@
 }
 
 #[test]
-fn all_halls_but_one_and_then_all() {
+fn all_halls_but_one_and_then_all_are_cordoned() {
     let mut world = two_halls(6);
     world.workers.get_mut("w5").expect("worker").listing.hall = "h3".into();
     world.list();
@@ -174,7 +177,7 @@
     world.run(500);
     assert_eq!(halls_of(&world, "a"), ["h3".into()].into());
     world.cordon(&["h", "h2", "h3"]);
-    let from = world.now + ON_ITS_WAY;
+    let from = world.now + ORDER_DELAY;
     let ticket = world.submit("b", job(vec![step(4, 1_000)]));
     world.run(4_000);
     assert_eq!(world.answers.get(&ticket), Some(&Answer::Accepted));
@@ -185,9 +188,9 @@
     assert_eq!(world.shown("b"), Some(JobState::Completed));
 }
 
-/// The only hall with the label that it needs is cordoned: it may be taken back.
+/// The only hall with the label that the job needs is cordoned, and may be uncordoned later.
 #[test]
-fn a_job_for_the_cordoned_hall_alone_waits() {
+fn a_job_that_fits_only_in_a_cordoned_hall_waits() {
     let mut world = two_halls(2);
     let labels = &mut world.workers.get_mut("w1").expect("worker").listing.labels;
     labels.push("fast".into());
@@ -222,7 +225,7 @@
 }
 
 #[test]
-fn an_owner_that_does_not_know_starts_nothing() {
+fn an_owner_that_does_not_know_the_cordons_starts_nothing() {
     let mut world = two_halls(2);
     world.script = |task, _| match task.starts_with("old") {
         true => (60_000, RunOutcome::Done),
@@ -233,15 +236,15 @@
     world.cordon(&["h2"]);
     world.cordons_held = true;
     world.take_over(0);
-    let from = world.now + ON_ITS_WAY;
+    let from = world.now + ORDER_DELAY;
     let ticket = world.submit("new", job(vec![step(4, 500)]));
     world.run(2_000);
     assert_eq!(world.answers.get(&ticket), Some(&Answer::Accepted));
     assert!(
         world.starts.iter().all(|s| s.3 < from),
-        "unknown is not none"
+        "unknown cordons must not count as none"
     );
-    assert_eq!(world.running().len(), 2, "what runs is kept");
+    assert_eq!(world.running().len(), 2, "runs go on");
     world.cordon(&["h2"]);
     world.run(3_000);
     assert_eq!(world.shown("new"), Some(JobState::Completed));
@@ -249,7 +252,7 @@
 }
 
 #[test]
-fn cancels_of_what_runs_there_are_carried_out() {
+fn jobs_in_cordoned_halls_can_be_cancelled() {
     let mut world = two_halls(2);
     world.submit_to(queue(), "l", job(vec![lasting(4, 1_000)]));
     world.run(500);
--- a/src/sched/tests/directory.rs
+++ b/src/sched/tests/directory.rs
@@ -1,14 +1,15 @@
-//! Workers that leave, vanish and come back.
+//! Tests of workers that leave, disappear and return.
 
 use super::world::{World, job, lasting, step};
 use crate::sched::job::JobState;
 use crate::sched::message::{DirectoryEntry, Event, RunOutcome};
 use crate::sched::spec::StepSpec;
 
-fn leave(world: &mut World, id: &str, stays: u64) {
+/// Lists a worker as leaving; it stays for at least `min_stay` milliseconds.
+fn leave(world: &mut World, id: &str, min_stay: u64) {
     let worker = world.workers.get_mut(id).expect("worker");
     worker.listing.leaving = true;
-    worker.listing.min_stay = stays;
+    worker.listing.min_stay = min_stay;
     let listing = worker.listing.clone();
     world.step(Event::DirectoryChanged(vec![(
         id.into(),
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn no_more_tasks_are_moved_at_once_than_the_step_bears() {
+fn no_more_tasks_are_moved_at_once_than_the_step_allows() {
     let mut world = World::new(2);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     let step = StepSpec {
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn a_silent_worker_is_left_to_its_lease_and_then_replaced() {
+fn tasks_of_a_silent_worker_run_elsewhere_once_its_lease_has_ended() {
     let mut world = World::new(2);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j1", job(vec![lasting(2, 1_000)]));
@@ -62,10 +63,7 @@
     world.workers.get_mut("w0").expect("worker").cut = true;
     world.run(12_000);
     let here = world.running().iter().filter(|(_, w)| &**w == "w1").count();
-    assert_eq!(
-        here, 2,
-        "unanswered exchanges must not count as leases for ever"
-    );
+    assert_eq!(here, 2, "unanswered polls must not extend leases");
     assert_eq!(
         world.owner.lapsed_runs(),
         lost as u64,
@@ -75,7 +73,7 @@
 }
 
 #[test]
-fn a_listing_that_lapses_with_the_store_away_is_no_news_of_a_worker() {
+fn a_listing_that_lapses_during_a_store_outage_moves_no_task() {
     let mut world = World::new(2);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j1", job(vec![lasting(2, 1_000)]));
@@ -87,11 +85,11 @@
     world.run(1_000);
     world.list();
     world.run(5_000);
-    assert_eq!(world.starts.len(), 2, "nothing was moved");
+    assert_eq!(world.starts.len(), 2, "no task was moved");
 }
 
 #[test]
-fn another_life_at_the_same_address_ends_the_one_before() {
+fn a_new_incarnation_at_an_address_ends_the_earlier_one() {
     let mut world = World::new(2);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j1", job(vec![lasting(2, 1_000)]));
@@ -123,7 +121,7 @@
     let begun = world.starts.len();
     assert!(
         !world.starts.iter().any(|s| s.0.starts_with("j1")),
-        "it may be about to end"
+        "an unlisted worker may end soon"
     );
     world.list();
     world.run(300);
@@ -132,7 +130,7 @@
 }
 
 #[test]
-fn an_entry_that_names_no_worker_to_use_takes_nothing_with_it() {
+fn a_worker_with_an_unusable_entry_keeps_its_runs() {
     let mut world = World::new(2);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j0", job(vec![lasting(2, 1_000)]));
@@ -145,11 +143,11 @@
     world.submit("j1", job(vec![step(2, 1_000)]));
     world.run(500);
     let new = &world.starts[begun..];
-    assert_eq!(new.len(), 2, "the other worker takes all");
+    assert_eq!(new.len(), 2, "all run on the other worker");
     assert!(new.iter().all(|s| &*s.2 == "w1"));
     world.run(12_000);
     let held = world.running();
-    assert!(held.iter().any(|(_, w)| &**w == "w0"), "what ran goes on");
+    assert!(held.iter().any(|(_, w)| &**w == "w0"), "its run goes on");
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
     world.list();
     let begun = world.starts.len();
@@ -159,7 +157,7 @@
 }
 
 #[test]
-fn an_unusable_entry_of_no_worker_is_passed_over_for_ever() {
+fn an_unusable_entry_without_a_known_worker_is_ignored() {
     let mut world = World::new(1);
     world.step(Event::DirectoryChanged(vec![(
         "w7".into(),
@@ -172,7 +170,7 @@
 }
 
 #[test]
-fn a_silent_worker_with_an_unusable_entry_is_forgotten_and_its_tasks_run_elsewhere() {
+fn a_silent_worker_with_an_unusable_entry_is_removed_and_its_tasks_run_elsewhere() {
     let mut world = World::new(2);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j1", job(vec![lasting(2, 1_000)]));
@@ -190,7 +188,7 @@
 }
 
 #[test]
-fn heartbeats_that_say_nothing_new_have_nothing_placed_anew() {
+fn unchanged_listings_trigger_no_placement() {
     let mut world = World::new(2);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j0", job(vec![lasting(2, 1_000)]));
@@ -201,12 +199,15 @@
     }
     let next = world.owner.next_pass;
     world.list();
-    assert_eq!(world.owner.next_pass, next, "what waits is not looked at");
+    assert_eq!(
+        world.owner.next_pass, next,
+        "waiting tasks are not examined"
+    );
     let mut grown = world.workers["w0"].listing.clone();
     grown.capacity.cpu *= 2;
     world.step(Event::DirectoryChanged(vec![(
         "w0".into(),
         DirectoryEntry::Listed(grown),
     )]));
-    assert_ne!(world.owner.next_pass, next, "a change has it looked at");
+    assert_ne!(world.owner.next_pass, next, "a change has them examined");
 }
--- a/src/sched/tests/suspension.rs
+++ b/src/sched/tests/suspension.rs
@@ -1,10 +1,11 @@
-//! A box whose machine is suspended: its timers stand, and time goes on.
+//! Tests of a box whose machine is suspended: its timers stop while time goes on.
 
 use super::world::{BOUNDS, World, job, lasting, step};
 use crate::sched::job::JobState;
 use crate::sched::message::{Action, Event, RunOutcome};
 use crate::sched::owner::Now;
 
+/// Returns a world of three workers with six tasks that end and three that last.
 fn world() -> World {
     let mut world = World::new(3);
     world.script = |task, _| match task.starts_with('a') {
@@ -19,16 +20,16 @@
 }
 
 #[test]
-fn what_runs_outlasts_a_short_suspension() {
+fn runs_outlast_a_short_suspension() {
     let mut world = world();
     world.suspend(2_000);
     world.run(6_000);
-    assert_eq!(world.starts.len(), 9, "nothing was started again");
+    assert_eq!(world.starts.len(), 9, "no task was started again");
     assert_eq!(world.running().len(), 9);
 }
 
 #[test]
-fn what_lapsed_meanwhile_runs_once_more_and_once_at_a_time() {
+fn tasks_whose_leases_ended_meanwhile_run_again_without_overlap() {
     let mut world = world();
     world.suspend(6_000);
     world.run(5_900);
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn a_worker_that_was_cut_off_meanwhile_is_waited_for_by_true_time() {
+fn the_lease_of_an_unreachable_worker_ends_by_real_time() {
     let mut world = world();
     world.workers.get_mut("w0").expect("worker").cut = true;
     world.run(1_000);
@@ -52,10 +53,10 @@
     assert!(world.doubles.is_empty(), "{:?}", world.doubles);
 }
 
-/// Its successor counts on it that an owner without a confirmation extends no lease, by the
-/// time that has passed and not by the time that it was awake.
+/// An owner without a confirmation must not extend leases, as its successor relies on that. The
+/// limit is in real time and includes the time in which the machine was suspended.
 #[test]
-fn an_owner_that_wakes_extends_and_starts_nothing_on_an_old_confirmation() {
+fn an_owner_that_resumes_on_an_old_confirmation_extends_and_starts_nothing() {
     let mut world = world();
     let later = world.now + BOUNDS.max_unconfirmed + 100;
     let woken = Now {
@@ -65,7 +66,7 @@
     let actions = world.owner.handle_event(Event::Tick, woken);
     for action in actions {
         match action {
-            Action::Poll(hold) => assert_eq!(hold.lease, None, "{hold:?}"),
+            Action::Poll(poll) => assert_eq!(poll.lease, None, "{poll:?}"),
             Action::Start(start) => panic!("{start:?}"),
             _ => {}
         }
