--- a/src/sched/permits.rs
+++ b/src/sched/permits.rs
@@ -118,7 +118,7 @@
         let resources = self.jobs[&key.job].step(key).reserved();
         let now = self.now.steady;
         let open = |name: &Name| !known.denied.contains(name) && !known.allows(name, now);
-        let able = self.eligible_workers(key).into_iter().filter(open);
+        let able = self.candidate_workers(key).into_iter().filter(open);
         let mut able: Vec<Name> = able.collect();
         able.sort_by_key(|name| {
             let free = self.workers[name].headroom(resources);
--- a/src/sched/placement_pass.rs
+++ b/src/sched/placement_pass.rs
@@ -1,4 +1,4 @@
-//! Placing tasks on workers, in their order and gangs as a whole.
+//! Placement pass: places waiting tasks on workers in order, and gangs as a whole.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -15,41 +15,40 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds between two passes, as one looks at all that waits.
+/// Least milliseconds between two passes, as each goes through all waiting tasks.
 const PASS_INTERVAL: Millis = 10;
-/// Waiting tasks for each of which that pause is one millisecond longer, as a pass
-/// goes through them all.
+/// Number of waiting tasks that lengthens this interval by one millisecond.
 const WAITING_PER_MS: u64 = 1_000;
-/// Workers looked at in a pass for each of which the same: at 3,000 workers a pass looks at
-/// some 50,000, and passes that follow each other at once leave an owner of half a core no
-/// time for leases and reports.
+/// Number of workers examined in a pass that lengthens the interval by one millisecond. With 3,000
+/// workers a pass examines about 50,000, and passes without a pause leave an owner with half a
+/// core no time for leases and reports.
 const EXAMINED_PER_MS: u64 = 1_000;
-/// Most tasks that are placed in one pass, so that other events get their turn.
+/// Most tasks that are placed in one pass, so that other events are not delayed.
 const MAX_PLACED: usize = 200;
-/// Fillers of one service and label that are tried in vain in one pass: what one
-/// did not find, the next rarely does.
+/// Most failed attempts in one pass to place best-effort tasks of one service and label. Where one
+/// did not fit, the next rarely does.
 const MAX_BEST_EFFORT_MISSES: usize = 6;
 
-/// What a task asks for, as far as it tells whether the next one finds room.
+/// Requirements of a task that decide whether another task with the same ones fits.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Demand {
-    /// Room that it holds; first, as it tells most demands apart without their names.
+    /// Resources to reserve. First field, as it tells most demands apart without comparing names.
     resources: Resources,
-    /// Service whose workers may run it.
+    /// Service whose workers may run the task.
     service: Name,
-    /// Label that its worker must have; empty for none.
+    /// Label that the worker must have; empty for none.
     label: Name,
-    /// True when few tasks of its step may share a worker.
+    /// True when the number of tasks of the step on one worker is limited.
     limited_per_worker: bool,
-    /// The step, where an advisor tells which workers may run it.
+    /// The step if an advisor decides which workers may run it.
     advised_step: Option<StepKey>,
-    /// True when it takes what others leave.
+    /// True when no processors are reserved for the task.
     best_effort: bool,
-    /// True when its step is placed as a whole.
+    /// True when all tasks of the step are placed together or not at all.
     gang: bool,
 }
 
-/// Demands that the same workers could meet: their service, label and advised step.
+/// Service, label and advised step of demands that the same workers could meet.
 type DemandGroup = (Name, Name, Option<StepKey>);
 
 impl Demand {
@@ -58,29 +57,29 @@
     }
 }
 
-/// How an attempt to place a task went.
+/// Result of an attempt to place a task.
 enum Attempt {
-    /// So many tasks were placed.
+    /// This number of tasks was placed.
     Placed(usize),
-    /// It was not placed; others of its step may be.
+    /// The task was not placed; others of its step may be.
     Failed,
-    /// Nor will others of its step be in this pass.
+    /// Neither the task nor others of its step can be placed in this pass.
     Exhausted,
 }
 
-/// One pass of placing: what was tried in vain, so that it is not tried again.
+/// State of one pass: failed attempts, which are not repeated.
 struct Pass {
     /// Demands of single tasks that fit nowhere.
     unplaceable: BTreeSet<Rc<Demand>>,
-    /// Fillers that found nothing, by family.
+    /// Number of best-effort tasks that fit nowhere, by group.
     best_effort_misses: BTreeMap<DemandGroup, usize>,
-    /// Gangs that had their turn.
+    /// Gangs that were tried.
     tried_gangs: BTreeSet<StepKey>,
-    /// Runs that could give way.
+    /// Search for runs to preempt.
     search: VictimSearch,
-    /// What the step of the last task asks for.
+    /// Demand of the step of the last task.
     last_demand: Option<(StepKey, Rc<Demand>)>,
-    /// Suspects for which a worker may still be isolated; none before the first one.
+    /// Number of suspects for which a worker may still be isolated; `None` before the first one.
     isolations_left: Option<usize>,
 }
 
@@ -96,29 +95,30 @@
         }
     }
 
-    /// Returns true when a task has no turn any more: its gang had it, or the
-    /// like of it failed too often.
+    /// Returns true when a task is not to be tried in this pass: its gang was tried, or too many
+    /// best-effort tasks of its group did not fit.
     fn skips(&mut self, key: TaskKey, demand: &Demand) -> bool {
         if demand.gang && !self.tried_gangs.insert(key.step_key()) {
             return true;
         }
-        let family = demand.group();
-        let tried = self.best_effort_misses.get(&family).copied().unwrap_or(0);
+        let group = demand.group();
+        let tried = self.best_effort_misses.get(&group).copied().unwrap_or(0);
         demand.best_effort && tried >= MAX_BEST_EFFORT_MISSES
     }
 
-    /// Returns true when a worker may still be isolated; `left` counts for how many.
+    /// Returns true when a worker may still be isolated in this pass; `left` returns the number of
+    /// isolations at its begin.
     fn may_isolate(&mut self, left: impl FnOnce() -> usize) -> bool {
         *self.isolations_left.get_or_insert_with(left) > 0
     }
 
-    /// Takes in that a task found no room.
+    /// Records that a task fits nowhere.
     fn record_miss(&mut self, demand: Rc<Demand>) {
         if demand.best_effort {
-            let family = demand.group();
-            *self.best_effort_misses.entry(family).or_default() += 1;
+            let group = demand.group();
+            *self.best_effort_misses.entry(group).or_default() += 1;
         }
-        // Where a member of a spread step fits depends on where the others are.
+        // Where a task with a limit per worker fits depends on where the others of its step are.
         if !demand.limited_per_worker && !demand.best_effort && !demand.gang {
             self.unplaceable.insert(demand);
         }
@@ -126,7 +126,7 @@
 }
 
 impl Owner {
-    /// Places ready tasks in their order, as far as there is room.
+    /// Runs a placement pass if one is due.
     pub(super) fn place_ready_tasks(&mut self) {
         let now = self.now.steady;
         if self.saturated || now < self.next_pass || self.journal.in_doubt() {
@@ -141,12 +141,12 @@
         self.saturated = count == 0;
     }
 
-    /// Goes once through what waits; returns how many tasks were placed.
+    /// Tries to place each waiting task in order. Returns the number of placed tasks.
     fn run_pass(&mut self) -> usize {
         let mut pass = Pass::new();
         let mut count = 0;
-        for turn in self.placement_order() {
-            for key in self.waiting_tasks(turn) {
+        for entry in self.placement_order() {
+            for key in self.waiting_tasks(entry) {
                 if count >= MAX_PLACED {
                     return count;
                 }
@@ -163,8 +163,8 @@
         count
     }
 
-    /// Places a task, with its gang if it has one, unless the like of it was tried
-    /// in vain.
+    /// Places a task, with its gang if it has one, unless a task with the same demand fits
+    /// nowhere. Otherwise starts to free resources for it.
     fn try_place(&mut self, key: TaskKey, pass: &mut Pass) -> Attempt {
         let demand = self.cached_demand(key, pass);
         if pass.unplaceable.contains(&demand) {
@@ -180,14 +180,14 @@
         if self.is_deferred(key) || !self.ensure_permitted(key) {
             return Attempt::Failed;
         }
-        // A gang needs all its places at once, so it does not wait for that.
+        // A gang needs all its workers at once, so it does not wait for an isolated worker.
         let suspect = self.is_suspect(key) && !demand.gang;
         if suspect && !pass.may_isolate(|| self.remaining_isolations()) {
             return Attempt::Failed;
         }
         let placed = match demand.gang {
             true => self.place_gang(key),
-            false => self.place_one(key),
+            false => self.place_single(key),
         };
         if placed > 0 && suspect {
             pass.isolations_left = pass.isolations_left.map(|left| left - 1);
@@ -201,17 +201,17 @@
         Attempt::Placed(placed)
     }
 
-    /// Returns true while a task waits, as workers could not take its starts.
+    /// Returns true while a task may not be placed because workers refused its starts.
     fn is_deferred(&self, key: TaskKey) -> bool {
         let until = self.deferred.get(&key).map_or(0, |deferral| deferral.until);
         self.now.steady < until
     }
 
-    /// Returns what a task asks for; tasks of a step ask for the same.
+    /// Returns the demand of a task, which is the same for all tasks of a step.
     fn cached_demand(&self, key: TaskKey, pass: &mut Pass) -> Rc<Demand> {
         let step = key.step_key();
         match &pass.last_demand {
-            Some((asked, demand)) if *asked == step => demand.clone(),
+            Some((last, demand)) if *last == step => demand.clone(),
             _ => {
                 let demand = Rc::new(self.demand_of(key));
                 pass.last_demand = Some((step, demand.clone()));
@@ -234,22 +234,24 @@
         }
     }
 
-    /// Returns the workers on which a task could run once there is room.
-    pub(super) fn eligible_workers(&self, key: TaskKey) -> Vec<Name> {
-        let all = |wish: &PlacementRequest<'_>| {
-            let able = |w: &&Worker| could_run(w, wish, self.now.steady);
-            let workers = self.workers.values().filter(able);
+    /// Returns the workers on which a task could run once enough of their resources are free.
+    pub(super) fn candidate_workers(&self, key: TaskKey) -> Vec<Name> {
+        let all = |request: &PlacementRequest<'_>| {
+            let candidate = |w: &&Worker| could_run(w, request, self.now.steady);
+            let workers = self.workers.values().filter(candidate);
             workers.map(|w| w.listing.id.clone()).collect()
         };
         self.with_request(key, "", all)
     }
 
-    /// Returns true when a task could run on a worker once there is room.
+    /// Returns true when a task could run on a worker once enough of its resources are free.
     pub(super) fn could_run_on(&self, key: TaskKey, worker: &Worker) -> bool {
-        self.with_request(key, "", |wish| could_run(worker, wish, self.now.steady))
+        self.with_request(key, "", |request| {
+            could_run(worker, request, self.now.steady)
+        })
     }
 
-    fn place_one(&mut self, key: TaskKey) -> usize {
+    fn place_single(&mut self, key: TaskKey) -> usize {
         let Some(worker) = self.pick_worker(key, "") else {
             return 0;
         };
@@ -258,7 +260,7 @@
         1
     }
 
-    /// Places all members of a gang or none; they share the number of their run.
+    /// Places all members of a gang or none. They share a run number.
     fn place_gang(&mut self, key: TaskKey) -> usize {
         let members = self.members(key);
         let job = &self.jobs[&key.job];
@@ -269,7 +271,7 @@
         let run = tasks.iter().map(|t| t.run).max().unwrap_or(0) + 1;
         let one_rack = job.step(key).one_rack;
         let mut rack = Name::from("");
-        let mut reserved = Vec::new();
+        let mut allocated = Vec::new();
         for member in &members {
             let Some(worker) = self.pick_worker(*member, &rack) else {
                 break;
@@ -277,49 +279,52 @@
             if one_rack && rack.is_empty() {
                 rack = self.workers[&worker].listing.rack.clone();
             }
-            self.reserve(*member, run, worker.clone());
-            reserved.push((*member, worker));
+            self.allocate(*member, run, worker.clone());
+            allocated.push((*member, worker));
         }
-        let whole = reserved.len() == members.len();
-        for (member, worker) in reserved {
+        let whole = allocated.len() == members.len();
+        for (member, worker) in allocated {
             match whole {
-                true => self.record(member, run, worker),
-                false => self.unreserve(member, &worker),
+                true => self.record_placement(member, run, worker),
+                false => self.deallocate(member, &worker),
             }
         }
         if whole { members.len() } else { 0 }
     }
 
-    /// Returns the worker for a task, on `rack` unless that is empty.
+    /// Returns the best worker for a task, preferably on `rack` unless that is empty.
     fn pick_worker(&mut self, key: TaskKey, rack: &str) -> Option<Name> {
         let now = self.now.steady;
-        let alike = rack.is_empty() && self.failure_count(key) == 0 && !self.is_suspect(key);
-        let known = self.ranking.take_if(|r| alike && r.step == key.step_key());
-        if known.is_none() {
+        let reusable = rack.is_empty() && self.failure_count(key) == 0 && !self.is_suspect(key);
+        let cached = self
+            .ranking
+            .take_if(|r| reusable && r.step == key.step_key());
+        if cached.is_none() {
             self.workers_examined += self.workers.len() as u64;
         }
-        let ranked = |wish: &PlacementRequest<'_>| {
-            let ranking = known.unwrap_or_else(|| Ranking::new(&self.workers, wish, now));
-            (ranking.best(wish), ranking)
+        let ranked = |request: &PlacementRequest<'_>| {
+            let ranking = cached.unwrap_or_else(|| Ranking::new(&self.workers, request, now));
+            (ranking.best(request), ranking)
         };
         let (best, ranking) = self.with_request(key, rack, ranked);
-        self.ranking = alike.then_some(ranking);
+        self.ranking = reusable.then_some(ranking);
         best
     }
 
-    /// Scores a worker that took a task anew.
+    /// Updates the score of a worker that took a task.
     fn update_ranking(&mut self, key: TaskKey, name: &Name) {
         let Some(mut ranking) = self.ranking.take_if(|r| r.step == key.step_key()) else {
             return;
         };
         if let Some(worker) = self.workers.get(name) {
             let now = self.now.steady;
-            self.with_request(key, "", |wish| ranking.update(worker, wish, now));
+            self.with_request(key, "", |request| ranking.update(worker, request, now));
         }
         self.ranking = Some(ranking);
     }
 
-    /// Returns the worker that `find` gives for what a task asks for.
+    /// Calls `find` with the requirements of a task and returns its result. A `rack` that is not
+    /// empty replaces that of the task's step.
     pub(super) fn with_request<T>(
         &self,
         key: TaskKey,
@@ -328,27 +333,27 @@
     ) -> T {
         let job = &self.jobs[&key.job];
         let step = job.step(key);
-        let wanted;
+        let on_rack;
         let step = match rack {
             "" => step,
             rack => {
-                wanted = StepSpec {
+                on_rack = StepSpec {
                     rack: rack.into(),
                     ..step.clone()
                 };
-                &wanted
+                &on_rack
             }
         };
-        let mut beside = BTreeMap::new();
+        let mut step_tasks = BTreeMap::new();
         if step.max_per_worker > 0 {
             for member in self.members(key) {
                 if let Some(worker) = self.placed_on.get(&member) {
-                    *beside.entry(worker.clone()).or_insert(0) += 1;
+                    *step_tasks.entry(worker.clone()).or_insert(0) += 1;
                 }
             }
         }
         let since = self.ready.get(&key).copied().unwrap_or(self.now.steady);
-        let wish = PlacementRequest {
+        let request = PlacementRequest {
             key,
             waited: self.now.steady - since,
             suspect: self.is_suspect(key),
@@ -363,20 +368,20 @@
                 .interference
                 .then_some(&self.interference),
             last_failed_on: self.failed_on.get(&key).map_or("", |w| w),
-            step_tasks: &beside,
+            step_tasks: &step_tasks,
             permits: self.permits.get(&key.step_key()),
         };
-        find(&wish)
+        find(&request)
     }
 
-    /// Gives a task to a worker; the start is sent once the store holds it.
+    /// Places a task on a worker. The start is sent once the store has the placement.
     fn assign(&mut self, key: TaskKey, run: u32, name: Name) {
-        self.reserve(key, run, name.clone());
-        self.record(key, run, name);
+        self.allocate(key, run, name.clone());
+        self.record_placement(key, run, name);
     }
 
-    /// Takes room for a task on a worker.
-    fn reserve(&mut self, key: TaskKey, run: u32, name: Name) {
+    /// Allocates resources of a worker to a task.
+    fn allocate(&mut self, key: TaskKey, run: u32, name: Name) {
         let placement = self.new_placement(key, run, Stage::Recording);
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.insert(key, placement);
@@ -385,8 +390,8 @@
         self.update_ranking(key, &name);
     }
 
-    /// Gives back the room of a task whose place was not recorded.
-    fn unreserve(&mut self, key: TaskKey, name: &Name) {
+    /// Frees the resources of a task whose placement was not recorded.
+    fn deallocate(&mut self, key: TaskKey, name: &Name) {
         self.ranking = None;
         self.placed_on.remove(&key);
         if let Some(worker) = self.workers.get_mut(name) {
@@ -394,8 +399,8 @@
         }
     }
 
-    /// Has the place of a task kept, and then its start sent.
-    fn record(&mut self, key: TaskKey, run: u32, name: Name) {
+    /// Records a placement for the next commit, after which the start is sent.
+    fn record_placement(&mut self, key: TaskKey, run: u32, name: Name) {
         self.ready.remove(&key);
         let boot = self.workers.get(&name).and_then(|w| w.boot);
         let job = self.jobs.get_mut(&key.job);
@@ -408,7 +413,7 @@
             .run_after_commit(key.job, AfterCommit::Start(key, run));
     }
 
-    /// Returns what a run of a task takes on its worker.
+    /// Returns the placement of a run of a task.
     pub(super) fn new_placement(&mut self, key: TaskKey, run: u32, stage: Stage) -> Placement {
         let suspect = self.is_suspect(key);
         let job = &self.jobs[&key.job];
@@ -434,7 +439,7 @@
             latency_target: step.latency_target,
             cpu: step.resources.cpu,
             speed: FULL_SPEED,
-            // The owner before may have ordered another.
+            // An earlier owner may have ordered another speed.
             speed_confirmed: stage != Stage::Inherited,
             throttled_at: self.now.steady,
             throttle_pending: false,
