--- a/src/sched/permits.rs
+++ b/src/sched/permits.rs
@@ -1,5 +1,5 @@
-//! Queues whose steps may run on some workers only, which an advisor of the
-//! service tells: permits are asked for before placing, and go with a start.
+//! Permits for queues whose steps may only run on workers that the service's advisor allows.
+//! Permits are queried before a task is placed and sent with its start.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,40 +9,42 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Workers named in one question: each adds to the time of the answer, and
-/// the platform reckons with as many a step.
+/// Most workers in one query. Each lengthens the time to the answer, and the platform expects
+/// queries about this many for a step.
 const MAX_QUERY_WORKERS: usize = 30;
-/// Questions without an answer at once: the advisor takes a box's questions one
-/// after another and turns away more than 32.
+/// Most queries that are open at the same time. The advisor answers the queries of a box one after
+/// another and rejects more than 32.
 const MAX_OPEN_QUERIES: usize = 4;
-/// Milliseconds until a question that had no answer is asked again.
+/// Milliseconds until a query without an answer is repeated.
 const RETRY_PAUSE: Millis = 300;
-/// Milliseconds before its end from which nothing is placed by a permit any
-/// more: the start has to be kept and sent before it ends.
+/// Milliseconds before a permit expires from which no task is placed by it: the placement has to
+/// be stored and the start sent before then.
 const EXPIRY_MARGIN: Millis = 250;
 
-/// A worker's permit for the tasks of a step.
+/// Permit to run the tasks of a step on one worker.
 #[derive(Clone, Debug)]
 struct Permit {
-    /// Goes with each start.
+    /// Token that is sent with each start.
     token: Name,
-    /// When it ends.
+    /// When the permit expires.
     expires: Millis,
 }
 
-/// What the advisor said about a step; which workers are good does not change.
+/// Answers of the advisor about a step. Which workers may run a step never changes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Permits {
+    /// Workers that may run the step, with their latest permit.
     granted: BTreeMap<Name, Permit>,
+    /// Workers that may not run the step.
     denied: BTreeSet<Name>,
-    /// When the question that has no answer yet was asked.
+    /// When the open query was sent; `None` when none is open.
     queried_at: Option<Millis>,
-    /// When the next question may be asked.
+    /// When the next query may be sent.
     next_query: Millis,
 }
 
 impl Permits {
-    /// Returns true when a worker may run the step now.
+    /// Returns true when a worker has a permit by which a task may be placed now.
     pub fn allows(&self, worker: &str, now: Millis) -> bool {
         self.granted
             .get(worker)
@@ -57,13 +59,13 @@
 }
 
 impl Owner {
-    /// Returns true when a task's queue needs permits.
+    /// Returns true when the queue of a task requires permits.
     fn needs_permit(&self, key: TaskKey) -> bool {
         self.jobs[&key.job].row.queue.advised
     }
 
-    /// Returns true when a task may be placed: it needs no permit, or some
-    /// worker has one. Asks for permits otherwise.
+    /// Returns true when a task needs no permit or some worker has one. Queries permits
+    /// otherwise.
     pub(super) fn ensure_permitted(&mut self, key: TaskKey) -> bool {
         if !self.needs_permit(key) {
             return true;
@@ -77,7 +79,7 @@
         false
     }
 
-    /// Asks for more permits of a step whose good workers are full.
+    /// Queries further permits for a task that fits on no worker with a permit.
     pub(super) fn query_more_permits(&mut self, key: TaskKey) {
         if self.needs_permit(key) {
             self.query_permits(key);
@@ -111,28 +113,28 @@
         }));
     }
 
-    /// Returns the workers to ask about: good ones whose permits have ended,
-    /// then unknown ones, those with most room first.
+    /// Returns the workers to query: first those whose permits have expired, then unknown ones,
+    /// each group by decreasing headroom.
     fn workers_to_query(&self, key: TaskKey) -> Vec<Name> {
         let known = &self.permits[&key.step_key()];
         let resources = self.jobs[&key.job].step(key).reserved();
         let now = self.now.steady;
         let open = |name: &Name| !known.denied.contains(name) && !known.allows(name, now);
-        let able = self.candidate_workers(key).into_iter().filter(open);
-        let mut able: Vec<Name> = able.collect();
-        able.sort_by_key(|name| {
+        let workers = self.candidate_workers(key).into_iter().filter(open);
+        let mut workers: Vec<Name> = workers.collect();
+        workers.sort_by_key(|name| {
             let free = self.workers[name].headroom(resources);
             (!known.granted.contains_key(name), std::cmp::Reverse(free))
         });
-        able.truncate(MAX_QUERY_WORKERS);
-        able
+        workers.truncate(MAX_QUERY_WORKERS);
+        workers
     }
 
-    /// Takes in what the advisor said about the workers that it was asked about.
+    /// Processes the reply of the advisor to a query about the workers `asked`.
     pub(super) fn handle_advice(&mut self, step: StepKey, asked: Vec<Name>, reply: Reply<Advice>) {
         let now = self.now.steady;
         let name = self.step_name(step);
-        // Without it, the job is over.
+        // The entry is removed when the job ends.
         let Some(known) = self.permits.get_mut(&step) else {
             return;
         };
@@ -142,31 +144,25 @@
             known.next_query = now + RETRY_PAUSE;
             return;
         };
-        let end = sent + advice.valid_for;
+        let expires = sent + advice.valid_for;
         let good = advice.permits.len();
         log::info!(target: "task", "step={name} event=advice good={good} asked={} valid_ms={}", asked.len(), advice.valid_for);
         known.denied.extend(asked);
         for (worker, token) in advice.permits {
             known.denied.remove(&worker);
-            known.granted.insert(
-                worker,
-                Permit {
-                    token,
-                    expires: end,
-                },
-            );
+            known.granted.insert(worker, Permit { token, expires });
         }
         self.saturated = false;
     }
 
-    /// Returns the name of a step as the advisor knows it.
+    /// Returns the name by which the advisor knows a step.
     fn step_name(&self, step: StepKey) -> String {
         let id = self.jobs.get(&step.job).map_or("", |job| &job.id);
         format!("{id}.{}.{}", step.round, step.step)
     }
 
-    /// Returns the permit for a start on a worker; empty where none is needed,
-    /// none where it has ended.
+    /// Returns the permit token for a start on a worker. It is empty when no permit is needed, and
+    /// `None` when the permit has expired.
     pub(super) fn permit_token(&self, key: TaskKey, worker: &str) -> Option<Name> {
         if !self.needs_permit(key) {
             return Some("".into());
@@ -176,14 +172,14 @@
         (now < permit.expires).then(|| permit.token.clone())
     }
 
-    /// Forgets what holds for one life of a worker.
+    /// Removes the permits of a worker, which are valid for one incarnation only.
     pub(super) fn forget_permits(&mut self, worker: &str) {
         for known in self.permits.values_mut() {
             known.granted.remove(worker);
         }
     }
 
-    /// Takes in that a worker did not accept a permit.
+    /// Marks the permit of a worker as expired, after the worker rejected it.
     pub(super) fn invalidate_permit(&mut self, key: TaskKey, worker: &str) {
         let known = self.permits.get_mut(&key.step_key());
         if let Some(permit) = known.and_then(|k| k.granted.get_mut(worker)) {
--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -1,8 +1,8 @@
-//! Making room for tasks that fit nowhere, at the cost of others.
+//! Preemption: stops runs to free resources for waiting tasks that fit nowhere.
 //!
-//! Tasks of a worse priority give way, and among equals tasks that last: they
-//! lose only the time that they are away, while a task that ends loses all that
-//! it is worth with its due time.
+//! Tasks of a lower priority are preempted, and lasting tasks of an equal one. A lasting task
+//! only loses the time in which it does not run, while a task that ends loses all of its value
+//! if it misses its due time.
 
 use super::job::{StepKey, TaskKey};
 use super::owner::Owner;
@@ -13,44 +13,44 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds that a run is left alone: a stop and another start take about
-/// one second, which has to be worth it.
+/// Milliseconds that a run lasts at least before it is preempted. A stop and the next start take
+/// about one second, so that preempting shorter runs would cost more than it gains.
 pub(super) const MIN_RUN_TIME: Millis = 3_000;
-/// One in so many lasting tasks of all may be away for others at once.
+/// Divides the number of lasting tasks: this part of them may be interrupted at the same time.
 const INTERRUPTED_DIVISOR: usize = 12;
-/// Milliseconds after which a lasting task that gave way takes the room of
-/// another, so that each is away for a short while only.
+/// Milliseconds after which an interrupted lasting task may preempt another one, so that each is
+/// interrupted for a short time only.
 const TURN_LENGTH: Millis = 2_500;
-/// Waiting tasks for which room is looked for in one pass of placing, as each
-/// looks at all that runs.
+/// Most waiting tasks for which one placement pass searches victims, as each search examines all
+/// runs.
 const MAX_SEARCHES: usize = 6;
 
-/// Room on a worker that is being made for a task.
+/// Resources of a worker that are kept for a waiting task.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
-    /// The task that it is for.
+    /// The task that they are kept for.
     pub key: TaskKey,
-    /// What the task needs.
+    /// Resources that the task reserves.
     pub resources: Resources,
 }
 
-/// A run that could give way, and what that costs: lower is better.
+/// Cost of preempting a run, its task and its worker. The run with the lowest cost is preempted.
 type Victim = (u64, TaskKey, Name);
 
-/// The search for runs that give way in one pass of placing. Tasks of a step come one after
-/// the other, and what could give way for one could for the next, so that one search a step
-/// keeps passes short on full workers.
+/// Search for victims in one placement pass. The tasks of a step follow each other in the order
+/// and have the same possible victims, so that one search per step keeps passes short on full
+/// workers.
 pub(super) struct VictimSearch {
-    /// Tasks for which room may still be made.
+    /// Number of tasks for which resources may still be freed.
     searches_left: usize,
-    /// For what the runs below were found: the step, and whether lasting tasks may be away.
+    /// What `victims` were found for: the step, and whether lasting tasks may be interrupted.
     searched_for: Option<(StepKey, bool)>,
-    /// Runs that could give way, the least cost last.
+    /// Runs that could be preempted, the lowest cost last.
     victims: Vec<Victim>,
 }
 
 impl VictimSearch {
-    /// Returns the search of a pass that begins.
+    /// Returns the search for a new pass.
     pub fn new() -> Self {
         Self {
             searches_left: MAX_SEARCHES,
@@ -59,47 +59,47 @@
         }
     }
 
-    /// Returns true when room is made for no more tasks in this pass.
+    /// Returns true when resources are freed for no more tasks in this pass.
     pub fn is_exhausted(&self) -> bool {
         self.searches_left == 0
     }
 }
 
 impl Owner {
-    /// Forgets promises to tasks that do not wait any more, and which lasting
-    /// tasks were away that run again.
+    /// Removes reservations for tasks that no longer wait, and unmarks interrupted tasks that run
+    /// again.
     pub(super) fn prune_reservations(&mut self) {
         let stops = |key| {
             let stage = self.placement_of(key).map(|run| run.stage);
             matches!(stage, Some(Stage::Stopping(_) | Stage::Stopped(_)))
         };
         let waits = |key: &TaskKey| self.ready.contains_key(key) || stops(*key);
-        let settled = self.reservations.iter().filter(|(key, _)| !waits(key));
-        let settled: Vec<(TaskKey, Name)> = settled.map(|(k, n)| (*k, n.clone())).collect();
+        let obsolete = self.reservations.iter().filter(|(key, _)| !waits(key));
+        let obsolete: Vec<(TaskKey, Name)> = obsolete.map(|(k, n)| (*k, n.clone())).collect();
         let runs = |key: &TaskKey| self.placement_of(*key).is_none_or(Placement::is_running);
-        let back = |key: &&TaskKey| !self.ready.contains_key(*key) && runs(key);
-        let returned: Vec<TaskKey> = self.interrupted.iter().filter(back).copied().collect();
-        for (key, name) in settled {
+        let resumed = |key: &&TaskKey| !self.ready.contains_key(*key) && runs(key);
+        let resumed: Vec<TaskKey> = self.interrupted.iter().filter(resumed).copied().collect();
+        for (key, name) in obsolete {
             self.reservations.remove(&key);
             let worker = self.workers.get_mut(&name);
             if let Some(worker) = worker.filter(|w| w.reserved_task() == Some(key)) {
                 worker.reservation = None;
             }
         }
-        for key in returned {
+        for key in resumed {
             self.interrupted.remove(&key);
         }
     }
 
-    /// Has a task look for room elsewhere for which it was made on a worker.
+    /// Cancels the reservation on a worker, so that its task may be placed elsewhere.
     pub(super) fn cancel_reservation(&mut self, name: &Name) {
         let worker = self.workers.get_mut(name);
-        if let Some(promise) = worker.and_then(|w| w.reservation.take()) {
-            self.reservations.remove(&promise.key);
+        if let Some(reservation) = worker.and_then(|w| w.reservation.take()) {
+            self.reservations.remove(&reservation.key);
         }
     }
 
-    /// Keeps room on a worker for a task.
+    /// Reserves resources of a worker for a task.
     pub(super) fn reserve_on(&mut self, key: TaskKey, resources: Resources, name: &Name) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -108,7 +108,7 @@
         self.reservations.insert(key, name.clone());
     }
 
-    /// Makes room for a waiting task that fits nowhere.
+    /// Preempts a run for a waiting task that fits nowhere, if the task may preempt others.
     pub(super) fn free_resources_for(&mut self, key: TaskKey, search: &mut VictimSearch) {
         if search.searches_left == 0 {
             return;
@@ -131,18 +131,18 @@
         }
     }
 
-    /// Stops the run that takes the room of a waiting task at the least cost.
+    /// Stops the run with the lowest cost that frees enough resources for a waiting task.
     fn preempt(&mut self, key: TaskKey, search: &mut VictimSearch) {
         if !self.settings.mechanisms.preempt {
             return;
         }
         let step = self.jobs[&key.job].step(key);
         let resources = step.reserved();
-        let spare = self.may_interrupt_lasting() || self.interrupted.contains(&key);
-        let kind = (key.step_key(), spare);
+        let spare_lasting = self.may_interrupt_lasting() || self.interrupted.contains(&key);
+        let kind = (key.step_key(), spare_lasting);
         if search.searched_for != Some(kind) {
             search.searched_for = Some(kind);
-            search.victims = self.victims(key, resources, spare);
+            search.victims = self.victims(key, resources, spare_lasting);
             self.workers_examined += self.workers.len() as u64;
         }
         let Some((_, victim, name)) = self.next_victim(search, resources) else {
@@ -158,10 +158,10 @@
         self.stop_task(victim);
     }
 
-    /// Returns the run whose end makes room for a task of the searched step at the least
-    /// cost. Meanwhile others may have been stopped, and room promised.
+    /// Returns the run with the lowest cost that frees enough resources for a task of the searched
+    /// step. Runs may have been stopped and resources reserved since the search.
     fn next_victim(&self, search: &mut VictimSearch, resources: Resources) -> Option<Victim> {
-        let gives = |(_, key, name): &Victim| {
+        let still_valid = |(_, key, name): &Victim| {
             let Some(worker) = self.workers.get(name) else {
                 return false;
             };
@@ -169,53 +169,55 @@
             run.is_some_and(|run| worker.fits_without(run, resources)) && self.may_disrupt(*key)
         };
         while let Some(victim) = search.victims.pop() {
-            if gives(&victim) {
+            if still_valid(&victim) {
                 return Some(victim);
             }
         }
         None
     }
 
-    /// Returns the runs any of which could give way to a task, the least cost last.
-    fn victims(&self, key: TaskKey, resources: Resources, spare: bool) -> Vec<Victim> {
-        let mut victims: Vec<Victim> = self.with_request(key, "", |wish| {
-            let able = |w: &&Worker| could_run(w, wish, self.now.steady);
-            let workers = self.workers.values().filter(able);
-            let victims = workers.flat_map(|w| self.victims_on(w, key, resources, spare));
+    /// Returns the runs any of which could be preempted for a task, the lowest cost last.
+    fn victims(&self, key: TaskKey, resources: Resources, spare_lasting: bool) -> Vec<Victim> {
+        let mut victims: Vec<Victim> = self.with_request(key, "", |request| {
+            let candidate = |w: &&Worker| could_run(w, request, self.now.steady);
+            let workers = self.workers.values().filter(candidate);
+            let victims = workers.flat_map(|w| self.victims_on(w, key, resources, spare_lasting));
             victims.collect()
         });
         victims.sort_unstable_by(|a, b| b.cmp(a));
         victims
     }
 
-    /// Returns the runs on a worker any of which could give way to a task; lasting ones
-    /// are among them if some can be spared.
+    /// Returns the runs on a worker any of which could be preempted for a task. Lasting ones are
+    /// among them if `spare_lasting` is true.
     fn victims_on(
         &self,
         worker: &Worker,
         key: TaskKey,
         resources: Resources,
-        spare: bool,
+        spare_lasting: bool,
     ) -> Vec<Victim> {
         let now = self.now.steady;
         let name = &worker.listing.id;
         let permits = self.permits.get(&key.step_key());
-        let able = worker.placements.len() > worker.non_preemptible(spare);
-        if !able || permits.is_some_and(|p| !p.allows(name, now)) {
+        let any = worker.placements.len() > worker.non_preemptible(spare_lasting);
+        if !any || permits.is_some_and(|p| !p.allows(name, now)) {
             return Vec::new();
         }
-        let rested =
-            |run: &Placement| now >= run.placed_at + MIN_RUN_TIME && (spare || !run.lasting);
+        let preemptible = |run: &Placement| {
+            now >= run.placed_at + MIN_RUN_TIME && (spare_lasting || !run.lasting)
+        };
         let runs = worker.placements.iter();
-        let able = runs.filter(|(_, run)| worker.fits_without(run, resources) && rested(run));
-        let costs = able.filter_map(|(victim, run)| {
+        let victims =
+            runs.filter(|(_, run)| worker.fits_without(run, resources) && preemptible(run));
+        let costs = victims.filter_map(|(victim, run)| {
             let cost = self.preemption_cost(key, *victim, run)?;
             Some((cost, *victim, name.clone()))
         });
         costs.collect()
     }
 
-    /// Returns what stopping a run for a task costs; none when it may not be.
+    /// Returns the cost of stopping a run for a task, or `None` when it may not be stopped.
     fn preemption_cost(&self, key: TaskKey, victim: TaskKey, run: &Placement) -> Option<u64> {
         let own = self.jobs.get(&key.job)?.row.queue.priority;
         let job = self.jobs.get(&victim.job).filter(|j| j.is_open())?;
@@ -228,7 +230,7 @@
             return None;
         }
         if step.lasting {
-            // One that does badly where it is loses least.
+            // A task over its latency target loses least, as it runs badly on this worker.
             let over = run.gauge.as_ref().is_some_and(|g| g.breach.is_some());
             return Some(if over { run.cpu / 2 } else { run.cpu });
         }
@@ -240,14 +242,14 @@
         })
     }
 
-    /// Returns true when one more lasting task may be away for others: few are,
-    /// and those come back in time.
+    /// Returns true when another lasting task may be interrupted: few are, and none of them waits
+    /// for long.
     fn may_interrupt_lasting(&self) -> bool {
-        let long = |key: &TaskKey| {
+        let waits_long = |key: &TaskKey| {
             let since = self.ready.get(key);
             since.is_some_and(|at| self.now.steady >= at + TURN_LENGTH)
         };
-        if self.interrupted.iter().any(long) {
+        if self.interrupted.iter().any(waits_long) {
             return false;
         }
         let all: u32 = self.workers.values().map(|w| w.lasting_tasks).sum();
