--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -8,7 +8,7 @@
 use super::runs::{Report, Run, RunId, RunPhase};
 use super::shard::JobShard;
 use super::{Action, Policy, Shape};
-use crate::harm::{Harm, Sample};
+use crate::interference::{Harm, Sample};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 use crate::utils::random::Random;
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -12,7 +12,7 @@
 use super::owner_row::{READ_TIMEOUT, STORE_PAUSE, adopt_owner, pause_after_failure, read_owner};
 use super::pings::{self, PING_INTERVAL};
 use super::shared::{KnownOwner, Loading, STORE_PART, Shared, now};
-use crate::harm::Known;
+use crate::interference::Known;
 use crate::platform::store::{PAGE, Page};
 use crate::proto::PingRequest;
 use crate::sched::failover::{self, OwnerProgress};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod entry;
 pub mod explain;
 pub mod guard;
-pub mod harm;
+pub mod interference;
 pub mod invariant;
 pub mod job;
 pub mod lease;
--- a/src/sched/interference.rs
+++ b/src/sched/interference.rs
@@ -13,7 +13,7 @@
 use super::loads::DEFAULT_LOAD;
 use super::spec::StepSpec;
 use super::worker::{ImageShares, Worker};
-use crate::harm::{Harm, Known, Model};
+use crate::interference::{Harm, Known, Model};
 use crate::utils::Name;
 
 /// Prior of the factor of a pair of images, and the noise of one report: shares and tails are
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -20,7 +20,7 @@
 use super::starts::Deferral;
 use super::worker::{Worker, max_lease_duration};
 use crate::cordons::Halls;
-use crate::harm::Known;
+use crate::interference::Known;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
