--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -3,7 +3,7 @@
 //! `cargo bench --bench policy` drives one cell of eight stand-in workers with
 //! requests and batch tasks of four kinds, some of which hurt the service. All
 //! policies see the same arrivals. Service times follow the stand-in's table
-//! of harm, which no policy but the oracle knows.
+//! of interference, which no policy but the oracle knows.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -87,8 +87,8 @@
     );
     for kind in KINDS {
         println!(
-            "true harm of {kind} to {SERVICES}: {}",
-            Worker::harm(SERVICES, kind)
+            "true interference of {kind} with {SERVICES}: {}",
+            Worker::interference(SERVICES, kind)
         );
     }
     for load in [0.5, 0.8, 0.95, 1.2] {
@@ -381,12 +381,12 @@
     }
 }
 
-/// Returns the true table of harm as samples without noise or lag.
+/// Returns the true table of interference as samples without noise or lag.
 fn oracle() -> Vec<Sample> {
     let sample = |kind: &&str, busy| Sample {
         kind: SERVICES.into(),
         others: vec![(*kind).into()],
-        slowdown: 1.0 + Worker::harm(SERVICES, kind),
+        slowdown: 1.0 + Worker::interference(SERVICES, kind),
         busy,
     };
     let both = |kind| [sample(kind, true), sample(kind, false)];
--- a/src/cell.rs
+++ b/src/cell.rs
@@ -17,7 +17,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use crate::interference::{Harm, Sample};
+pub use crate::interference::{InterferenceEstimates, Sample};
 pub use requests::{Ask, Class, Sent};
 pub use room::Worker;
 pub use runs::{Called, Report, Run, RunId, RunPhase, RunState};
--- a/src/cell/relief.rs
+++ b/src/cell/relief.rs
@@ -52,13 +52,15 @@
     fn slow_down(&self, now: Millis, worker: &Worker) -> Option<(Name, RunId, Option<u32>)> {
         let busy = worker.crowded();
         let services: Vec<&Name> = worker.active.values().map(|a| &a.service).collect();
-        let harm = |r: &Run| -> f64 {
-            let known = services.iter().map(|s| self.harm.of(s, &r.kind, busy));
+        let interference = |r: &Run| -> f64 {
+            let known = services
+                .iter()
+                .map(|s| self.interference.upper_estimate(s, &r.kind, busy));
             known.fold(0.0, f64::max) * f64::from(r.share)
         };
         let worst = worker
             .running()
-            .max_by(|a, b| harm(a).total_cmp(&harm(b)))?;
+            .max_by(|a, b| interference(a).total_cmp(&interference(b)))?;
         if worst.share > LOWEST {
             let share = (worst.share / 2).max(LOWEST);
             return Some((worker.name.clone(), worst.id, Some(share)));
--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -239,7 +239,10 @@
         let busy = worker.crowded();
         let hurt: f64 = worker
             .running()
-            .map(|r| self.harm.of(service, &r.kind, busy) * f64::from(r.share) / f64::from(WHOLE))
+            .map(|r| {
+                self.interference.upper_estimate(service, &r.kind, busy) * f64::from(r.share)
+                    / f64::from(WHOLE)
+            })
             .sum();
         let mean = self.means.get(service).copied().unwrap_or(GUESS);
         let measured = (worker.latency / mean - 1.0).clamp(0.0, 4.0);
--- a/src/cell/start.rs
+++ b/src/cell/start.rs
@@ -224,14 +224,14 @@
                 let index = self.turn.checked_rem(count).unwrap_or(0) as usize;
                 candidates.get(index).copied()
             }
-            Pick::Learned => return self.least_harm(now, candidates, &wanted),
+            Pick::Learned => return self.least_interference(now, candidates, &wanted),
         };
         chosen.map(|w| (w.name.clone(), WHOLE))
     }
 
     /// Returns the worker on which a task would hurt least, and the largest
     /// share at which that is bearable.
-    fn least_harm(
+    fn least_interference(
         &self,
         now: Millis,
         workers: Vec<&Worker>,
@@ -265,10 +265,10 @@
                 .values()
                 .map(|r| {
                     let share = f64::from(r.share) / f64::from(WHOLE);
-                    self.harm.of(service, &r.kind, busy) * share
+                    self.interference.upper_estimate(service, &r.kind, busy) * share
                 })
                 .sum();
-            let added = self.harm.of(service, kind, busy);
+            let added = self.interference.upper_estimate(service, kind, busy);
             if present + added > worst.0 + worst.1 {
                 worst = (present, added);
             }
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -8,7 +8,7 @@
 use super::runs::{Report, Run, RunId, RunPhase};
 use super::shard::JobShard;
 use super::{Action, Policy, Shape};
-use crate::interference::{Harm, Sample};
+use crate::interference::{InterferenceEstimates, Sample};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 use crate::utils::random::Random;
@@ -120,7 +120,7 @@
     /// Tasks finished under this epoch.
     pub finished: u64,
     /// Learned interference.
-    pub harm: Harm,
+    pub interference: InterferenceEstimates,
     /// Mean answer time of each service in microseconds.
     pub means: HashMap<Name, f64>,
     /// When a request to each service last came.
@@ -158,7 +158,7 @@
             closed: BTreeMap::new(),
             evictions: 0,
             finished: 0,
-            harm: Harm::default(),
+            interference: InterferenceEstimates::default(),
             means: HashMap::new(),
             used: BTreeMap::new(),
             slowdowns: BTreeMap::new(),
@@ -333,7 +333,7 @@
 
     fn measure(&mut self, name: &Name, reply: &SyncResult) {
         for sample in &reply.samples {
-            self.harm.learn(sample);
+            self.interference.learn(sample);
             let slow = self.slowdowns.entry(name.clone()).or_insert(1.0);
             *slow += SMOOTH * (sample.slowdown - *slow);
         }
--- a/src/cell/tests.rs
+++ b/src/cell/tests.rs
@@ -336,8 +336,8 @@
 }
 
 #[test]
-fn harm_is_learned_from_noisy_samples() {
-    let mut harm = Harm::default();
+fn interference_is_learned_from_noisy_samples() {
+    let mut estimates = InterferenceEstimates::default();
     let mut random = crate::utils::random::Random::new(7);
     let truth = |kind: &str| if kind == "loud" { 1.0 } else { 0.05 };
     for _ in 0..400 {
@@ -349,15 +349,15 @@
         }
         let sum: f64 = others.iter().map(|k| truth(k)).sum();
         let noise = (random.unit() - 0.5) * 0.4;
-        harm.learn(&Sample {
+        estimates.learn(&Sample {
             kind: "s".into(),
             others,
             slowdown: 1.0 + sum + noise,
             busy: false,
         });
     }
-    let (loud, _) = harm.estimated("s", "loud", false);
-    let (calm, _) = harm.estimated("s", "calm", false);
+    let (loud, _) = estimates.mean_and_variance("s", "loud", false);
+    let (calm, _) = estimates.mean_and_variance("s", "calm", false);
     assert!((loud - 1.0).abs() < 0.15, "{loud}");
     assert!((calm - 0.05).abs() < 0.15, "{calm}");
 }
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -12,7 +12,7 @@
 use super::owner_row::{READ_TIMEOUT, STORE_PAUSE, adopt_owner, pause_after_failure, read_owner};
 use super::pings::{self, PING_INTERVAL};
 use super::shared::{KnownOwner, Loading, STORE_PART, Shared, now};
-use crate::interference::Known;
+use crate::interference::PairEstimate;
 use crate::platform::store::{PAGE, Page};
 use crate::proto::PingRequest;
 use crate::sched::failover::{self, OwnerProgress};
@@ -43,7 +43,7 @@
     /// Ids of jobs whose rows do not decode.
     pub unreadable: Vec<Name>,
     /// Learned interference between images.
-    pub interference: Vec<Known>,
+    pub interference: Vec<PairEstimate>,
 }
 
 /// Writes this box into the owner's row if that row is still `before`, and takes over if the
--- a/src/interference.rs
+++ b/src/interference.rs
@@ -1,4 +1,4 @@
-//! How much one kind of work slows another, learned from measurements.
+//! Learns how much each kind of work slows down each other kind beside it on a worker.
 
 use std::collections::HashMap;
 
@@ -6,23 +6,23 @@
 
 use crate::utils::Name;
 
-/// What is assumed before and about measurements.
+/// Parameters of the estimation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Model {
-    /// Harm assumed of a pair that was never seen together.
+pub struct ModelParameters {
+    /// Interference assumed for a pair of kinds that was never measured.
     pub prior: f64,
-    /// Variance of that assumption.
+    /// Variance of the prior.
     pub variance: f64,
     /// Variance of one measurement.
     pub noise: f64,
-    /// Variance that a pair gains with each measurement, as harm shifts with load.
+    /// Variance that a pair gains with each measurement, because interference shifts with load.
     pub drift: f64,
-    /// Standard deviations added to an estimate when caution is asked for.
+    /// Standard deviations that [`InterferenceEstimates::upper_estimate`] adds to the mean.
     pub caution: f64,
 }
 
-impl Default for Model {
-    /// Suits slowdowns of whole tasks, where 1 is a task alone.
+impl Default for ModelParameters {
+    /// Returns parameters for slowdowns of whole tasks, where 1 is a task that runs alone.
     fn default() -> Self {
         Self {
             prior: 0.15,
@@ -34,31 +34,31 @@
     }
 }
 
-/// One measurement of a worker.
+/// One measurement of the slowdown of a kind of work on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sample {
     /// Kind that was measured.
     pub kind: Name,
     /// Kinds that ran beside it.
     pub others: Vec<Name>,
-    /// Run time over the run time alone; 1 when nothing hurt it.
+    /// Run time divided by the run time alone; 1 without interference.
     pub slowdown: f64,
     /// True when the worker was more than half busy with requests.
     pub busy: bool,
 }
 
-/// An estimate as it is kept.
+/// The estimate for one pair of kinds, as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Known {
-    /// Kind that suffers.
+pub struct PairEstimate {
+    /// Kind that is slowed down.
     pub victim: Name,
-    /// Kind that it suffers from.
+    /// Kind that causes the slowdown.
     pub culprit: Name,
     /// True for the band of high load.
     pub busy: bool,
-    /// Expected harm.
+    /// Expected slowdown above 1.
     pub mean: f64,
-    /// Variance of that.
+    /// Variance of the mean.
     pub variance: f64,
 }
 
@@ -75,66 +75,69 @@
     variance: f64,
 }
 
-/// Estimates of harm for each pair of kinds and load band.
+/// Estimates of the interference for each pair of kinds and load band.
 ///
-/// The model is additive: the slowdown of a kind is 1 plus the harm of each
-/// kind beside it, weighted by its share. Each measurement moves the estimates
-/// by a Kalman step with a diagonal covariance, so that uncertain pairs move
+/// The model is additive: the slowdown of a kind is 1 plus the interference of each
+/// kind beside it, weighted by its share. Each measurement updates the estimates
+/// by a Kalman step with a diagonal covariance, so that uncertain pairs change
 /// most.
 #[derive(Clone, Debug, Default)]
-pub struct Harm {
-    model: Model,
+pub struct InterferenceEstimates {
+    parameters: ModelParameters,
+    /// Index of each kind in the keys of `pairs`.
     kinds: HashMap<Name, u32>,
     pairs: HashMap<Pair, Estimate>,
 }
 
-impl Harm {
-    /// Returns estimates that start from a model.
-    pub fn new(model: Model) -> Self {
+impl InterferenceEstimates {
+    /// Returns estimates without measurements.
+    pub fn new(parameters: ModelParameters) -> Self {
         Self {
-            model,
+            parameters,
             ..Self::default()
         }
     }
 
-    /// Returns the expected harm of `culprit` to `victim`, with caution added.
-    pub fn of(&self, victim: &str, culprit: &str, busy: bool) -> f64 {
+    /// Returns the mean plus `caution` standard deviations of the slowdown above 1 that
+    /// `culprit` causes `victim`; at least 0.
+    pub fn upper_estimate(&self, victim: &str, culprit: &str, busy: bool) -> f64 {
         let estimate = self.estimate(victim, culprit, busy);
-        (estimate.mean + self.model.caution * estimate.variance.sqrt()).max(0.0)
+        (estimate.mean + self.parameters.caution * estimate.variance.sqrt()).max(0.0)
     }
 
-    /// Returns the estimate without caution and its variance.
-    pub fn estimated(&self, victim: &str, culprit: &str, busy: bool) -> (f64, f64) {
+    /// Returns the mean and variance of the slowdown above 1 that `culprit` causes `victim`.
+    pub fn mean_and_variance(&self, victim: &str, culprit: &str, busy: bool) -> (f64, f64) {
         let estimate = self.estimate(victim, culprit, busy);
         (estimate.mean, estimate.variance)
     }
 
-    /// Takes in a measurement in which each kind beside it counts alike.
+    /// Updates the estimates by a sample; all of its `others` have equal weights.
     pub fn learn(&mut self, sample: &Sample) {
         if sample.others.is_empty() || !sample.slowdown.is_finite() {
             return;
         }
         let others: Vec<(Name, f64)> = sample.others.iter().map(|o| (o.clone(), 1.0)).collect();
-        let suffered = sample.slowdown - 1.0;
-        self.learn_weighted(&sample.kind, &others, suffered, sample.busy, 0.0);
+        let excess = sample.slowdown - 1.0;
+        self.learn_weighted(&sample.kind, &others, excess, sample.busy, 0.0);
     }
 
-    /// Takes in what a kind suffered beside others with their weights, known with a
-    /// variance beyond the noise of one measurement.
+    /// Updates the estimates by the measured slowdown above 1 (`excess`) of `victim` beside
+    /// `others`, which are kinds with their weights. The measurement's variance is `variance`
+    /// plus the noise of the parameters.
     pub fn learn_weighted(
         &mut self,
         victim: &Name,
         others: &[(Name, f64)],
-        suffered: f64,
+        excess: f64,
         busy: bool,
         variance: f64,
     ) {
-        let noise = self.model.noise + variance;
-        let victim = self.kind(victim);
+        let noise = self.parameters.noise + variance;
+        let victim = self.kind_index(victim);
         let pairs: Vec<(Pair, f64)> = others
             .iter()
             .map(|(other, weight)| {
-                let culprit = self.kind(other);
+                let culprit = self.kind_index(other);
                 let pair = Pair {
                     victim,
                     culprit,
@@ -143,61 +146,64 @@
                 (pair, *weight)
             })
             .collect();
-        let unseen = self.unseen();
-        let known = |p: &Pair| self.pairs.get(p).copied().unwrap_or(unseen);
-        let expected: f64 = pairs.iter().map(|(p, w)| w * known(p).mean).sum();
-        let spread: f64 = pairs.iter().map(|(p, w)| w * w * known(p).variance).sum();
-        let error = suffered - expected;
+        let prior = self.prior();
+        let estimate = |p: &Pair| self.pairs.get(p).copied().unwrap_or(prior);
+        let expected: f64 = pairs.iter().map(|(p, w)| w * estimate(p).mean).sum();
+        let uncertainty: f64 = pairs
+            .iter()
+            .map(|(p, w)| w * w * estimate(p).variance)
+            .sum();
+        let error = excess - expected;
         for (pair, weight) in pairs {
-            let estimate = self.pairs.entry(pair).or_insert(unseen);
-            let gain = weight * estimate.variance / (spread + noise);
+            let estimate = self.pairs.entry(pair).or_insert(prior);
+            let gain = weight * estimate.variance / (uncertainty + noise);
             estimate.mean += gain * error;
-            estimate.variance = estimate.variance * (1.0 - gain * weight) + self.model.drift;
+            estimate.variance = estimate.variance * (1.0 - gain * weight) + self.parameters.drift;
         }
     }
 
-    /// Returns all estimates, to be kept.
-    pub fn export(&self) -> Vec<Known> {
+    /// Returns all estimates in the form in which they are stored.
+    pub fn export(&self) -> Vec<PairEstimate> {
         let names: HashMap<u32, &Name> = self.kinds.iter().map(|(n, k)| (*k, n)).collect();
-        let known = |(pair, estimate): (&Pair, &Estimate)| Known {
+        let exported = |(pair, estimate): (&Pair, &Estimate)| PairEstimate {
             victim: names[&pair.victim].clone(),
             culprit: names[&pair.culprit].clone(),
             busy: pair.busy,
             mean: estimate.mean,
             variance: estimate.variance,
         };
-        let mut all: Vec<Known> = self.pairs.iter().map(known).collect();
+        let mut all: Vec<PairEstimate> = self.pairs.iter().map(exported).collect();
         all.sort_by(|a, b| (&a.victim, &a.culprit).cmp(&(&b.victim, &b.culprit)));
         all
     }
 
-    /// Takes in estimates that were kept.
-    pub fn import(&mut self, all: Vec<Known>) {
-        for known in all {
+    /// Adds stored estimates; they replace those of the same pairs.
+    pub fn import(&mut self, all: Vec<PairEstimate>) {
+        for stored in all {
             let pair = Pair {
-                victim: self.kind(&known.victim),
-                culprit: self.kind(&known.culprit),
-                busy: known.busy,
+                victim: self.kind_index(&stored.victim),
+                culprit: self.kind_index(&stored.culprit),
+                busy: stored.busy,
             };
             let estimate = Estimate {
-                mean: known.mean,
-                variance: known.variance,
+                mean: stored.mean,
+                variance: stored.variance,
             };
             self.pairs.insert(pair, estimate);
         }
     }
 
-    fn unseen(&self) -> Estimate {
+    fn prior(&self) -> Estimate {
         Estimate {
-            mean: self.model.prior,
-            variance: self.model.variance,
+            mean: self.parameters.prior,
+            variance: self.parameters.variance,
         }
     }
 
     fn estimate(&self, victim: &str, culprit: &str, busy: bool) -> Estimate {
         let ids = self.kinds.get(victim).zip(self.kinds.get(culprit));
         let Some((&victim, &culprit)) = ids else {
-            return self.unseen();
+            return self.prior();
         };
         let pair = |busy| Pair {
             victim,
@@ -205,12 +211,13 @@
             busy,
         };
         let exact = self.pairs.get(&pair(busy));
-        // The other band tells more than nothing.
-        let near = exact.or_else(|| self.pairs.get(&pair(!busy)));
-        near.copied().unwrap_or_else(|| self.unseen())
+        // Without an estimate in this load band, the other band's is closer than the prior.
+        let nearest = exact.or_else(|| self.pairs.get(&pair(!busy)));
+        nearest.copied().unwrap_or_else(|| self.prior())
     }
 
-    fn kind(&mut self, name: &Name) -> u32 {
+    /// Returns the index of a kind; a new kind gets the next one.
+    fn kind_index(&mut self, name: &Name) -> u32 {
         let next = self.kinds.len() as u32;
         *self.kinds.entry(name.clone()).or_insert(next)
     }
--- a/src/sched/interference.rs
+++ b/src/sched/interference.rs
@@ -13,12 +13,12 @@
 use super::loads::DEFAULT_LOAD;
 use super::spec::StepSpec;
 use super::worker::{ImageShares, Worker};
-use crate::interference::{Harm, Known, Model};
+use crate::interference::{InterferenceEstimates, ModelParameters, PairEstimate};
 use crate::utils::Name;
 
 /// Prior of the factor of a pair of images, and the noise of one report: shares and tails are
 /// imprecise.
-const MODEL: Model = Model {
+const MODEL: ModelParameters = ModelParameters {
     prior: 1.0,
     variance: 4.0,
     noise: 0.004,
@@ -39,7 +39,7 @@
 
 /// Interference factors of pairs of images, learned from reports.
 pub struct InterferenceModel {
-    estimates: Harm,
+    estimates: InterferenceEstimates,
     /// Numbers of images by name.
     numbers: HashMap<Name, ImageNumber>,
     /// Cautious factors by victim and culprit, cached because placement reads thousands of them.
@@ -54,7 +54,7 @@
 impl Default for InterferenceModel {
     fn default() -> Self {
         Self {
-            estimates: Harm::new(MODEL),
+            estimates: InterferenceEstimates::new(MODEL),
             numbers: HashMap::new(),
             factors: Vec::new(),
             changed: false,
@@ -76,12 +76,12 @@
 
 impl InterferenceModel {
     /// Returns all estimates for storage if something was learned since the last export.
-    pub fn export(&mut self) -> Option<Vec<Known>> {
+    pub fn export(&mut self) -> Option<Vec<PairEstimate>> {
         std::mem::take(&mut self.changed).then(|| self.estimates.export())
     }
 
     /// Adopts the estimates that an earlier owner stored.
-    pub fn import(&mut self, all: Vec<Known>) {
+    pub fn import(&mut self, all: Vec<PairEstimate>) {
         self.estimates.import(all.clone());
         for known in all {
             self.cache_factor(&known.victim, &known.culprit);
@@ -92,7 +92,7 @@
     fn cache_factor(&mut self, victim: &Name, culprit: &Name) {
         let row = self.intern(victim);
         let column = self.intern(culprit);
-        self.factors[row][column] = self.estimates.of(victim, culprit, false);
+        self.factors[row][column] = self.estimates.upper_estimate(victim, culprit, false);
     }
 
     /// Returns the number of an image, assigning one to an image that has none.
@@ -102,7 +102,7 @@
         }
         let number = self.numbers.len();
         self.numbers.insert(image.clone(), number);
-        let prior = self.estimates.of(image, image, false);
+        let prior = self.estimates.upper_estimate(image, image, false);
         self.factors.iter_mut().for_each(|row| row.push(prior));
         self.factors.push(vec![prior; number + 1]);
         number
@@ -176,7 +176,7 @@
     pub(super) fn mix_load(&self, victim: &str, mix: &ImageShares) -> (f64, f64) {
         let (mut load, mut variance) = (0.0, 0.0);
         for (image, share) in mix {
-            let (mean, spread) = self.estimates.estimated(victim, image, false);
+            let (mean, spread) = self.estimates.mean_and_variance(victim, image, false);
             load += mean * share;
             variance += spread * share * share;
         }
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -20,7 +20,7 @@
 use super::starts::Deferral;
 use super::worker::{Worker, max_lease_duration};
 use crate::cordons::Halls;
-use crate::interference::Known;
+use crate::interference::PairEstimate;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -395,7 +395,7 @@
     }
 
     /// Imports the interference between images that earlier owners learned.
-    pub fn import_interference(&mut self, known: Vec<Known>) {
+    pub fn import_interference(&mut self, known: Vec<PairEstimate>) {
         if self.settings.mechanisms.warm_start {
             self.interference.import(known);
         }
--- a/src/standin/worker/state.rs
+++ b/src/standin/worker/state.rs
@@ -161,7 +161,7 @@
 
     /// Returns the slowdown above 1 that one kind causes another; the truth
     /// that the scheduler has to learn.
-    pub fn harm(victim: &str, culprit: &str) -> f64 {
+    pub fn interference(victim: &str, culprit: &str) -> f64 {
         let hash = stable(&[victim, culprit]) % 100;
         match hash {
             0..=49 => 0.02,
@@ -173,9 +173,9 @@
     /// Returns how many times slower a service is now than alone.
     pub fn slowdown(&self, service: &str) -> f64 {
         let running = self.running();
-        let harm =
-            running.map(|t| Self::harm(service, &t.kind) * f64::from(t.share) / f64::from(WHOLE));
-        1.0 + harm.sum::<f64>()
+        let interference = running
+            .map(|t| Self::interference(service, &t.kind) * f64::from(t.share) / f64::from(WHOLE));
+        1.0 + interference.sum::<f64>()
     }
 
     fn running(&self) -> impl Iterator<Item = &Task> {
