--- a/src/sched/tests.rs
+++ b/src/sched/tests.rs
@@ -19,7 +19,7 @@
 mod predecessors;
 mod random;
 mod resizing;
-mod rolling;
+mod rolling_restart;
 mod suspension;
 mod swaps;
 mod takeover;
