--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -19,19 +19,19 @@
 /// large rows, and starts wait behind their writes.
 const MAX_ARCHIVED: usize = 8;
 
-/// Milliseconds between two writes of the estimates. A new owner without them learns them
-/// again, which takes some seconds of worse placement.
+/// Milliseconds between two writes of the estimates. A new owner needs some seconds to learn
+/// again what was not written.
 const ESTIMATES_INTERVAL: Millis = 3_000;
 
 impl Owner {
     /// Sends the changed rows if a commit is due.
     pub(super) fn commit_if_due(&mut self) {
-        let (jobs, placed) = (&mut self.jobs, &self.placed_on);
+        let (jobs, placed_on) = (&mut self.jobs, &self.placed_on);
         let rows = |number| {
             let Some(job) = jobs.get_mut(&number) else {
                 return Vec::new();
             };
-            job.archived = job.stored && !job.is_open() && is_unplaced(placed, number, job);
+            job.archived = job.stored && !job.is_open() && is_unplaced(placed_on, number, job);
             job_writes(job)
         };
         let Some((number, version, mut writes)) = self.journal.build_commit(self.now.steady, rows)
@@ -109,7 +109,7 @@
     }
 
     /// Marks some finished jobs without placed tasks as changed, so that the next commit
-    /// archives them: jobs left by an earlier release of the software, and jobs whose last
+    /// archives them: jobs left by an earlier version of the software, and jobs whose last
     /// task was freed without a change of the row.
     pub(super) fn archive_finished(&mut self) {
         let finished = |job: &Job| job.stored_outcome != Outcome::Open && !job.archived;
@@ -123,8 +123,9 @@
 }
 
 /// Returns true when no task of a job is known to be on a worker.
-fn is_unplaced(placed: &HashMap<TaskKey, Name>, number: u32, job: &Job) -> bool {
-    !job.tasks(number).any(|(key, _)| placed.contains_key(&key))
+fn is_unplaced(placed_on: &HashMap<TaskKey, Name>, number: u32, job: &Job) -> bool {
+    !job.tasks(number)
+        .any(|(key, _)| placed_on.contains_key(&key))
 }
 
 fn put(table: &'static str, id: &Name, row: &impl Serialize) -> Write {
--- a/src/sched/journal.rs
+++ b/src/sched/journal.rs
@@ -215,8 +215,8 @@
     /// Marks a job as changed, with an action to run once its row is stored.
     pub fn run_after_commit(&mut self, job: u32, action: AfterCommit) {
         self.touch(job);
-        if let Some(list) = self.changed.get_mut(&job) {
-            list.push(action);
+        if let Some(actions) = self.changed.get_mut(&job) {
+            actions.push(action);
         }
     }
 
@@ -250,13 +250,13 @@
 
     /// Returns when the next commit is due; `None` while one is in flight.
     pub fn next_due(&self) -> Option<Millis> {
-        let confirm = match self.queue.is_empty() && !self.is_releasing() {
+        let confirm_at = match self.queue.is_empty() && !self.is_releasing() {
             true => self.next_confirm,
             false => 0,
         };
         self.in_flight
             .is_none()
-            .then_some(self.next_commit.max(confirm))
+            .then_some(self.next_commit.max(confirm_at))
     }
 
     /// Returns the next commit if one is due: its number, the version that the owner's row
@@ -266,9 +266,9 @@
         now: Millis,
         mut rows: impl FnMut(u32) -> Vec<Write>,
     ) -> Option<(u64, u64, Vec<Write>)> {
-        let confirm = now >= self.next_confirm || self.is_releasing();
+        let confirm_due = now >= self.next_confirm || self.is_releasing();
         let blocked = self.in_flight.is_some() || now < self.next_commit || self.released;
-        if blocked || (self.queue.is_empty() && !confirm) {
+        if blocked || (self.queue.is_empty() && !confirm_due) {
             return None;
         }
         self.row.seq += 1;
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -79,8 +79,8 @@
     pub checkpoint: Name,
     /// Percent of the work that is done; for a lasting task its speed in percent once it is ready.
     pub progress: u32,
-    /// Processor share in use over the last half second, or the tail latency in milliseconds
-    /// of a serving task.
+    /// Thousandths of cores in use, or the tail latency in milliseconds of a serving task, over
+    /// the last half second.
     pub gauge: u64,
 }
 
@@ -104,7 +104,7 @@
 /// A run that ended on a worker, with the outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRun {
-    /// Number of the end, counted from the start of the worker's incarnation.
+    /// Number of the completion, counted from the start of the worker's incarnation.
     pub number: u64,
     /// Name of the task.
     pub task: Name,
@@ -252,13 +252,14 @@
     Cordoned(Halls),
     /// A poll ended.
     Polled(Poll, Reply<Report>),
-    /// The order to start a run ended.
+    /// The order to start a run ended: task, number of the run, worker and reply.
     Started(TaskKey, u32, Incarnation, Reply<OrderAck>),
-    /// The order to stop a run ended.
+    /// The order to stop a run ended: task, number of the run, worker and reply.
     Stopped(TaskKey, u32, Incarnation, Reply<OrderAck>),
-    /// A change of speed ended.
+    /// The order to change a run's speed ended: task, number of the run, percent, worker and
+    /// reply.
     Throttled(TaskKey, u32, u32, Incarnation, Reply<OrderAck>),
-    /// A request for advice on these workers ended.
+    /// A request for advice ended: step, workers asked about, and reply.
     Advised(StepKey, Vec<Name>, Reply<Advice>),
     /// The commit with this number ended.
     CommitEnded(u64, CommitOutcome),
@@ -300,7 +301,7 @@
     pub lease: Option<Millis>,
     /// Epoch of the owner.
     pub epoch: u64,
-    /// Highest acknowledged completion, which the worker may forget; 0 for none.
+    /// Highest acknowledged completion, 0 for none; the worker may forget completions up to it.
     pub acknowledged: u64,
     /// Milliseconds that the worker may wait for a completion before it answers.
     pub wait: Millis,
@@ -348,7 +349,7 @@
     pub epoch: u64,
 }
 
-/// A change of the speed of a run.
+/// An order to change the speed of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Throttle {
     /// The task.
@@ -363,7 +364,7 @@
     pub task: String,
     /// Epoch of the owner.
     pub epoch: u64,
-    /// Share of its full speed at which it may work, in percent.
+    /// Percent of full speed at which the run may work.
     pub percent: u32,
 }
 
@@ -378,7 +379,7 @@
     Start(Start),
     /// Stops a run.
     Stop(Stop),
-    /// Change the speed of a run.
+    /// Changes the speed of a run.
     Throttle(Throttle),
     /// Asks the advisor.
     RequestAdvice(AdviceRequest),
