--- a/src/sched/tests/history.rs
+++ b/src/sched/tests/history.rs
@@ -10,10 +10,10 @@
 /// Milliseconds until leases of the previous owner have certainly expired.
 const INHERITED: u64 = 14_000;
 /// Number of finished jobs before a takeover.
-const MANY: usize = 300;
+const FINISHED_JOBS: usize = 300;
 
 /// Submits `count` jobs of one task each and runs until all are finished.
-fn run_many(world: &mut World, count: usize) {
+fn run_jobs(world: &mut World, count: usize) {
     world.script = |_, _| (20, RunOutcome::Done);
     for number in 0..count {
         world.submit(&format!("over-{number:03}"), job(vec![step(1, 1_000)]));
@@ -25,7 +25,7 @@
 #[test]
 fn a_takeover_loads_open_jobs_only() {
     let mut world = World::new(4);
-    run_many(&mut world, MANY);
+    run_jobs(&mut world, FINISHED_JOBS);
     world.script = |_, _| (5_000, RunOutcome::Done);
     world.submit("open", job(vec![step(1, 1_000)]));
     world.run(200);
@@ -34,7 +34,7 @@
     assert_eq!(
         world.owner.sizes().0,
         1,
-        "none of the {MANY} finished jobs is loaded as open"
+        "none of the {FINISHED_JOBS} finished jobs is loaded as open"
     );
     world.run(500);
     assert_eq!(world.shown("over-007"), Some(JobState::Completed));
@@ -50,7 +50,7 @@
 #[test]
 fn requests_about_unknown_jobs_wait_until_the_history_is_complete() {
     let mut world = World::new(4);
-    run_many(&mut world, 5);
+    run_jobs(&mut world, 5);
     let started = world.starts.len();
     world.history_held = true;
     world.take_over(INHERITED);
@@ -212,8 +212,8 @@
 #[test]
 fn rows_of_finished_jobs_are_removed_after_the_retention_time() {
     let mut world = World::new(4);
-    run_many(&mut world, MANY);
-    assert_eq!(world.ids(HISTORY_TABLE).len(), MANY);
+    run_jobs(&mut world, FINISHED_JOBS);
+    assert_eq!(world.ids(HISTORY_TABLE).len(), FINISHED_JOBS);
     world.take_over(INHERITED);
     world.run(1_000);
     world.bounds.retention = 1_000;
@@ -268,7 +268,7 @@
 #[test]
 fn a_reported_run_of_a_finished_job_is_stopped() {
     let mut world = World::new(1);
-    run_many(&mut world, 1);
+    run_jobs(&mut world, 1);
     world.sneak("w0", "over-000.0.0.0", 60_000);
     world.run(1_500);
     assert!(world.running().is_empty());
--- a/src/sched/tests/journal.rs
+++ b/src/sched/tests/journal.rs
@@ -49,8 +49,8 @@
         .build_commit(310, |_| Vec::new())
         .expect("the commit is retried");
     assert_eq!(version, 9);
-    let kept = journal.resolve(number, CommitOutcome::Done(10), 320);
-    assert_eq!(kept, Resolution::Stored(vec![(5, Vec::new())]));
+    let resolution = journal.resolve(number, CommitOutcome::Done(10), 320);
+    assert_eq!(resolution, Resolution::Stored(vec![(5, Vec::new())]));
     assert!(!journal.in_doubt());
 }
 
--- a/src/sched/tests/predecessors.rs
+++ b/src/sched/tests/predecessors.rs
@@ -6,7 +6,7 @@
 use crate::sched::worker::max_lease_duration;
 
 #[test]
-fn only_an_ended_owner_extends_no_leases() {
+fn the_row_shows_whether_earlier_owners_may_extend_leases() {
     let row = owner_row(1);
     let released = OwnerRow {
         released: true,
