--- a/src/engine.rs
+++ b/src/engine.rs
@@ -22,7 +22,7 @@
 use crate::claim::Versioned;
 use crate::config::Config;
 use crate::guard::Memory;
-use crate::lease::Terms;
+use crate::lease::LeaseTimings;
 use crate::options::Pace;
 use crate::request::Meta;
 use crate::route::Load;
@@ -45,7 +45,7 @@
     /// Hall in which it stands.
     pub hall: Name,
     /// Lease and promises.
-    pub terms: Terms,
+    pub lease_timings: LeaseTimings,
     /// Intervals.
     pub pace: Pace,
     /// Decisions about requests and tasks.
--- a/src/engine/owning.rs
+++ b/src/engine/owning.rs
@@ -61,7 +61,7 @@
         me.successors = Vec::new();
         self.router.drop_owner(&self.lease.id().clone());
         self.claims = Claims::new(me.id.clone());
-        self.lease = Lease::new(self.setup.terms, me);
+        self.lease = Lease::new(self.setup.lease_timings, me);
         self.ops
             .retain(|_, p| matches!(p, Purpose::Head | Purpose::Entries(_) | Purpose::Changes));
         if self.stopping.is_some() {
@@ -146,7 +146,7 @@
         let pace = self.setup.pace;
         let times = Times {
             task: pace.task,
-            margin: self.setup.terms.margin,
+            margin: self.setup.lease_timings.margin,
             sync: pace.sync,
         };
         let policy = self.setup.policy.clone();
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -76,7 +76,7 @@
         };
         let seed = crate::utils::hash::stable(&[&id]);
         Self {
-            lease: Lease::new(setup.terms, me),
+            lease: Lease::new(setup.lease_timings, me),
             claims: Claims::new(id),
             cells: BTreeMap::new(),
             guards: BTreeMap::new(),
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -42,7 +42,7 @@
         boot: clock::wall(),
         rpc: settings.rpc,
         hall: settings.hall.clone(),
-        terms: settings.terms,
+        lease_timings: settings.lease_timings,
         pace: settings.pace,
         policy: settings.policy.clone(),
         memory: Memory::default(),
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -26,7 +26,7 @@
 
 /// Times of leases and promises, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct LeaseTimings {
     /// Time that a renewal is good for, from its sending.
     pub length: Millis,
     /// Time that others wait beyond the lease, for slow sends and clock drift.
@@ -38,7 +38,7 @@
     pub outage: Millis,
 }
 
-impl Default for Terms {
+impl Default for LeaseTimings {
     fn default() -> Self {
         Self {
             length: 10_000,
--- a/src/lease/state.rs
+++ b/src/lease/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Action, BoxRow, SUCCESSORS, Terms, Versioned, Written};
+use super::{Action, BoxRow, LeaseTimings, SUCCESSORS, Versioned, Written};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -27,7 +27,7 @@
 /// State of the own lease and of the watch over others.
 #[derive(Clone, Debug)]
 pub struct Lease {
-    terms: Terms,
+    timings: LeaseTimings,
     me: BoxRow,
     version: u64,
     until: Millis,
@@ -53,9 +53,9 @@
 
 impl Lease {
     /// Returns the lease of a new incarnation, which is not registered yet.
-    pub fn new(terms: Terms, me: BoxRow) -> Self {
+    pub fn new(timings: LeaseTimings, me: BoxRow) -> Self {
         Self {
-            terms,
+            timings,
             me,
             version: 0,
             until: 0,
@@ -105,7 +105,7 @@
     /// Returns true while a box renews its row, as far as this one can see.
     pub fn fresh(&self, id: &str, now: Millis) -> bool {
         let seen = self.seen.get(id);
-        seen.is_some_and(|s| now < s.since + self.terms.length)
+        seen.is_some_and(|s| now < s.since + self.timings.length)
     }
 
     /// Returns the time until which the box may act, or 0.
@@ -142,7 +142,7 @@
         let successors = self.successors();
         let valid = |s| self.promises.get(s).copied().unwrap_or(0);
         let earliest = successors.iter().map(valid).min().unwrap_or(0);
-        earliest.min(self.until + self.terms.outage)
+        earliest.min(self.until + self.timings.outage)
     }
 
     /// Returns what is due at `now`.
@@ -166,7 +166,7 @@
     fn renew(&mut self, now: Millis) -> Option<Action> {
         let due = self
             .renewed
-            .is_none_or(|at| now >= at + self.terms.length / 4);
+            .is_none_or(|at| now >= at + self.timings.length / 4);
         // A read tells what became of a registration in doubt.
         let unsettled = self.version == 0 && !self.doubtful.is_empty();
         if self.waiting.is_some() || unsettled || !due {
@@ -230,13 +230,13 @@
     }
 
     fn is_dead(&self, seen: &Seen, now: Millis) -> bool {
-        let terms = self.terms;
+        let timings = self.timings;
         let idle = now.saturating_sub(seen.since);
         let listed = seen.row.successors.contains(&self.me.id);
         // The same name and address again: this process holds the old one's port.
         let reborn = seen.row.name == self.me.name && seen.row.rpc == self.me.rpc;
-        let stale = idle >= terms.length + terms.margin;
-        let forgotten = idle >= terms.length + terms.margin + terms.outage;
+        let stale = idle >= timings.length + timings.margin;
+        let forgotten = idle >= timings.length + timings.margin + timings.outage;
         reborn || (listed && stale) || forgotten
     }
 
@@ -321,7 +321,7 @@
         }
         let renewal = self.doubtful.iter().find(|r| r.beat == beat).cloned();
         if let Some(renewal) = renewal {
-            self.until = self.until.max(renewal.sent + self.terms.length);
+            self.until = self.until.max(renewal.sent + self.timings.length);
             self.listed = renewal.successors;
             self.registered.get_or_insert(now);
         }
@@ -375,7 +375,7 @@
             return false;
         }
         // The margin covers clocks that do not run alike.
-        let until = now + self.terms.promise + self.terms.margin;
+        let until = now + self.timings.promise + self.timings.margin;
         let given = self.given.entry(owner.clone()).or_insert(until);
         *given = until.max(*given);
         true
@@ -383,7 +383,7 @@
 
     /// Takes in a promise whose question was sent at `sent` on the own clock.
     pub fn promised_by(&mut self, successor: &Name, sent: Millis) {
-        let until = sent + self.terms.promise;
+        let until = sent + self.timings.promise;
         let promise = self.promises.entry(successor.clone()).or_insert(until);
         *promise = until.max(*promise);
     }
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const TERMS: Terms = Terms {
+const TIMINGS: LeaseTimings = LeaseTimings {
     length: 1_000,
     margin: 200,
     promise: 400,
@@ -33,7 +33,7 @@
 /// Returns the lease of box `a` that was confirmed as sent at 0, with the
 /// successors `b.1` and `c.1`.
 fn holder() -> Lease {
-    let mut lease = Lease::new(TERMS, row("a.1", &[]));
+    let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[(1, row("b.1", &[])), (1, row("c.1", &[]))]);
     let actions = lease.tick(0, 100);
     let beat = actions.iter().find_map(|a| match a {
@@ -69,7 +69,7 @@
 #[test]
 fn promises_do_not_carry_a_box_past_the_outage_bound() {
     let mut lease = holder();
-    let late = TERMS.length + TERMS.outage;
+    let late = TIMINGS.length + TIMINGS.outage;
     for successor in ["b.1", "c.1"] {
         lease.promised_by(&successor.into(), late - 100);
     }
@@ -79,7 +79,7 @@
 
 #[test]
 fn without_successors_nothing_carries_a_box_past_its_lease() {
-    let mut lease = Lease::new(TERMS, row("a.1", &[]));
+    let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[]);
     lease.tick(0, 100);
     lease.renewed(50, 1, Written::Committed);
@@ -113,30 +113,30 @@
 fn only_a_listed_successor_declares_a_box_dead() {
     let watched = row("x.1", &["a.1"]);
     let other = row("y.1", &["z.1"]);
-    let mut lease = Lease::new(TERMS, row("a.1", &[]));
+    let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[(4, watched), (4, other)]);
-    let early = lease.tick(TERMS.length + TERMS.margin - 1, 10_000);
+    let early = lease.tick(TIMINGS.length + TIMINGS.margin - 1, 10_000);
     assert!(!declares(&early, "x.1"));
-    let due = lease.tick(TERMS.length + TERMS.margin, 10_000);
+    let due = lease.tick(TIMINGS.length + TIMINGS.margin, 10_000);
     assert!(declares(&due, "x.1"));
     assert!(!declares(&due, "y.1"));
 }
 
 #[test]
 fn a_box_that_has_promised_does_not_take_over() {
-    let mut lease = Lease::new(TERMS, row("a.1", &[]));
+    let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[(4, row("x.1", &["a.1"]))]);
-    let asked = TERMS.length + TERMS.margin - 100;
+    let asked = TIMINGS.length + TIMINGS.margin - 100;
     assert!(lease.asked(asked, &"x.1".into()));
-    let held = lease.tick(asked + TERMS.promise + TERMS.margin - 1, 10_000);
+    let held = lease.tick(asked + TIMINGS.promise + TIMINGS.margin - 1, 10_000);
     assert!(!declares(&held, "x.1"));
-    let due = lease.tick(asked + TERMS.promise + TERMS.margin, 10_000);
+    let due = lease.tick(asked + TIMINGS.promise + TIMINGS.margin, 10_000);
     assert!(declares(&due, "x.1"));
 }
 
 #[test]
 fn a_box_whose_takeover_is_in_doubt_promises_nothing() {
-    let mut lease = Lease::new(TERMS, row("a.1", &[]));
+    let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[(4, row("x.1", &["a.1"]))]);
     let due = lease.tick(2_000, 10_000);
     assert!(declares(&due, "x.1"));
@@ -153,7 +153,7 @@
 
 #[test]
 fn an_old_read_does_not_bring_a_dead_box_back() {
-    let mut lease = Lease::new(TERMS, row("a.1", &[]));
+    let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     let rows = [(4, row("x.1", &["a.1"]))];
     read(&mut lease, 0, &rows);
     assert!(declares(&lease.tick(2_000, 10_000), "x.1"));
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_restarted_box_takes_the_place_of_the_one_before_it_at_once() {
-    let mut lease = Lease::new(TERMS, row("a.2", &[]));
+    let mut lease = Lease::new(TIMINGS, row("a.2", &[]));
     read(&mut lease, 0, &[(4, row("a.1", &["b.1"]))]);
     let due = lease.tick(1, 10_000);
     assert!(declares(&due, "a.1"));
@@ -183,7 +183,7 @@
 
 /// Returns a new box whose registration, sent at 0, has no known outcome.
 fn registering() -> Lease {
-    let mut lease = Lease::new(TERMS, row("a.1", &[]));
+    let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[(1, row("b.1", &[]))]);
     lease.tick(0, 100);
     lease.renewed(50, 1, Written::Unknown);
--- a/src/options.rs
+++ b/src/options.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 use crate::cell::Policy;
-use crate::lease::Terms;
+use crate::lease::LeaseTimings;
 use crate::logs::Logs;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -49,7 +49,7 @@
     /// Bound of one call to the platform, in milliseconds.
     pub patience: Millis,
     /// Lease of the box and promises.
-    pub terms: Terms,
+    pub lease_timings: LeaseTimings,
     /// Times of the control work.
     pub pace: Pace,
     /// Bounds for callers' requests.
--- a/src/options/check.rs
+++ b/src/options/check.rs
@@ -8,26 +8,26 @@
 /// Records a finding for each pair of settings that do not fit together.
 pub fn settings(settings: &Settings, reader: &mut Reader) {
     addresses(settings, reader);
-    let (terms, pace) = (settings.terms, settings.pace);
+    let (lease_timings, pace) = (settings.lease_timings, settings.pace);
     let mut check = |holds: bool, key: &str, wrong: &str, right: &str| {
         if !holds {
             reader.find(key, wrong, right);
         }
     };
     check(
-        terms.margin * 2 <= terms.length,
+        lease_timings.margin * 2 <= lease_timings.length,
         "lease.margin",
         "is more than half of lease.length",
         "make it smaller, or the lease longer",
     );
     check(
-        terms.promise < terms.length,
+        lease_timings.promise < lease_timings.length,
         "lease.promise",
         "is not below lease.length",
         "make it smaller, or the lease longer",
     );
     check(
-        pace.heartbeat * 3 <= terms.promise,
+        pace.heartbeat * 3 <= lease_timings.promise,
         "pace.heartbeat",
         "is more than a third of lease.promise",
         "make it smaller, or the promise longer",
@@ -39,7 +39,7 @@
         "make it smaller, or the task lease longer",
     );
     check(
-        settings.patience < terms.length,
+        settings.patience < lease_timings.length,
         "platform.patience",
         "is not below lease.length",
         "make it smaller, or the lease longer",
--- a/src/options/file.rs
+++ b/src/options/file.rs
@@ -5,7 +5,7 @@
 use super::reader::{Finding, Reader};
 use super::{Pace, Settings, check};
 use crate::cell::Policy;
-use crate::lease::Terms;
+use crate::lease::LeaseTimings;
 use crate::logs::{Format, Logs};
 use crate::web::server::Limits;
 
@@ -41,7 +41,7 @@
         admin: reader.address("box.admin"),
         platform: reader.address("platform.rpc"),
         patience: reader.duration("platform.patience", 2_000, 10..=MINUTE),
-        terms: terms(&mut reader),
+        lease_timings: lease_timings(&mut reader),
         pace: pace(&mut reader),
         limits: limits(&mut reader),
         policy: policy(&mut reader),
@@ -56,9 +56,9 @@
     }
 }
 
-fn terms(reader: &mut Reader) -> Terms {
-    let default = Terms::default();
-    Terms {
+fn lease_timings(reader: &mut Reader) -> LeaseTimings {
+    let default = LeaseTimings::default();
+    LeaseTimings {
         length: reader.duration("lease.length", default.length, 200..=HOUR),
         margin: reader.duration("lease.margin", default.margin, 10..=MINUTE),
         promise: reader.duration("lease.promise", default.promise, 50..=HOUR),
--- a/tools/trial/src/world.rs
+++ b/tools/trial/src/world.rs
@@ -13,7 +13,7 @@
 use willowpoint::engine::{Engine, Event, Now, Setup};
 use willowpoint::guard::Memory;
 use willowpoint::invariant::Rule;
-use willowpoint::lease::Terms;
+use willowpoint::lease::LeaseTimings;
 use willowpoint::options::Pace;
 use willowpoint::standin::table::Table;
 use willowpoint::standin::worker::state::Worker;
@@ -203,7 +203,7 @@
         boot,
         rpc: address(PORTS.0, index),
         hall: format!("h{}", index % 2).into(),
-        terms: Terms {
+        lease_timings: LeaseTimings {
             length: 2_000,
             margin: 400,
             promise: 900,
