--- a/src/cell.rs
+++ b/src/cell.rs
@@ -5,24 +5,24 @@
 //! state: events and the time go in, actions come out.
 
 mod outcome;
-mod record;
-mod relief;
 mod requests;
-mod room;
 mod runs;
 mod shard;
 mod start;
 mod state;
+mod throttling;
+mod worker;
+mod writes;
 
 #[cfg(test)]
 mod tests;
 
 pub use crate::interference::{InterferenceEstimates, Sample};
 pub use requests::{Ask, Class, Sent};
-pub use room::Worker;
 pub use runs::{Called, Report, Run, RunId, RunPhase, RunState};
 pub use shard::{JobShard, Live};
 pub use state::{Asked, Cell, Exchange, Place, Quota, SyncResult, Times};
+pub use worker::Worker;
 
 use std::net::SocketAddr;
 
--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use super::room::{Active, Worker};
 use super::state::Cell;
+use super::worker::{Active, Worker};
 use super::{Action, Pick, Reason, Size};
 use crate::constants::WHOLE;
 use crate::utils::Name;
--- a/src/cell/shard.rs
+++ b/src/cell/shard.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use super::Action;
-use super::room::Worker;
 use super::runs::{Run, RunId};
 use super::state::{Cell, SILENT};
+use super::worker::Worker;
 use crate::job::{JobShardRow, Phase, Versioned};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
--- a/src/cell/start.rs
+++ b/src/cell/start.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeSet;
 
-use super::relief::LOWEST;
-use super::room::Worker;
 use super::runs::{Run, RunPhase};
 use super::shard::{JobShard, Live};
 use super::state::Cell;
+use super::throttling::LOWEST;
+use super::worker::Worker;
 use super::{Action, Pick, Size};
 use crate::constants::WHOLE;
 use crate::invariant::{self, Rule};
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 use super::requests::Queue;
-use super::room::Worker;
 use super::runs::{Report, Run, RunId, RunPhase};
 use super::shard::JobShard;
+use super::worker::Worker;
 use super::{Action, Policy, Shape};
 use crate::interference::{InterferenceEstimates, Sample};
 use crate::utils::Name;
--- a/src/cell/relief.rs
+++ b/src/cell/throttling.rs
@@ -1,8 +1,8 @@
 //! Relief: which runs are throttled or evicted where services are hurt.
 
-use super::room::Worker;
 use super::runs::{Called, Run, RunId, RunPhase};
 use super::state::Cell;
+use super::worker::Worker;
 use super::{Action, Size};
 use crate::constants::WHOLE;
 use crate::utils::Name;
