--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -10,8 +10,8 @@
 
 use prost::Message;
 use willowpoint::cell::{
-    Action, Ask, Asked, Called, Cell, Class, Exchange, Place, Policy, Sent, Shape, Size,
-    SyncResult, Times,
+    Action, CallOutcome, Cell, Class, ListedWorker, PendingRequest, Policy, PollOutcome, PollReply,
+    SendOutcome, SentPoll, Shape, Size, Timings,
 };
 use willowpoint::config::{Config, EntryRow};
 use willowpoint::guard::{Guard, Memory};
@@ -195,7 +195,7 @@
     let mut ticket = 0;
     let took = nanos(20_000, || {
         ticket += 1;
-        let ask = Ask {
+        let ask = PendingRequest {
             ticket,
             service: "stock".into(),
             class: Class::Critical,
@@ -208,7 +208,7 @@
         };
         let actions = cell.admit(1_000, 1_000_000, ask);
         assert!(matches!(actions[..], [Action::Send { .. }]));
-        cell.ended(1_000, 1_001_000, ticket, Sent::Answered);
+        cell.ended(1_000, 1_001_000, ticket, SendOutcome::Answered);
     });
     println!(
         "{:44} {took:>9.0} ns",
@@ -240,20 +240,20 @@
 /// Returns a cell whose workers have all answered and run some tasks.
 fn cell(index: usize, workers: usize, runs: usize) -> Cell {
     let name: Name = format!("hall-01/rack-{index:03}").into();
-    let times = Times {
+    let times = Timings {
         task: 10_000,
         margin: 2_000,
         sync: 1_000,
     };
     let mut cell = Cell::new(name.clone(), 1, 0, Policy::default(), times);
-    let place = |i: usize| Place {
+    let place = |i: usize| ListedWorker {
         name: format!("worker-{index:03}-{i:03}").into(),
         cell: name.clone(),
         http: SocketAddr::from(([10, 0, 0, 1], 1 + i as u16)),
         rpc: SocketAddr::from(([10, 0, 0, 2], 1 + i as u16)),
         leaving: false,
     };
-    let places: Vec<Place> = (0..workers).map(place).collect();
+    let places: Vec<ListedWorker> = (0..workers).map(place).collect();
     cell.places(&places, &Default::default());
     cell.load(0, Vec::new());
     exchange(&mut cell, 1_000, 0);
@@ -263,7 +263,7 @@
         while !started.is_empty() {
             for action in started.drain(..) {
                 if let Action::Start { worker, run, .. } = action {
-                    cell.started(1_000, &worker, run.id, Called::Done(0));
+                    cell.started(1_000, &worker, run.id, CallOutcome::Done(0));
                 }
             }
             started = cell.start(1_000);
@@ -276,7 +276,7 @@
     let names: Vec<Name> = cell.workers.keys().cloned().collect();
     for name in names {
         let present = cell.workers[&name].runs.values().take(runs);
-        let reports = present.map(|r| willowpoint::cell::Report {
+        let reports = present.map(|r| willowpoint::cell::RunReport {
             id: r.id,
             job: r.job.clone(),
             task: r.task,
@@ -287,17 +287,17 @@
             share: r.share,
             usage: r.size.cores,
         });
-        let reply = SyncResult {
+        let reply = PollReply {
             shape: SHAPE,
             runs: reports.collect(),
-            ..SyncResult::default()
+            ..PollReply::default()
         };
-        let asked = Asked {
+        let asked = SentPoll {
             sent: now,
             round: 1,
             acks: Vec::new(),
         };
-        cell.synced(now, now * 1_000, &name, asked, Exchange::Reply(reply));
+        cell.synced(now, now * 1_000, &name, asked, PollOutcome::Reply(reply));
     }
 }
 
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 
 use willowpoint::cell::{
-    Action, Ask, Asked, Called, Cell, Class, Exchange, Pick, Place, Policy, RunState, Sample, Sent,
-    Shape, Size, SyncResult, Times,
+    Action, CallOutcome, Cell, Class, ListedWorker, PendingRequest, Policy, PollOutcome, PollReply,
+    RunState, Sample, Selection, SendOutcome, SentPoll, Shape, Size, Timings,
 };
 use willowpoint::job::{JobShardRow, Spec, TaskRow, Versioned};
 use willowpoint::lease::Written;
@@ -69,10 +69,10 @@
         oracle,
     };
     vec![
-        baseline("first fit", Pick::First),
-        baseline("round robin", Pick::Turn),
-        baseline("random", Pick::Random),
-        baseline("least loaded", Pick::Least),
+        baseline("first fit", Selection::First),
+        baseline("round robin", Selection::RoundRobin),
+        baseline("random", Selection::Random),
+        baseline("least loaded", Selection::LeastLoaded),
         learned("learned, tail 0.2", 0.2, false),
         learned("learned, tail 0.5", 0.5, false),
         learned("learned, tail 0.9", 0.9, false),
@@ -149,21 +149,21 @@
 
 impl World {
     fn new(variant: &Variant, load: f64) -> Self {
-        let times = Times {
+        let times = Timings {
             task: 10_000,
             margin: 1_000,
             sync: 200,
         };
         let policy = variant.policy.clone();
         let mut cell = Cell::new("h/r".into(), 1, 0, policy, times);
-        let place = |i: usize| Place {
+        let place = |i: usize| ListedWorker {
             name: format!("w{i}").into(),
             cell: "h/r".into(),
             http: SocketAddr::from(([127, 0, 0, 1], 1 + i as u16)),
             rpc: SocketAddr::from(([127, 0, 0, 2], 1 + i as u16)),
             leaving: false,
         };
-        let places: Vec<Place> = (0..WORKERS).map(place).collect();
+        let places: Vec<ListedWorker> = (0..WORKERS).map(place).collect();
         cell.places(&places, &Default::default());
         cell.load(0, KINDS.iter().map(|k| shard(k)).collect());
         let shape = Shape {
@@ -216,7 +216,7 @@
             self.done.issued += 1;
         }
         self.issued.insert(self.ticket, self.now);
-        let ask = Ask {
+        let ask = PendingRequest {
             ticket: self.ticket,
             service: SERVICES.into(),
             class: Class::Critical,
@@ -246,9 +246,9 @@
                 self.done.times.push(took as f64);
                 self.done.late += u64::from(took > DEADLINE);
             }
-            let actions = self
-                .cell
-                .ended(self.now, self.now * 1_000, ticket, Sent::Answered);
+            let actions =
+                self.cell
+                    .ended(self.now, self.now * 1_000, ticket, SendOutcome::Answered);
             self.carry_out(actions);
         }
     }
@@ -284,7 +284,7 @@
                 }
                 Vec::new()
             }
-            Action::Sync {
+            Action::Poll {
                 worker,
                 acks,
                 renew,
@@ -314,7 +314,7 @@
                     },
                 };
                 let result = self.workers[number(&worker)].start(now, now, start);
-                let called = result.map_or(Called::Refused, |()| Called::Done(0));
+                let called = result.map_or(CallOutcome::Refused, |()| CallOutcome::Done(0));
                 self.cell.started(now, &worker, run.id, called)
             }
             Action::Stop {
@@ -324,14 +324,14 @@
                 ..
             } => {
                 let result = self.workers[number(&worker)].stop(now, 1, run, checkpoint);
-                let called = result.map_or(Called::Refused, Called::Done);
+                let called = result.map_or(CallOutcome::Refused, CallOutcome::Done);
                 self.cell.stopped(now, micros, &worker, run, called)
             }
             Action::Throttle {
                 worker, run, share, ..
             } => {
                 let result = self.workers[number(&worker)].throttle(now, 1, run, share);
-                let called = result.map_or(Called::Refused, |()| Called::Done(0));
+                let called = result.map_or(CallOutcome::Refused, |()| CallOutcome::Done(0));
                 self.cell
                     .throttled(now, micros, &worker, run, share, called)
             }
@@ -361,20 +361,20 @@
             false => late.collect(),
             true => oracle(),
         };
-        let reply = SyncResult {
+        let reply = PollReply {
             shape: host.shape,
             tickets,
             foreign,
             runs,
             samples,
-            ..SyncResult::default()
+            ..PollReply::default()
         };
-        let asked = Asked {
+        let asked = SentPoll {
             sent: self.now,
             round,
             acks,
         };
-        let reply = Exchange::Reply(reply);
+        let reply = PollOutcome::Reply(reply);
         self.cell
             .synced(self.now, self.now * 1_000, worker, asked, reply)
             .1
--- a/src/cell.rs
+++ b/src/cell.rs
@@ -18,10 +18,10 @@
 mod tests;
 
 pub use crate::interference::{InterferenceEstimates, Sample};
-pub use requests::{Ask, Class, Sent};
-pub use runs::{Called, Report, Run, RunId, RunPhase, RunState};
-pub use shard::{JobShard, Live};
-pub use state::{Asked, Cell, Exchange, Place, Quota, SyncResult, Times};
+pub use requests::{Class, PendingRequest, SendOutcome};
+pub use runs::{CallOutcome, Run, RunId, RunPhase, RunReport, RunState};
+pub use shard::{JobShard, TaskState};
+pub use state::{Cell, ListedWorker, PollOutcome, PollReply, Quota, SentPoll, Timings};
 pub use worker::Worker;
 
 use std::net::SocketAddr;
@@ -96,17 +96,17 @@
 
 /// How a worker is chosen among those with room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pick {
+pub enum Selection {
     /// By learned interference, latency and load: the policy.
     Learned,
     /// The first that fits: a baseline.
     First,
     /// The one with the least in progress: a baseline.
-    Least,
+    LeastLoaded,
     /// Any, by a seeded generator: a baseline.
     Random,
     /// Each in turn: a baseline.
-    Turn,
+    RoundRobin,
 }
 
 /// Settings of the decisions.
@@ -123,9 +123,9 @@
     /// Share of a worker's cores that batch tasks leave free.
     pub reserve: f64,
     /// Choice of the worker for a request.
-    pub route: Pick,
+    pub route: Selection,
     /// Choice of the worker for a task.
-    pub place: Pick,
+    pub place: Selection,
     /// True when tasks that hurt are throttled, and evicted only after that.
     pub throttle: bool,
     /// Failed runs after which a task is given up.
@@ -142,8 +142,8 @@
             retries: 2,
             deadline: 10_000,
             reserve: 0.1,
-            route: Pick::Learned,
-            place: Pick::Learned,
+            route: Selection::Learned,
+            place: Selection::Learned,
             throttle: true,
             failures: 3,
             quarantine: 30_000,
@@ -239,7 +239,7 @@
         after: Millis,
     },
     /// Exchange state with a worker and renew the leases of its runs.
-    Sync {
+    Poll {
         /// Name of the worker.
         worker: Name,
         /// Address of its control RPC.
--- a/src/cell/outcome.rs
+++ b/src/cell/outcome.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::Action;
-use super::runs::{Called, Report, Run, RunId, RunPhase, RunState};
-use super::shard::{JobShard, Live, Writing};
+use super::runs::{CallOutcome, Run, RunId, RunPhase, RunReport, RunState};
+use super::shard::{JobShard, PendingWrite, TaskState};
 use super::state::Cell;
 use crate::constants::WHOLE;
 use crate::invariant::{self, Rule};
@@ -25,12 +25,18 @@
 
 impl Cell {
     /// Takes in how a start ended.
-    pub fn started(&mut self, now: Millis, name: &Name, id: RunId, called: Called) -> Vec<Action> {
+    pub fn started(
+        &mut self,
+        now: Millis,
+        name: &Name,
+        id: RunId,
+        called: CallOutcome,
+    ) -> Vec<Action> {
         let Some(worker) = self.workers.get_mut(name) else {
             return Vec::new();
         };
         match called {
-            Called::Done(_) => {
+            CallOutcome::Done(_) => {
                 worker.change(id, |r| {
                     if r.phase == RunPhase::Starting {
                         r.phase = RunPhase::Running;
@@ -38,15 +44,15 @@
                     }
                 });
             }
-            Called::Lost => {
+            CallOutcome::Lost => {
                 worker.change(id, |r| {
                     if r.phase == RunPhase::Starting {
-                        r.phase = RunPhase::Doubt;
+                        r.phase = RunPhase::InDoubt;
                         r.since = now;
                     }
                 });
             }
-            Called::Refused => {
+            CallOutcome::Refused => {
                 if let Some(run) = worker.free(now, id) {
                     self.unstarted(&run);
                 }
@@ -80,9 +86,9 @@
         let Some((shard, index)) = ended else {
             return;
         };
-        shard.live[index] = Live::Waiting;
+        shard.live[index] = TaskState::Waiting;
         if shard.cancelled {
-            shard.live[index] = Live::Ended;
+            shard.live[index] = TaskState::Ended;
             shard.row.tasks[index].phase = Phase::Cancelled;
             shard.dirty = true;
         }
@@ -96,7 +102,7 @@
             *used = used.saturating_sub(u64::from(run.size.cores));
         }
         let (shard, index) = self.task(&run.job, run.task).filter(|(_, i)| *i == index)?;
-        (shard.live[index] == Live::Running(run.id)).then_some((shard, index))
+        (shard.live[index] == TaskState::Running(run.id)).then_some((shard, index))
     }
 
     /// Takes in how a stop ended.
@@ -106,13 +112,13 @@
         micros: u64,
         name: &Name,
         id: RunId,
-        called: Called,
+        called: CallOutcome,
     ) -> Vec<Action> {
         let Some(worker) = self.workers.get_mut(name) else {
             return Vec::new();
         };
         // A lost or refused stop is settled by the next exchange.
-        if let Called::Done(kept) = called
+        if let CallOutcome::Done(kept) = called
             && let Some(run) = worker.free(now, id)
         {
             self.end(now, name, &run, RunState::Stopped, kept);
@@ -144,8 +150,8 @@
             }
         }
         shard.live[index] = match task.phase {
-            Phase::Open => Live::Recording,
-            _ => Live::Ended,
+            Phase::Open => TaskState::Recording,
+            _ => TaskState::Ended,
         };
         shard.dirty = true;
         shard.acks.push((name.clone(), run.id));
@@ -197,7 +203,7 @@
     }
 
     /// Takes in a worker's word on a run.
-    pub fn settle(&mut self, now: Millis, name: &Name, report: &Report) -> Option<Action> {
+    pub fn settle(&mut self, now: Millis, name: &Name, report: &RunReport) -> Option<Action> {
         let worker = self.workers.get_mut(name)?;
         if report.state != RunState::Running {
             let held = worker.free(now, report.id);
@@ -214,7 +220,7 @@
                     r.progress = report.progress;
                     // A report may be older than the last change of the share.
                     r.share = r.share.max(report.share);
-                    if matches!(r.phase, RunPhase::Starting | RunPhase::Doubt) {
+                    if matches!(r.phase, RunPhase::Starting | RunPhase::InDoubt) {
                         r.phase = RunPhase::Running;
                         r.since = now;
                     }
@@ -233,14 +239,14 @@
     }
 
     /// Ties a running run to its task, or stops it when it has none.
-    fn adopt(&mut self, name: &Name, report: &Report, now: Millis) -> Option<Action> {
+    fn adopt(&mut self, name: &Name, report: &RunReport, now: Millis) -> Option<Action> {
         let Some((shard, index)) = self.task(&report.job, report.task) else {
             return self.stop_once(name, report.id);
         };
         match shard.live[index] {
-            Live::Running(id) if id == report.id => None,
-            Live::Held => {
-                shard.live[index] = Live::Running(report.id);
+            TaskState::Running(id) if id == report.id => None,
+            TaskState::Held => {
+                shard.live[index] = TaskState::Running(report.id);
                 let team = shard.row.spec.team.clone();
                 let urgent = shard.row.spec.urgent;
                 let saved = shard.row.tasks[index].saved;
@@ -254,7 +260,10 @@
                 None
             }
             other => {
-                let twice = matches!(other, Live::Running(_) | Live::Waiting | Live::Recording);
+                let twice = matches!(
+                    other,
+                    TaskState::Running(_) | TaskState::Waiting | TaskState::Recording
+                );
                 invariant::check(!twice, Rule::Place, || {
                     format!(
                         "{} {} runs on {name} beside {other:?}",
@@ -275,22 +284,22 @@
     }
 
     /// Takes in a worker's word on a run that has ended.
-    fn settle_ended(&mut self, now: Millis, name: &Name, run: &Run, report: &Report) {
+    fn settle_ended(&mut self, now: Millis, name: &Name, run: &Run, report: &RunReport) {
         let Some((shard, index)) = self.task(&run.job, run.task) else {
             return self.acknowledge(name, run.id);
         };
         match shard.live[index] {
-            Live::Running(id) if id == run.id => {
+            TaskState::Running(id) if id == run.id => {
                 self.end(now, name, run, report.state, report.progress);
             }
             // A finished task is done, whichever of its runs finished it.
-            Live::Held if report.state == RunState::Finished => {
-                shard.live[index] = Live::Running(run.id);
+            TaskState::Held if report.state == RunState::Finished => {
+                shard.live[index] = TaskState::Running(run.id);
                 self.end(now, name, run, report.state, report.progress);
             }
             // It may not be the last run of the task: its work is kept, and
             // the task is held on.
-            Live::Held => {
+            TaskState::Held => {
                 let task = &mut shard.row.tasks[index];
                 task.saved = task.saved.max(report.progress);
                 shard.dirty = true;
@@ -313,7 +322,7 @@
     }
 
     fn awaits(&self, id: RunId) -> bool {
-        let pending = |w: &Writing| w.acks.iter().any(|(_, r)| *r == id);
+        let pending = |w: &PendingWrite| w.acks.iter().any(|(_, r)| *r == id);
         self.shards.values().any(|l| {
             l.acks.iter().any(|(_, r)| *r == id) || l.writing.as_ref().is_some_and(pending)
         })
@@ -328,7 +337,7 @@
             return;
         };
         match run.phase {
-            RunPhase::Doubt | RunPhase::Starting => self.unstarted(&run),
+            RunPhase::InDoubt | RunPhase::Starting => self.unstarted(&run),
             _ => self.end(now, name, &run, RunState::Stopped, run.saved),
         }
         if run.phase != RunPhase::Stopping && now < run.since + YOUNG {
@@ -350,7 +359,7 @@
         }
         log::warn!(target: "cell", "{} {} is given up: {count} young runs went with their workers", run.job, run.task);
         task.phase = Phase::Failed;
-        shard.live[index] = Live::Ended;
+        shard.live[index] = TaskState::Ended;
         shard.dirty = true;
     }
 }
@@ -373,7 +382,7 @@
     }
 }
 
-fn adopted(report: &Report, now: Millis) -> Run {
+fn adopted(report: &RunReport, now: Millis) -> Run {
     Run {
         id: report.id,
         job: report.job.clone(),
--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use super::state::Cell;
-use super::worker::{Active, Worker};
-use super::{Action, Pick, Reason, Size};
+use super::worker::{ActiveRequest, Worker};
+use super::{Action, Reason, Selection, Size};
 use crate::constants::WHOLE;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -27,7 +27,7 @@
 
 /// A request as the owner of a cell sees it.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PendingRequest {
     /// Number of the request on this box.
     pub ticket: u64,
     /// Service that is asked for.
@@ -41,12 +41,12 @@
 }
 
 /// Order of waiting requests: class, deadline, ticket.
-type Rank = (Class, Millis, u64);
+type QueueKey = (Class, Millis, u64);
 
 /// Waiting requests, the most urgent first.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    waiting: BTreeMap<Rank, Ask>,
+    waiting: BTreeMap<QueueKey, PendingRequest>,
 }
 
 impl Queue {
@@ -55,17 +55,17 @@
         self.waiting.len()
     }
 
-    fn push(&mut self, ask: Ask) {
+    fn push(&mut self, ask: PendingRequest) {
         let rank = (ask.class, ask.deadline, ask.ticket);
         self.waiting.insert(rank, ask);
     }
 
-    fn pop(&mut self) -> Option<Ask> {
+    fn pop(&mut self) -> Option<PendingRequest> {
         self.waiting.pop_first().map(|(_, ask)| ask)
     }
 
     /// Takes the last batch request out, to make place for a critical one.
-    fn shed(&mut self) -> Option<Ask> {
+    fn shed(&mut self) -> Option<PendingRequest> {
         let entry = self.waiting.last_entry()?;
         (entry.key().0 == Class::Batch).then(|| entry.remove())
     }
@@ -76,12 +76,12 @@
     }
 
     /// Takes all requests out.
-    pub fn drain(&mut self) -> Vec<Ask> {
+    pub fn drain(&mut self) -> Vec<PendingRequest> {
         std::mem::take(&mut self.waiting).into_values().collect()
     }
 
-    fn expire(&mut self, late: impl Fn(&Ask) -> bool) -> Vec<Ask> {
-        let ranks: Vec<Rank> = self
+    fn expire(&mut self, late: impl Fn(&PendingRequest) -> bool) -> Vec<PendingRequest> {
+        let ranks: Vec<QueueKey> = self
             .waiting
             .iter()
             .filter(|(_, ask)| late(ask))
@@ -96,13 +96,13 @@
 
 /// How a send to a worker ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The whole answer came.
     Answered,
     /// No byte left, or the worker refused it before running it.
     NotRun,
     /// No byte left, as the lease had lapsed.
-    Unsent,
+    LeaseLapsed,
     /// It may have run; the worker would not start it after `until`.
     Unknown {
         /// On the own clock.
@@ -112,7 +112,7 @@
 
 impl Cell {
     /// Takes in a request; it is sent, queued or refused.
-    pub fn admit(&mut self, now: Millis, micros: u64, ask: Ask) -> Vec<Action> {
+    pub fn admit(&mut self, now: Millis, micros: u64, ask: PendingRequest) -> Vec<Action> {
         let mut actions = Vec::new();
         self.note_use(now, &ask.service);
         if self.leaving {
@@ -145,7 +145,7 @@
         }
     }
 
-    fn enqueue(&mut self, now: Millis, ask: Ask, actions: &mut Vec<Action>) {
+    fn enqueue(&mut self, now: Millis, ask: PendingRequest, actions: &mut Vec<Action>) {
         let wait = self.wait(now, ask.class, &ask.service);
         let expected = self.expected(&ask.service);
         let open = self.workers.values().any(|w| w.open(now));
@@ -177,13 +177,13 @@
     }
 
     /// Sends a request to the best worker with room, if there is one.
-    fn dispatch(&mut self, now: Millis, micros: u64, ask: &Ask) -> Option<Action> {
+    fn dispatch(&mut self, now: Millis, micros: u64, ask: &PendingRequest) -> Option<Action> {
         let name = self.pick(now, ask)?;
         let worker = self.workers.get_mut(&name)?;
         if !worker.stays() {
             return None;
         }
-        let active = Active {
+        let active = ActiveRequest {
             service: ask.service.clone(),
             size: ask.size,
             sent: micros,
@@ -198,7 +198,7 @@
         })
     }
 
-    fn pick(&mut self, now: Millis, ask: &Ask) -> Option<Name> {
+    fn pick(&mut self, now: Millis, ask: &PendingRequest) -> Option<Name> {
         let open = self.workers.values().filter(|w| w.open(now));
         let (total, sound) = open.fold((0, 0), |(total, sound), worker| {
             (total + 1, sound + usize::from(worker.ejected <= now))
@@ -213,18 +213,18 @@
             .collect();
         let count = candidates.len() as u64;
         let chosen = match self.policy.route {
-            Pick::First => candidates.first().copied(),
-            Pick::Least => candidates.into_iter().min_by_key(|w| w.busy()),
-            Pick::Random => {
+            Selection::First => candidates.first().copied(),
+            Selection::LeastLoaded => candidates.into_iter().min_by_key(|w| w.busy()),
+            Selection::Random => {
                 let index = self.random.below(count) as usize;
                 candidates.get(index).copied()
             }
-            Pick::Turn => {
+            Selection::RoundRobin => {
                 self.turn += 1;
                 let index = self.turn.checked_rem(count).unwrap_or(0) as usize;
                 candidates.get(index).copied()
             }
-            Pick::Learned => {
+            Selection::Learned => {
                 let cost = |w: &&Worker| self.cost(w, &ask.service);
                 candidates
                     .into_iter()
@@ -251,7 +251,13 @@
     }
 
     /// Takes in how a send ended, and gives its slot to who waits.
-    pub fn ended(&mut self, now: Millis, micros: u64, ticket: u64, sent: Sent) -> Vec<Action> {
+    pub fn ended(
+        &mut self,
+        now: Millis,
+        micros: u64,
+        ticket: u64,
+        sent: SendOutcome,
+    ) -> Vec<Action> {
         let Some(name) = self.tickets.remove(&ticket) else {
             return Vec::new();
         };
@@ -259,7 +265,7 @@
             return Vec::new();
         };
         match sent {
-            Sent::Answered => {
+            SendOutcome::Answered => {
                 if let Some(active) = worker.remove(ticket) {
                     let took = micros.saturating_sub(active.sent);
                     worker.answered(took);
@@ -267,15 +273,15 @@
                     *mean += SMOOTH * (took as f64 - *mean);
                 }
             }
-            Sent::NotRun => {
+            SendOutcome::NotRun => {
                 worker.remove(ticket);
                 strike(worker, now);
             }
-            Sent::Unsent => {
+            SendOutcome::LeaseLapsed => {
                 worker.remove(ticket);
                 return Vec::new();
             }
-            Sent::Unknown { until } => {
+            SendOutcome::Unknown { until } => {
                 // It may still hold its slot there: the next exchange tells.
                 if let Some(active) = worker.active.get_mut(&ticket) {
                     active.ghost = Some(until + self.margin);
@@ -308,12 +314,12 @@
     /// Refuses at once what can't be answered in time any more.
     pub fn expire(&mut self, now: Millis) -> Vec<Action> {
         let means = &self.means;
-        let late = |ask: &Ask| {
+        let late = |ask: &PendingRequest| {
             let mean = means.get(&ask.service).copied().unwrap_or(0.0);
             now + (mean / 1_000.0) as Millis > ask.deadline
         };
         let expired = self.queue.expire(late);
-        let told = |ask: &Ask| {
+        let told = |ask: &PendingRequest| {
             refuse(
                 ask,
                 Reason::Deadline,
@@ -360,7 +366,7 @@
     }
 }
 
-fn refuse(ask: &Ask, reason: Reason, after: Millis) -> Action {
+fn refuse(ask: &PendingRequest, reason: Reason, after: Millis) -> Action {
     Action::Refuse {
         ticket: ask.ticket,
         reason,
--- a/src/cell/runs.rs
+++ b/src/cell/runs.rs
@@ -13,7 +13,7 @@
     /// Its start was sent.
     Starting,
     /// Its start may have taken effect.
-    Doubt,
+    InDoubt,
     /// It runs.
     Running,
     /// Its stop was sent.
@@ -57,7 +57,7 @@
 impl Run {
     /// Returns true when its start may or may not have taken effect.
     pub fn unconfirmed(&self) -> bool {
-        matches!(self.phase, RunPhase::Starting | RunPhase::Doubt)
+        matches!(self.phase, RunPhase::Starting | RunPhase::InDoubt)
     }
 }
 
@@ -76,7 +76,7 @@
 
 /// A worker's word on one run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct RunReport {
     /// Number of the run.
     pub id: RunId,
     /// Job of the task.
@@ -99,7 +99,7 @@
 
 /// How a call about one run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Called {
+pub enum CallOutcome {
     /// It took effect; milliseconds of work kept, for a stop.
     Done(Millis),
     /// It had no effect.
--- a/src/cell/shard.rs
+++ b/src/cell/shard.rs
@@ -12,7 +12,7 @@
 
 /// Where a task is, beyond what its row tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Live {
+pub enum TaskState {
     /// It may be started.
     Waiting,
     /// An earlier owner may have started it where nobody answers.
@@ -25,7 +25,7 @@
     Ended,
 }
 
-impl Live {
+impl TaskState {
     /// Returns the word for operators.
     pub fn word(&self, phase: Phase) -> &'static str {
         match (self, phase) {
@@ -42,7 +42,7 @@
 
 /// What one write of a job shard's row settles.
 #[derive(Clone, Debug)]
-pub(super) struct Writing {
+pub(super) struct PendingWrite {
     pub(super) seq: u64,
     pub(super) recorded: Vec<usize>,
     pub(super) acks: Vec<(Name, RunId)>,
@@ -56,13 +56,13 @@
     /// Its row as it is to be.
     pub row: JobShardRow,
     /// Where each task is.
-    pub live: Vec<Live>,
+    pub live: Vec<TaskState>,
     /// True once its job was cancelled.
     pub cancelled: bool,
     /// When a task of it last started, or when it came.
     pub(super) since: Millis,
     pub(super) dirty: bool,
-    pub(super) writing: Option<Writing>,
+    pub(super) writing: Option<PendingWrite>,
     pub(super) reread: bool,
     pub(super) acks: Vec<(Name, RunId)>,
     /// Worker of the last failed run of each task.
@@ -74,9 +74,9 @@
 impl JobShard {
     pub(super) fn new(now: Millis, versioned: Versioned, fresh: bool) -> Self {
         let start = |phase| match phase {
-            Phase::Open if fresh => Live::Waiting,
-            Phase::Open => Live::Held,
-            _ => Live::Ended,
+            Phase::Open if fresh => TaskState::Waiting,
+            Phase::Open => TaskState::Held,
+            _ => TaskState::Ended,
         };
         let live = versioned.row.tasks.iter().map(|t| start(t.phase)).collect();
         Self {
@@ -96,7 +96,7 @@
 
     /// Returns true when every task has ended and that is recorded.
     pub fn ended(&self) -> bool {
-        let done = self.live.iter().all(|l| *l == Live::Ended);
+        let done = self.live.iter().all(|l| *l == TaskState::Ended);
         done && !self.dirty && self.writing.is_none()
     }
 
@@ -149,8 +149,8 @@
     }
 
     /// Returns the run of a task and its worker.
-    pub fn run(&self, live: &Live) -> Option<(&Worker, &Run)> {
-        let Live::Running(id) = live else {
+    pub fn run(&self, live: &TaskState) -> Option<(&Worker, &Run)> {
+        let TaskState::Running(id) = live else {
             return None;
         };
         let holds = |w: &'_ &Worker| w.runs.contains_key(id);
@@ -196,8 +196,8 @@
                 continue;
             }
             for live in &mut shard.live {
-                if *live == Live::Held {
-                    *live = Live::Waiting;
+                if *live == TaskState::Held {
+                    *live = TaskState::Waiting;
                 }
             }
             if shard.cancelled {
@@ -218,8 +218,8 @@
 /// Ends the waiting tasks of a job shard whose job was cancelled.
 pub(super) fn end_waiting(shard: &mut JobShard) {
     for (index, live) in shard.live.iter_mut().enumerate() {
-        if *live == Live::Waiting {
-            *live = Live::Ended;
+        if *live == TaskState::Waiting {
+            *live = TaskState::Ended;
             shard.row.tasks[index].phase = Phase::Cancelled;
             shard.dirty = true;
         }
--- a/src/cell/start.rs
+++ b/src/cell/start.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeSet;
 
 use super::runs::{Run, RunPhase};
-use super::shard::{JobShard, Live};
+use super::shard::{JobShard, TaskState};
 use super::state::Cell;
 use super::throttling::LOWEST;
 use super::worker::Worker;
-use super::{Action, Pick, Size};
+use super::{Action, Selection, Size};
 use crate::constants::WHOLE;
 use crate::invariant::{self, Rule};
 use crate::utils::Name;
@@ -24,7 +24,7 @@
 const IN_USE: Millis = 5_000;
 
 /// A task that looks for a worker.
-struct Wanted<'a> {
+struct WaitingTask<'a> {
     kind: &'a str,
     size: Size,
     urgent: bool,
@@ -63,7 +63,9 @@
         let ready = self
             .shards
             .iter()
-            .filter(|(key, shard)| !passed.contains(*key) && shard.live.contains(&Live::Waiting))
+            .filter(|(key, shard)| {
+                !passed.contains(*key) && shard.live.contains(&TaskState::Waiting)
+            })
             .filter(|(_, shard)| self.within_quota(shard));
         let rank = |(key, shard): &(&Name, &JobShard)| {
             let team = &shard.row.spec.team;
@@ -99,13 +101,13 @@
 
     fn start_one(&mut self, now: Millis, key: &Name) -> Option<Action> {
         let shard = self.shards.get(key)?;
-        let index = shard.live.iter().position(|l| *l == Live::Waiting)?;
+        let index = shard.live.iter().position(|l| *l == TaskState::Waiting)?;
         let spec = shard.row.spec.clone();
         let size = self.corrected(&spec.kind, spec.size);
         let shunned = shard.shunned.get(&index).cloned();
         let saved = shard.row.tasks[index].saved;
         let task = shard.row.tasks[index].index;
-        let wanted = Wanted {
+        let wanted = WaitingTask {
             kind: &spec.kind,
             size,
             urgent: spec.urgent,
@@ -142,8 +144,8 @@
         *self.teams.entry(spec.team.clone()).or_default() += u64::from(size.cores);
         if let Some(shard) = self.shards.get_mut(key) {
             shard.since = now;
-            let before = std::mem::replace(&mut shard.live[index], Live::Running(id));
-            invariant::check(before == Live::Waiting, Rule::Resume, || {
+            let before = std::mem::replace(&mut shard.live[index], TaskState::Running(id));
+            invariant::check(before == TaskState::Waiting, Rule::Resume, || {
                 format!("{key} {task}")
             });
         }
@@ -178,7 +180,7 @@
         if yielding {
             return None;
         }
-        let index = shard.live.iter().position(|l| *l == Live::Waiting)?;
+        let index = shard.live.iter().position(|l| *l == TaskState::Waiting)?;
         let shunned = shard.shunned.get(&index);
         // Only where the urgent task could then run.
         let victims = self
@@ -194,7 +196,7 @@
     }
 
     /// Returns a worker for a task and the share with which it may start.
-    fn place(&mut self, now: Millis, wanted: Wanted) -> Option<(Name, u32)> {
+    fn place(&mut self, now: Millis, wanted: WaitingTask) -> Option<(Name, u32)> {
         let reserve = if wanted.urgent {
             0.0
         } else {
@@ -211,20 +213,20 @@
             .collect();
         let count = candidates.len() as u64;
         let chosen = match self.policy.place {
-            Pick::First => candidates.first().copied(),
-            Pick::Least => candidates
+            Selection::First => candidates.first().copied(),
+            Selection::LeastLoaded => candidates
                 .into_iter()
                 .max_by_key(|w| (w.cores(), w.name.clone())),
-            Pick::Random => {
+            Selection::Random => {
                 let index = self.random.below(count) as usize;
                 candidates.get(index).copied()
             }
-            Pick::Turn => {
+            Selection::RoundRobin => {
                 self.turn += 1;
                 let index = self.turn.checked_rem(count).unwrap_or(0) as usize;
                 candidates.get(index).copied()
             }
-            Pick::Learned => return self.least_interference(now, candidates, &wanted),
+            Selection::Learned => return self.least_interference(now, candidates, &wanted),
         };
         chosen.map(|w| (w.name.clone(), WHOLE))
     }
@@ -235,7 +237,7 @@
         &self,
         now: Millis,
         workers: Vec<&Worker>,
-        wanted: &Wanted,
+        wanted: &WaitingTask,
     ) -> Option<(Name, u32)> {
         let scored = workers
             .into_iter()
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::requests::Queue;
-use super::runs::{Report, Run, RunId, RunPhase};
+use super::runs::{Run, RunId, RunPhase, RunReport};
 use super::shard::JobShard;
 use super::worker::Worker;
 use super::{Action, Policy, Shape};
@@ -20,7 +20,7 @@
 
 /// A worker in the list of live and leaving ones.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct ListedWorker {
     /// Name of the worker.
     pub name: Name,
     /// Cell to which it belongs: `HALL/RACK`.
@@ -35,7 +35,7 @@
 
 /// A worker's answer to an exchange.
 #[derive(Clone, Debug, Default)]
-pub struct SyncResult {
+pub struct PollReply {
     /// True when the worker knows a higher epoch.
     pub refused: bool,
     /// What it has.
@@ -45,7 +45,7 @@
     /// Requests of earlier epochs in progress.
     pub foreign: u32,
     /// Runs that go on, and ended ones that are not acknowledged.
-    pub runs: Vec<Report>,
+    pub runs: Vec<RunReport>,
     /// Late measurements.
     pub samples: Vec<Sample>,
     /// True when it takes nothing new.
@@ -54,7 +54,7 @@
 
 /// An exchange with a worker as it was sent.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct SentPoll {
     /// When it was sent.
     pub sent: Millis,
     /// Its round.
@@ -65,9 +65,9 @@
 
 /// How an exchange with a worker ended.
 #[derive(Clone, Debug)]
-pub enum Exchange {
+pub enum PollOutcome {
     /// The worker answered.
-    Reply(SyncResult),
+    Reply(PollReply),
     /// No byte of it left.
     NotSent,
     /// The worker may have got it.
@@ -85,7 +85,7 @@
 
 /// Times that a cell needs, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct Timings {
     /// Lease of runs on workers.
     pub task: Millis,
     /// Margin for slow sends and clock drift.
@@ -139,12 +139,12 @@
     pub(super) read: Millis,
     pub(super) loaded: bool,
     pub(super) margin: Millis,
-    pub(super) times: Times,
+    pub(super) times: Timings,
 }
 
 impl Cell {
     /// Returns a cell that was just won; its workers are yet to be asked.
-    pub fn new(name: Name, epoch: u64, now: Millis, policy: Policy, times: Times) -> Self {
+    pub fn new(name: Name, epoch: u64, now: Millis, policy: Policy, times: Timings) -> Self {
         let random = Random::new(crate::utils::hash::stable(&[&name]) ^ epoch);
         Self {
             name,
@@ -179,7 +179,7 @@
     }
 
     /// Sets the list of the cell's workers and those drained by operators.
-    pub fn places(&mut self, places: &[Place], drained: &BTreeSet<Name>) {
+    pub fn places(&mut self, places: &[ListedWorker], drained: &BTreeSet<Name>) {
         for worker in self.workers.values_mut() {
             worker.listed = false;
         }
@@ -259,7 +259,7 @@
             if renew {
                 worker.renewing = now;
             }
-            actions.push(Action::Sync {
+            actions.push(Action::Poll {
                 worker: worker.name.clone(),
                 rpc: worker.rpc,
                 acks: std::mem::take(&mut worker.acks),
@@ -276,19 +276,19 @@
         now: Millis,
         micros: u64,
         name: &Name,
-        asked: Asked,
-        exchange: Exchange,
+        asked: SentPoll,
+        exchange: PollOutcome,
     ) -> (bool, Vec<Action>) {
-        let Asked { sent, acks, .. } = asked;
+        let SentPoll { sent, acks, .. } = asked;
         let Some(worker) = self.workers.get_mut(name) else {
             return (false, Vec::new());
         };
         worker.syncing = false;
         let renewing = std::mem::take(&mut worker.renewing);
-        if !matches!(exchange, Exchange::NotSent) {
+        if !matches!(exchange, PollOutcome::NotSent) {
             worker.renewed = worker.renewed.max(renewing);
         }
-        let Exchange::Reply(reply) = exchange else {
+        let PollOutcome::Reply(reply) = exchange else {
             worker.acks.extend(acks);
             return (false, Vec::new());
         };
@@ -331,7 +331,7 @@
         (false, actions)
     }
 
-    fn measure(&mut self, name: &Name, reply: &SyncResult) {
+    fn measure(&mut self, name: &Name, reply: &PollReply) {
         for sample in &reply.samples {
             self.interference.learn(sample);
             let slow = self.slowdowns.entry(name.clone()).or_insert(1.0);
@@ -376,13 +376,13 @@
 
 /// Returns runs that should be on the worker and are not, by an exchange that
 /// was sent at `sent`.
-fn absent(worker: &Worker, sent: Millis, margin: Millis, reports: &[Report]) -> Vec<RunId> {
+fn absent(worker: &Worker, sent: Millis, margin: Millis, reports: &[RunReport]) -> Vec<RunId> {
     let reported: BTreeSet<RunId> = reports.iter().map(|r| r.id).collect();
     let gone = worker.runs.values().filter(|run| {
         let confirmed = match run.phase {
             RunPhase::Running | RunPhase::Stopping => run.since < sent,
             // What was sent before has taken effect by now, or never will.
-            RunPhase::Doubt => sent > run.since.max(worker.awake) + margin,
+            RunPhase::InDoubt => sent > run.since.max(worker.awake) + margin,
             RunPhase::Starting => false,
         };
         confirmed && !reported.contains(&run.id)
--- a/src/cell/tests.rs
+++ b/src/cell/tests.rs
@@ -11,15 +11,15 @@
     memory: 8_000,
     accelerators: 0,
 };
-const TIMES: Times = Times {
+const TIMES: Timings = Timings {
     task: 1_000,
     margin: 200,
     sync: 100,
 };
 
-fn place(index: usize) -> Place {
+fn place(index: usize) -> ListedWorker {
     let port = index as u16 + 1;
-    Place {
+    ListedWorker {
         name: format!("w{index}").into(),
         cell: "h/r".into(),
         http: SocketAddr::from(([127, 0, 0, 1], port)),
@@ -28,28 +28,28 @@
     }
 }
 
-fn answer(cell: &mut Cell, now: Millis, worker: usize, reply: SyncResult) -> Vec<Action> {
-    let asked = Asked {
+fn answer(cell: &mut Cell, now: Millis, worker: usize, reply: PollReply) -> Vec<Action> {
+    let asked = SentPoll {
         sent: now,
         round: 1,
         acks: Vec::new(),
     };
     let name: Name = format!("w{worker}").into();
-    cell.synced(now, now * 1_000, &name, asked, Exchange::Reply(reply))
+    cell.synced(now, now * 1_000, &name, asked, PollOutcome::Reply(reply))
         .1
 }
 
-fn shaped() -> SyncResult {
-    SyncResult {
+fn shaped() -> PollReply {
+    PollReply {
         shape: SHAPE,
-        ..SyncResult::default()
+        ..PollReply::default()
     }
 }
 
 /// Returns a cell whose workers have answered at time 0.
 fn cell(workers: usize) -> Cell {
     let mut cell = Cell::new("h/r".into(), 1, 0, Policy::default(), TIMES);
-    let places: Vec<Place> = (0..workers).map(place).collect();
+    let places: Vec<ListedWorker> = (0..workers).map(place).collect();
     cell.places(&places, &Default::default());
     cell.load(0, Vec::new());
     for worker in 0..workers {
@@ -58,8 +58,8 @@
     cell
 }
 
-fn ask(ticket: u64, class: Class, deadline: Millis) -> Ask {
-    Ask {
+fn ask(ticket: u64, class: Class, deadline: Millis) -> PendingRequest {
+    PendingRequest {
         ticket,
         service: "s".into(),
         class,
@@ -129,7 +129,7 @@
         cell.admit(10, 10_000, ask(2, Class::Critical, 1_000))
             .is_empty()
     );
-    let actions = cell.ended(20, 20_000, 0, Sent::Answered);
+    let actions = cell.ended(20, 20_000, 0, SendOutcome::Answered);
     assert!(
         matches!(actions[..], [Action::Send { ticket: 2, .. }]),
         "{actions:?}"
@@ -142,7 +142,7 @@
     for ticket in 0..2 {
         cell.admit(10, 10_000, ask(ticket, Class::Critical, 1_000));
     }
-    cell.ended(20, 20_000, 0, Sent::Unknown { until: 30 });
+    cell.ended(20, 20_000, 0, SendOutcome::Unknown { until: 30 });
     assert_eq!(cell.free(25), 0);
     let mut reply = shaped();
     reply.tickets = vec![0, 1];
@@ -189,7 +189,7 @@
     for ticket in 0..2 {
         cell.admit(10, 10_000, ask(ticket, Class::Critical, 9_000));
     }
-    cell.ended(510, 510_000, 0, Sent::Answered);
+    cell.ended(510, 510_000, 0, SendOutcome::Answered);
     let actions = cell.admit(510, 510_000, ask(5, Class::Critical, 600));
     let late = |a: &Action| {
         matches!(
@@ -208,8 +208,8 @@
     let mut cell = cell(1);
     cell.offer(0, shard("j", 1, 1_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
-    cell.started(15, &worker, run.id, Called::Done(0));
-    cell.stopped(20, 20_000, &worker, run.id, Called::Done(700));
+    cell.started(15, &worker, run.id, CallOutcome::Done(0));
+    cell.stopped(20, 20_000, &worker, run.id, CallOutcome::Done(700));
     assert!(
         starts(&cell.tick(30, 30_000)).is_empty(),
         "not recorded yet"
@@ -231,7 +231,7 @@
 
 /// Runs the one task of a cell until it is not started again: each time its worker comes
 /// back without it. Returns how often it was started.
-fn lose_runs(answered: Called) -> usize {
+fn lose_runs(answered: CallOutcome) -> usize {
     let mut cell = cell(2);
     cell.offer(0, shard("j", 1, 1_000));
     let mut count = 0;
@@ -256,8 +256,8 @@
 /// workers one task could take: it was started 300 times in 60 s.
 #[test]
 fn a_task_whose_runs_go_with_their_workers_is_given_up() {
-    assert_eq!(lose_runs(Called::Done(0)), 8);
-    assert_eq!(lose_runs(Called::Lost), 8);
+    assert_eq!(lose_runs(CallOutcome::Done(0)), 8);
+    assert_eq!(lose_runs(CallOutcome::Lost), 8);
 }
 
 #[test]
@@ -265,8 +265,8 @@
     let mut cell = cell(1);
     cell.offer(0, shard("j", 1, 1_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
-    cell.started(15, &worker, run.id, Called::Done(0));
-    cell.stopped(20, 20_000, &worker, run.id, Called::Done(700));
+    cell.started(15, &worker, run.id, CallOutcome::Done(0));
+    cell.stopped(20, 20_000, &worker, run.id, CallOutcome::Done(700));
     let writes = cell.flush();
     let [Action::Write { key, row, .. }] = &writes[..] else {
         panic!("{writes:?}");
@@ -302,7 +302,7 @@
     let mut cell = cell(2);
     cell.offer(0, shard("j", 1, 1_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
-    cell.started(15, &worker, run.id, Called::Lost);
+    cell.started(15, &worker, run.id, CallOutcome::Lost);
     let other = if &*worker == "w0" { 1 } else { 0 };
     for now in (100..5_000).step_by(100) {
         answer(&mut cell, now, other, shaped());
@@ -315,11 +315,11 @@
     let mut cell = cell(1);
     cell.offer(0, shard("j", 1, 2_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
-    cell.started(15, &worker, run.id, Called::Done(0));
+    cell.started(15, &worker, run.id, CallOutcome::Done(0));
     let before = cell.cores(20);
-    cell.throttled(20, 20_000, &worker, run.id, 500, Called::Lost);
+    cell.throttled(20, 20_000, &worker, run.id, 500, CallOutcome::Lost);
     assert_eq!(cell.cores(20), before);
-    cell.throttled(30, 30_000, &worker, run.id, 500, Called::Done(0));
+    cell.throttled(30, 30_000, &worker, run.id, 500, CallOutcome::Done(0));
     assert!(cell.cores(30) >= before);
 }
 
@@ -378,7 +378,7 @@
     let key = known.key.clone();
     cell.load(begin, vec![known]);
     let mut reply = shaped();
-    reply.runs = vec![Report {
+    reply.runs = vec![RunReport {
         id: 1 << 32,
         job: "j".into(),
         task: 0,
@@ -390,7 +390,7 @@
         usage: 0,
     }];
     answer(&mut cell, adopted, 0, reply);
-    let asked = |now| Asked {
+    let asked = |now| SentPoll {
         sent: now,
         round: 1,
         acks: Vec::new(),
@@ -404,9 +404,13 @@
             now * 1_000,
             &"w0".into(),
             asked(now),
-            Exchange::NotSent,
+            PollOutcome::NotSent,
+        );
+        assert_eq!(
+            cell.shards[&key].live,
+            [TaskState::Running(1 << 32)],
+            "at {now}"
         );
-        assert_eq!(cell.shards[&key].live, [Live::Running(1 << 32)], "at {now}");
     }
 }
 
--- a/src/cell/throttling.rs
+++ b/src/cell/throttling.rs
@@ -1,6 +1,6 @@
 //! Relief: which runs are throttled or evicted where services are hurt.
 
-use super::runs::{Called, Run, RunId, RunPhase};
+use super::runs::{CallOutcome, Run, RunId, RunPhase};
 use super::state::Cell;
 use super::worker::Worker;
 use super::{Action, Size};
@@ -131,7 +131,7 @@
         name: &Name,
         id: RunId,
         share: u32,
-        called: Called,
+        called: CallOutcome,
     ) -> Vec<Action> {
         let Some(worker) = self.workers.get_mut(name) else {
             return Vec::new();
@@ -139,12 +139,12 @@
         worker.change(id, |r| {
             r.throttling = false;
             match called {
-                Called::Done(_) => {
+                CallOutcome::Done(_) => {
                     r.share = share;
                     r.since = now;
                 }
-                Called::Lost => r.floor = r.floor.max(share),
-                Called::Refused => {}
+                CallOutcome::Lost => r.floor = r.floor.max(share),
+                CallOutcome::Refused => {}
             }
         });
         self.pump(now, micros)
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -20,7 +20,7 @@
 
 /// A request in progress on a worker.
 #[derive(Clone, Debug)]
-pub struct Active {
+pub struct ActiveRequest {
     /// Service that is asked for.
     pub service: Name,
     /// Size that is reserved.
@@ -49,7 +49,7 @@
     /// True while the list of live workers names it.
     pub listed: bool,
     /// Requests sent under this epoch, by ticket.
-    pub active: BTreeMap<u64, Active>,
+    pub active: BTreeMap<u64, ActiveRequest>,
     /// Requests of earlier epochs that still run.
     pub foreign: u32,
     /// Runs that may be running.
@@ -173,7 +173,7 @@
     }
 
     /// Adds a request.
-    pub fn add(&mut self, ticket: u64, active: Active) {
+    pub fn add(&mut self, ticket: u64, active: ActiveRequest) {
         self.used = plus(self.used, active.size);
         self.active.insert(ticket, active);
         let held = self.busy() <= self.shape.slots && self.within();
@@ -182,7 +182,7 @@
     }
 
     /// Removes a request.
-    pub fn remove(&mut self, ticket: u64) -> Option<Active> {
+    pub fn remove(&mut self, ticket: u64) -> Option<ActiveRequest> {
         let active = self.active.remove(&ticket)?;
         self.used = minus(self.used, active.size);
         Some(active)
--- a/src/cell/writes.rs
+++ b/src/cell/writes.rs
@@ -1,7 +1,7 @@
 //! Records: the rows of changed job shards, and what their writes settle.
 
 use super::Action;
-use super::shard::{Live, Writing, end_waiting};
+use super::shard::{PendingWrite, TaskState, end_waiting};
 use super::state::Cell;
 use crate::job::Versioned;
 use crate::lease::Written;
@@ -22,8 +22,8 @@
             shard.row.epoch = self.epoch;
             shard.row.seq += 1;
             let recorded = shard.live.iter().enumerate();
-            let recorded = recorded.filter(|(_, l)| **l == Live::Recording);
-            shard.writing = Some(Writing {
+            let recorded = recorded.filter(|(_, l)| **l == TaskState::Recording);
+            shard.writing = Some(PendingWrite {
                 seq: shard.row.seq,
                 recorded: recorded.map(|(i, _)| i).collect(),
                 acks: std::mem::take(&mut shard.acks),
@@ -78,8 +78,8 @@
             return;
         };
         for index in writing.recorded {
-            if shard.live[index] == Live::Recording {
-                shard.live[index] = Live::Waiting;
+            if shard.live[index] == TaskState::Recording {
+                shard.live[index] = TaskState::Waiting;
             }
         }
         if shard.cancelled {
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -18,7 +18,7 @@
 
 use std::net::SocketAddr;
 
-use crate::cell::{Called, Exchange, Place, Reason, RunId, Sent, Shape};
+use crate::cell::{CallOutcome, ListedWorker, PollOutcome, Reason, RunId, SendOutcome, Shape};
 use crate::claim::Versioned;
 use crate::config::Config;
 use crate::guard::Memory;
@@ -153,14 +153,14 @@
         /// Ends that it acknowledged.
         acks: Vec<RunId>,
         /// How it ended.
-        exchange: Exchange,
+        exchange: PollOutcome,
     },
     /// A start.
-    Started(RunId, Called),
+    Started(RunId, CallOutcome),
     /// A stop.
-    Stopped(RunId, Called),
+    Stopped(RunId, CallOutcome),
     /// A throttle, with its share.
-    Throttled(RunId, u32, Called),
+    Throttled(RunId, u32, CallOutcome),
 }
 
 /// What happened.
@@ -193,7 +193,7 @@
         /// The request.
         ticket: u64,
         /// How it ended.
-        sent: Sent,
+        sent: SendOutcome,
     },
     /// A hand-over to another box ended.
     Handed {
@@ -212,7 +212,7 @@
         outcome: Outcome,
     },
     /// The list of workers came, or none.
-    Listed(Option<Vec<Place>>),
+    Listed(Option<Vec<ListedWorker>>),
     /// A call to a worker ended.
     Worker {
         /// Cell of the worker.
--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -4,7 +4,7 @@
 use super::flight::RESENT;
 use super::state::Engine;
 use super::{Action, Now, Reported};
-use crate::cell::{self, Place, Reason};
+use crate::cell::{self, ListedWorker, Reason};
 use crate::invariant::{self, Rule};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -100,7 +100,7 @@
                 after,
             } => self.refused(now, ticket, reason, after, out),
             cell::Action::Start { worker, run, .. } if !self.rules(now, cell, epoch) => {
-                let reported = Reported::Started(run.id, cell::Called::Refused);
+                let reported = Reported::Started(run.id, cell::CallOutcome::Refused);
                 self.worker(now, cell, epoch, &worker, reported, out);
             }
             other => out.push(Action::Worker {
@@ -135,7 +135,7 @@
                     millis,
                     micros,
                     worker,
-                    cell::Asked { sent, round, acks },
+                    cell::SentPoll { sent, round, acks },
                     exchange,
                 );
                 if outranked {
@@ -164,7 +164,7 @@
         }
     }
 
-    pub(super) fn list(&mut self, places: Option<Vec<Place>>) {
+    pub(super) fn list(&mut self, places: Option<Vec<ListedWorker>>) {
         self.listing = false;
         let Some(places) = places else {
             return;
--- a/src/engine/flights.rs
+++ b/src/engine/flights.rs
@@ -4,7 +4,7 @@
 use super::owning::guard_name;
 use super::state::Engine;
 use super::{Action, Now, Verdict};
-use crate::cell::{Ask, Reason};
+use crate::cell::{PendingRequest, Reason};
 use crate::constants::GUARDS;
 use crate::guard::Admission;
 use crate::invariant::{self, Rule};
@@ -253,7 +253,7 @@
         let Some(size) = self.config.size(&flight.meta.service) else {
             return self.refused(now, ticket, Reason::NoService, COME_BACK, out);
         };
-        let ask = Ask {
+        let ask = PendingRequest {
             ticket,
             service: flight.meta.service.clone(),
             class: flight.meta.class,
--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -4,7 +4,7 @@
 use super::flights::COME_BACK;
 use super::state::Engine;
 use super::{Action, Handed, Now, Verdict};
-use crate::cell::{Reason, Sent};
+use crate::cell::{Reason, SendOutcome};
 use crate::invariant::{self, Rule};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -38,7 +38,7 @@
     pub(super) fn unsent(&mut self, now: Now, cell: &Name, ticket: u64, out: &mut Vec<Action>) {
         if let Some(cell) = self.cells.get_mut(cell) {
             // What the freed room would let through can't be sent either.
-            let actions = cell.ended(now.millis, now.micros, ticket, Sent::Unsent);
+            let actions = cell.ended(now.millis, now.micros, ticket, SendOutcome::LeaseLapsed);
             debug_assert!(actions.is_empty());
         }
         self.arrive(ticket);
@@ -80,7 +80,7 @@
     }
 
     /// Takes in how a send to an endpoint went.
-    pub(super) fn sent(&mut self, now: Now, ticket: u64, sent: Sent, out: &mut Vec<Action>) {
+    pub(super) fn sent(&mut self, now: Now, ticket: u64, sent: SendOutcome, out: &mut Vec<Action>) {
         self.arrive(ticket);
         let stage = self.flights.get(&ticket).map(|f| f.stage.clone());
         if let Some(Stage::Local(name)) = stage
@@ -92,13 +92,13 @@
             }
         }
         match sent {
-            Sent::Answered => {
+            SendOutcome::Answered => {
                 self.left_cell(ticket);
                 self.finish(ticket, Verdict::Answer, out);
             }
-            Sent::NotRun => self.refused(now, ticket, Reason::Refused, COME_BACK, out),
-            Sent::Unsent => self.refused(now, ticket, Reason::Lapsed, COME_BACK, out),
-            Sent::Unknown { .. } => self.doubted(now, ticket, "endpoint", out),
+            SendOutcome::NotRun => self.refused(now, ticket, Reason::Refused, COME_BACK, out),
+            SendOutcome::LeaseLapsed => self.refused(now, ticket, Reason::Lapsed, COME_BACK, out),
+            SendOutcome::Unknown { .. } => self.doubted(now, ticket, "endpoint", out),
         }
     }
 
--- a/src/engine/owning.rs
+++ b/src/engine/owning.rs
@@ -5,7 +5,7 @@
 use super::state::{Engine, incarnation};
 use super::storing::Purpose;
 use super::{Action, Now};
-use crate::cell::{Cell, Reason, Times};
+use crate::cell::{Cell, Reason, Timings};
 use crate::claim::{self, Claims, GUARD, Host};
 use crate::constants::GUARDS;
 use crate::guard::Guard;
@@ -144,7 +144,7 @@
             return;
         }
         let pace = self.setup.pace;
-        let times = Times {
+        let times = Timings {
             task: pace.task,
             margin: self.setup.lease_timings.margin,
             sync: pace.sync,
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -6,7 +6,7 @@
 use super::flights::BUDGET;
 use super::storing::Purpose;
 use super::{Action, Event, Now, Setup};
-use crate::cell::{Cell, Place};
+use crate::cell::{Cell, ListedWorker};
 use crate::claim::Claims;
 use crate::config::Config;
 use crate::guard::Guard;
@@ -34,7 +34,7 @@
     /// A configuration that is read and not yet known to be whole.
     pub(super) staged: Option<Config>,
     pub(super) router: Router,
-    pub(super) places: Vec<Place>,
+    pub(super) places: Vec<ListedWorker>,
     pub(super) flights: BTreeMap<u64, Flight>,
     pub(super) ops: BTreeMap<u64, Purpose>,
     pub(super) next_op: u64,
--- a/src/entry/sends.rs
+++ b/src/entry/sends.rs
@@ -8,7 +8,7 @@
 
 use super::peers;
 use super::shell::{Context, Load, Message};
-use crate::cell::Sent;
+use crate::cell::SendOutcome;
 use crate::constants;
 use crate::engine::{Event, Handed};
 use crate::request::Meta;
@@ -44,22 +44,22 @@
         .await;
     let until = clock::now() + send.left;
     let (sent, reply) = match result {
-        Ok(reply) if refused(&reply) => (Sent::NotRun, None),
-        Ok(reply) => (Sent::Answered, Some(reply)),
-        Err(WebError::Held) => (Sent::Unsent, None),
+        Ok(reply) if refused(&reply) => (SendOutcome::NotRun, None),
+        Ok(reply) => (SendOutcome::Answered, Some(reply)),
+        Err(WebError::Held) => (SendOutcome::LeaseLapsed, None),
         Err(WebError::NotSent(e)) => {
             log::debug!(target: "entry", "{} not reached: {e}", send.http);
-            (Sent::NotRun, None)
+            (SendOutcome::NotRun, None)
         }
         Err(e) => {
             log::debug!(target: "entry", "{}: {e}", send.http);
-            (Sent::Unknown { until }, None)
+            (SendOutcome::Unknown { until }, None)
         }
     };
     let verdict = match sent {
-        Sent::Answered => "answer",
-        Sent::NotRun | Sent::Unsent => "not-run",
-        Sent::Unknown { .. } => "unknown",
+        SendOutcome::Answered => "answer",
+        SendOutcome::NotRun | SendOutcome::LeaseLapsed => "not-run",
+        SendOutcome::Unknown { .. } => "unknown",
     };
     hop.end("endpoint", clock::micros() - start, verdict);
     let event = Event::Sent { ticket, sent };
--- a/src/entry/store.rs
+++ b/src/entry/store.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::cell::Place;
+use crate::cell::ListedWorker;
 use crate::lease::Written;
 use crate::proto::{self, directory_client::DirectoryClient, table_client::TableClient};
 use crate::rpc::client::{CallError, Channel};
@@ -99,7 +99,7 @@
     }
 
     /// Reads the list of workers, or `None` when it does not answer.
-    pub async fn places(&self) -> Option<Vec<Place>> {
+    pub async fn places(&self) -> Option<Vec<ListedWorker>> {
         let call = self.channel.call(self.patience, |c| async move {
             DirectoryClient::new(c)
                 .list(proto::DirectoryRequest {})
@@ -149,13 +149,13 @@
     }
 }
 
-fn place(entry: proto::DirectoryEntry) -> Option<Place> {
+fn place(entry: proto::DirectoryEntry) -> Option<ListedWorker> {
     let addresses = entry.http.parse().ok().zip(entry.rpc.parse().ok());
     let Some((http, rpc)) = addresses else {
         log::error!(target: "store", "{} is listed without addresses", entry.name);
         return None;
     };
-    Some(Place {
+    Some(ListedWorker {
         name: entry.name.into(),
         cell: format!("{}/{}", entry.hall, entry.rack).into(),
         http,
--- a/src/entry/workers.rs
+++ b/src/entry/workers.rs
@@ -5,7 +5,8 @@
 
 use super::shell::{Context, Message};
 use crate::cell::{
-    Action, Called, Exchange, Report, Run, RunId, RunState, Sample, Shape, Size, SyncResult,
+    Action, CallOutcome, PollOutcome, PollReply, Run, RunId, RunReport, RunState, Sample, Shape,
+    Size,
 };
 use crate::constants::WHOLE;
 use crate::engine::{Event, Reported};
@@ -34,7 +35,7 @@
         rpc,
     };
     let (worker, reported) = match action {
-        Action::Sync {
+        Action::Poll {
             worker,
             rpc,
             acks,
@@ -118,9 +119,9 @@
         Err(e) => Err(e),
     };
     let exchange = match result {
-        Ok(reply) => Exchange::Reply(sync_result(reply)),
-        Err(CallError::NotSent(_)) => Exchange::NotSent,
-        Err(_) => Exchange::Lost,
+        Ok(reply) => PollOutcome::Reply(sync_result(reply)),
+        Err(CallError::NotSent(_)) => PollOutcome::NotSent,
+        Err(_) => PollOutcome::Lost,
     };
     Reported::Synced {
         sent,
@@ -130,7 +131,7 @@
     }
 }
 
-async fn start(place: Place, run: Run, work: Millis) -> Called {
+async fn start(place: Place, run: Run, work: Millis) -> CallOutcome {
     let request = proto::StartRequest {
         cell: place.cell.to_string(),
         epoch: place.epoch,
@@ -160,7 +161,7 @@
     called(result)
 }
 
-async fn stop(place: Place, run: RunId, checkpoint: bool) -> Called {
+async fn stop(place: Place, run: RunId, checkpoint: bool) -> CallOutcome {
     let request = proto::StopRequest {
         cell: place.cell.to_string(),
         epoch: place.epoch,
@@ -177,7 +178,7 @@
     called(result)
 }
 
-async fn throttle(place: Place, run: RunId, share: u32) -> Called {
+async fn throttle(place: Place, run: RunId, share: u32) -> CallOutcome {
     let request = proto::ThrottleRequest {
         cell: place.cell.to_string(),
         epoch: place.epoch,
@@ -194,16 +195,16 @@
     called(result)
 }
 
-fn called(result: Result<proto::RunReply, CallError>) -> Called {
+fn called(result: Result<proto::RunReply, CallError>) -> CallOutcome {
     match result {
-        Ok(reply) if reply.done => Called::Done(reply.progress),
-        Ok(_) | Err(CallError::NotSent(_)) => Called::Refused,
-        Err(_) => Called::Lost,
+        Ok(reply) if reply.done => CallOutcome::Done(reply.progress),
+        Ok(_) | Err(CallError::NotSent(_)) => CallOutcome::Refused,
+        Err(_) => CallOutcome::Lost,
     }
 }
 
-fn sync_result(reply: proto::SyncReply) -> SyncResult {
-    SyncResult {
+fn sync_result(reply: proto::SyncReply) -> PollReply {
+    PollReply {
         refused: reply.refused,
         shape: shape(reply.shape.unwrap_or_default()),
         tickets: reply.tickets,
@@ -225,7 +226,7 @@
     }
 }
 
-fn report(run: proto::Run) -> Option<Report> {
+fn report(run: proto::Run) -> Option<RunReport> {
     let state = match run.state() {
         proto::RunState::Running => RunState::Running,
         proto::RunState::Finished => RunState::Finished,
@@ -234,7 +235,7 @@
         proto::RunState::Unknown => return None,
     };
     let size = run.size.unwrap_or_default();
-    Some(Report {
+    Some(RunReport {
         id: run.run,
         job: run.job.into(),
         task: run.task,
--- a/src/standin/worker/serve.rs
+++ b/src/standin/worker/serve.rs
@@ -9,7 +9,7 @@
 use tonic::{Request, Response, Status};
 
 use super::state::{Active, Refusal, Start, Sync, Task, Worker};
-use crate::cell::{Reason, Report, RunState, Shape, Size};
+use crate::cell::{Reason, RunReport, RunState, Shape, Size};
 use crate::constants;
 use crate::proto::{self, worker_faults_server, worker_server};
 use crate::rpc;
@@ -195,7 +195,7 @@
     }
 }
 
-fn run(report: &Report) -> proto::Run {
+fn run(report: &RunReport) -> proto::Run {
     let state = match report.state {
         RunState::Running => proto::RunState::Running,
         RunState::Finished => proto::RunState::Finished,
--- a/src/standin/worker/state.rs
+++ b/src/standin/worker/state.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::cell::{Report, RunId, RunState, Sample, Shape, Size};
+use crate::cell::{RunId, RunReport, RunState, Sample, Shape, Size};
 use crate::constants::WHOLE;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -231,7 +231,7 @@
 
     /// Renews the leases of all runs, forgets acknowledged ones and reports;
     /// `None` refuses a lower epoch.
-    pub fn sync(&mut self, now: Millis, wall: Millis, sync: &Sync) -> Option<Vec<Report>> {
+    pub fn sync(&mut self, now: Millis, wall: Millis, sync: &Sync) -> Option<Vec<RunReport>> {
         self.advance(now);
         if self.fenced(sync.epoch) {
             return None;
@@ -437,12 +437,12 @@
     pub acks: Vec<RunId>,
 }
 
-fn report(task: &Task) -> Report {
+fn report(task: &Task) -> RunReport {
     let progress = match task.state {
         RunState::Stopped => task.saved,
         _ => task.done as Millis,
     };
-    Report {
+    RunReport {
         id: task.id,
         job: task.job.clone(),
         task: task.task,
--- a/tools/trial/src/world.rs
+++ b/tools/trial/src/world.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-use willowpoint::cell::{Place, Policy, Shape};
+use willowpoint::cell::{ListedWorker, Policy, Shape};
 use willowpoint::engine::{Engine, Event, Now, Setup};
 use willowpoint::guard::Memory;
 use willowpoint::invariant::Rule;
@@ -187,8 +187,8 @@
 /// First ports of boxes, endpoints and controls.
 const PORTS: (u16, u16, u16) = (1_000, 2_000, 3_000);
 
-fn place(index: usize, leaving: bool) -> Place {
-    Place {
+fn place(index: usize, leaving: bool) -> ListedWorker {
+    ListedWorker {
         name: format!("w{index}").into(),
         cell: RACKS[index % RACKS.len()].into(),
         http: address(PORTS.1, index),
--- a/tools/trial/src/world/boxes.rs
+++ b/tools/trial/src/world/boxes.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use willowpoint::cell::{Action as CellAction, Called, Exchange, Reason, Sent};
+use willowpoint::cell::{Action as CellAction, CallOutcome, PollOutcome, Reason, SendOutcome};
 use willowpoint::engine::{Action, Event, Handed, Reported, Verdict};
 use willowpoint::invariant::Rule;
 use willowpoint::lease::Written;
@@ -139,7 +139,7 @@
     fn send(&mut self, node: usize, ticket: u64, epoch: u64, http: SocketAddr, left: u64) {
         let event = |sent| Event::Sent { ticket, sent };
         if !self.acts(node) {
-            return self.feed(node, event(Sent::Unsent));
+            return self.feed(node, event(SendOutcome::LeaseLapsed));
         }
         let Some(attempt) = self.attempt(node, ticket) else {
             return;
@@ -153,11 +153,18 @@
             request: Request { ticket, attempt },
             service: "s0".into(),
         };
-        let lost = event(Sent::Unknown {
+        let lost = event(SendOutcome::Unknown {
             until: now.millis + left * 2,
         });
         let end = End::Worker(index(http, PORTS.1));
-        self.ask(node, end, left.max(1), payload, lost, event(Sent::NotRun));
+        self.ask(
+            node,
+            end,
+            left.max(1),
+            payload,
+            lost,
+            event(SendOutcome::NotRun),
+        );
     }
 
     fn call_store(&mut self, node: usize, op: u64, call: TableCall) {
@@ -177,7 +184,7 @@
     fn call_worker(&mut self, node: usize, cell: Name, epoch: u64, action: CellAction) {
         let now = self.clock(node);
         let (worker, lost, unsent) = match &action {
-            CellAction::Sync {
+            CellAction::Poll {
                 worker,
                 round,
                 acks,
@@ -189,21 +196,37 @@
                     acks: acks.clone(),
                     exchange,
                 };
-                (worker, synced(Exchange::Lost), synced(Exchange::NotSent))
+                (
+                    worker,
+                    synced(PollOutcome::Lost),
+                    synced(PollOutcome::NotSent),
+                )
             }
             CellAction::Start { worker, run, .. } => {
                 let started = |called| Reported::Started(run.id, called);
-                (worker, started(Called::Lost), started(Called::Refused))
+                (
+                    worker,
+                    started(CallOutcome::Lost),
+                    started(CallOutcome::Refused),
+                )
             }
             CellAction::Stop { worker, run, .. } => {
                 let stopped = |called| Reported::Stopped(*run, called);
-                (worker, stopped(Called::Lost), stopped(Called::Refused))
+                (
+                    worker,
+                    stopped(CallOutcome::Lost),
+                    stopped(CallOutcome::Refused),
+                )
             }
             CellAction::Throttle {
                 worker, run, share, ..
             } => {
                 let throttled = |called| Reported::Throttled(*run, *share, called);
-                (worker, throttled(Called::Lost), throttled(Called::Refused))
+                (
+                    worker,
+                    throttled(CallOutcome::Lost),
+                    throttled(CallOutcome::Refused),
+                )
             }
             _ => return,
         };
--- a/tools/trial/src/world/ends.rs
+++ b/tools/trial/src/world/ends.rs
@@ -1,7 +1,7 @@
 //! Messages between boxes, platform and workers.
 
 use willowpoint::cell::{
-    Action as CellAction, Called, Exchange, Run, RunId, RunState, Sent, SyncResult,
+    Action as CellAction, CallOutcome, PollOutcome, PollReply, Run, RunId, RunState, SendOutcome,
 };
 use willowpoint::engine::{Event, Greeting, Handed, Reported};
 use willowpoint::invariant::Rule;
@@ -284,7 +284,7 @@
             self.truth.counts.event("requests refused by workers");
             let event = Event::Sent {
                 ticket,
-                sent: Sent::NotRun,
+                sent: SendOutcome::NotRun,
             };
             return self.reply(call, End::Worker(worker), event, None);
         }
@@ -320,7 +320,7 @@
         self.hosts[worker].worker.finish(ticket, epoch);
         let event = Event::Sent {
             ticket,
-            sent: Sent::Answered,
+            sent: SendOutcome::Answered,
         };
         self.reply(call, End::Worker(worker), event, Some((ticket, attempt)));
     }
@@ -335,7 +335,7 @@
     ) -> Reported {
         let (now, wall) = (self.now, self.wall_of(worker));
         match action {
-            CellAction::Sync {
+            CellAction::Poll {
                 acks, renew, round, ..
             } => {
                 let sync = Sync {
@@ -349,7 +349,7 @@
                 let runs = host.sync(now, wall, &sync);
                 let (tickets, foreign) = host.tickets();
                 let samples = host.late_samples(now).into_iter().map(|(_, s)| s);
-                let reply = SyncResult {
+                let reply = PollReply {
                     refused: runs.is_none(),
                     shape: host.shape,
                     tickets,
@@ -362,7 +362,7 @@
                     sent,
                     round: *round,
                     acks: acks.clone(),
-                    exchange: Exchange::Reply(reply),
+                    exchange: PollOutcome::Reply(reply),
                 }
             }
             CellAction::Start { run, work, .. } => {
@@ -374,19 +374,26 @@
             } => {
                 let host = &mut self.hosts[worker].worker;
                 let result = host.stop(now, epoch, *run, *checkpoint);
-                Reported::Stopped(*run, result.map_or(Called::Refused, Called::Done))
+                Reported::Stopped(*run, result.map_or(CallOutcome::Refused, CallOutcome::Done))
             }
             CellAction::Throttle { run, share, .. } => {
                 let host = &mut self.hosts[worker].worker;
                 let result = host.throttle(now, epoch, *run, *share);
-                let called = result.map_or(Called::Refused, |()| Called::Done(0));
+                let called = result.map_or(CallOutcome::Refused, |()| CallOutcome::Done(0));
                 Reported::Throttled(*run, *share, called)
             }
-            _ => Reported::Started(0, Called::Refused),
+            _ => Reported::Started(0, CallOutcome::Refused),
         }
     }
 
-    fn start(&mut self, worker: usize, epoch: u64, not_after: u64, run: &Run, work: u64) -> Called {
+    fn start(
+        &mut self,
+        worker: usize,
+        epoch: u64,
+        not_after: u64,
+        run: &Run,
+        work: u64,
+    ) -> CallOutcome {
         let wall = self.wall_of(worker);
         let before = self.hosts[worker].worker.counts.starts;
         let task = Task {
@@ -414,7 +421,7 @@
             self.truth.counts.event("runs started");
             self.watch_start(worker, run);
         }
-        result.map_or(Called::Refused, |()| Called::Done(0))
+        result.map_or(CallOutcome::Refused, |()| CallOutcome::Done(0))
     }
 
     /// Checks a run that has just started against all workers and the table.
--- a/tools/trial/src/world/faults.rs
+++ b/tools/trial/src/world/faults.rs
@@ -1,6 +1,6 @@
 //! Faults and what they do to messages.
 
-use willowpoint::cell::Place;
+use willowpoint::cell::ListedWorker;
 use willowpoint::engine::Event;
 use willowpoint::standin::worker::state::Worker;
 
@@ -31,7 +31,7 @@
     /// The list of workers is old.
     pub lag: u64,
     /// The list as it was when it began to lag.
-    pub old: Vec<Place>,
+    pub old: Vec<ListedWorker>,
     /// Links are slow.
     pub links: u64,
 }
@@ -157,7 +157,7 @@
     }
 
     /// Returns the list of workers as the platform tells it now.
-    pub fn places(&self) -> Vec<Place> {
+    pub fn places(&self) -> Vec<ListedWorker> {
         if self.trouble.lag > self.now {
             return self.trouble.old.clone();
         }
