--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -14,7 +14,7 @@
     SendOutcome, SentPoll, Shape, Size, Timings,
 };
 use willowpoint::config::{Config, EntryRow};
-use willowpoint::guard::{Guard, Memory};
+use willowpoint::dedup::{Guard, Memory};
 use willowpoint::job::{JobShardRow, Spec, TaskRow, Versioned};
 use willowpoint::proto;
 use willowpoint::route::{Load, Router};
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -21,7 +21,7 @@
 use crate::cell::{CallOutcome, ListedWorker, PollOutcome, Reason, RunId, SendOutcome, Shape};
 use crate::claim::Versioned;
 use crate::config::Config;
-use crate::guard::Memory;
+use crate::dedup::Memory;
 use crate::lease::LeaseTimings;
 use crate::options::Pace;
 use crate::request::Meta;
--- a/src/engine/flights.rs
+++ b/src/engine/flights.rs
@@ -6,7 +6,7 @@
 use super::{Action, Now, Verdict};
 use crate::cell::{PendingRequest, Reason};
 use crate::constants::GUARDS;
-use crate::guard::Admission;
+use crate::dedup::Admission;
 use crate::invariant::{self, Rule};
 use crate::request::Meta;
 use crate::utils::Name;
--- a/src/engine/owning.rs
+++ b/src/engine/owning.rs
@@ -8,7 +8,7 @@
 use crate::cell::{Cell, Reason, Timings};
 use crate::claim::{self, Claims, GUARD, Host};
 use crate::constants::GUARDS;
-use crate::guard::Guard;
+use crate::dedup::Guard;
 use crate::lease::{self, BoxRow, Lease};
 use crate::table::{Call, Expect, Op};
 use crate::utils::Name;
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -9,7 +9,7 @@
 use crate::cell::{Cell, ListedWorker};
 use crate::claim::Claims;
 use crate::config::Config;
-use crate::guard::Guard;
+use crate::dedup::Guard;
 use crate::lease::{BoxRow, Lease};
 use crate::route::Router;
 use crate::utils::Name;
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -19,8 +19,8 @@
 
 use futures::channel::mpsc;
 
+use crate::dedup::Memory;
 use crate::engine::{Engine, Event, Setup};
-use crate::guard::Memory;
 use crate::options::Settings;
 use crate::utils::drain::Drain;
 use crate::utils::{clock, listen, signals};
--- a/tools/trial/src/world.rs
+++ b/tools/trial/src/world.rs
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 
 use willowpoint::cell::{ListedWorker, Policy, Shape};
+use willowpoint::dedup::Memory;
 use willowpoint::engine::{Engine, Event, Now, Setup};
-use willowpoint::guard::Memory;
 use willowpoint::invariant::Rule;
 use willowpoint::lease::LeaseTimings;
 use willowpoint::options::Pace;
