--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -14,7 +14,7 @@
     SendOutcome, SentPoll, Shape, Size, Timings,
 };
 use willowpoint::config::{Config, EntryRow};
-use willowpoint::dedup::{Guard, Memory};
+use willowpoint::dedup::{DedupShard, DedupTimings};
 use willowpoint::job::{JobShardRow, Spec, TaskRow, Versioned};
 use willowpoint::proto;
 use willowpoint::route::{Load, Router};
@@ -93,7 +93,7 @@
     line("memory: worker without runs", "B", &points);
     let points = [100, 500, 1_000].map(|n| (n as f64, held(|| router(n))));
     line("memory: cell in the view of a router", "B", &points);
-    let points = [1_000, 10_000, 50_000].map(|n| (n as f64, held(|| guard(n))));
+    let points = [1_000, 10_000, 50_000].map(|n| (n as f64, held(|| dedup_shard(n))));
     line("memory: id in a guard", "B", &points);
     let points = [100, 500, 1_000].map(|n| (n as f64, held(|| config(n))));
     line("memory: entry of the configuration", "B", &points);
@@ -347,13 +347,13 @@
     router
 }
 
-fn guard(ids: usize) -> Guard {
-    let mut guard = Guard::new(1, 0, Memory::default());
+fn dedup_shard(ids: usize) -> DedupShard {
+    let mut shard = DedupShard::new(1, 0, DedupTimings::default());
     for index in 0..ids {
         let id: Name = format!("prescription-hold-{index:08}").into();
-        guard.admit(1_000, &id, 1_000, 0);
+        shard.admit(1_000, &id, 1_000, 0);
     }
-    guard
+    shard
 }
 
 fn config(entries: usize) -> Config {
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -1,6 +1,6 @@
 //! Which box owns which cell.
 //!
-//! A cell is the workers of one rack, or a guard shard without workers. Its
+//! A cell is the workers of one rack, or a dedup shard without workers. Its
 //! row names the owner's incarnation and an epoch that grows with each change
 //! of owner. A cell may be claimed when its owner's row is gone; the commit
 //! expects just that, so that no stale view can take a cell from a live box.
@@ -20,8 +20,8 @@
 
 /// Prefix of the rows of cells in the table.
 pub const PREFIX: &str = "cell/";
-/// Prefix of the names of guard shards among the cells.
-pub const GUARD: &str = "guard/";
+/// Prefix of the names of dedup shards among the cells.
+pub const DEDUP_PREFIX: &str = "guard/";
 
 /// The row of a cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/claim/plan.rs
+++ b/src/claim/plan.rs
@@ -28,10 +28,11 @@
     }
     let mut order: Vec<&Name> = cells.iter().collect();
     order.sort_by_key(|c| (stable(&[c]), (*c).clone()));
-    // Guard shards cost little, so they are spread apart from the others.
-    let (guards, racks): (Vec<_>, Vec<_>) =
-        order.into_iter().partition(|c| c.starts_with(super::GUARD));
-    for group in [guards, racks] {
+    // Dedup shards cost little, so they are spread apart from the others.
+    let (dedup, racks): (Vec<_>, Vec<_>) = order
+        .into_iter()
+        .partition(|c| c.starts_with(super::DEDUP_PREFIX));
+    for group in [dedup, racks] {
         let bound = group.len().div_ceil(hosts.len()).max(1);
         let mut load: BTreeMap<&Name, usize> = BTreeMap::new();
         for cell in group {
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -36,8 +36,8 @@
 /// Standard trace context (W3C Trace Context, level 1).
 pub const TRACEPARENT: &str = "traceparent";
 
-/// Number of guard shards over which non-repeatable requests are spread.
-pub const GUARDS: u64 = 32;
+/// Number of dedup shards over which non-repeatable requests are spread.
+pub const DEDUP_SHARDS: u64 = 32;
 /// Longest accepted name or id, in bytes.
 pub const NAME_LIMIT: usize = 128;
 /// Thousandths in a whole.
--- a/src/dedup.rs
+++ b/src/dedup.rs
@@ -1,6 +1,6 @@
 //! Requests that must run at most once.
 //!
-//! Each id belongs to one of a fixed number of guard shards, owned like cells.
+//! Each id belongs to one of a fixed number of dedup shards, owned like cells.
 //! The owner remembers the ids it has let through for a retention time after
 //! their first issue. It can't know those of an earlier owner, so a resend of
 //! what was first issued before its time began is answered as unknown. This
@@ -16,14 +16,14 @@
 
 /// Times of a guard, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Memory {
+pub struct DedupTimings {
     /// How long after its first issue an id is remembered.
     pub retention: Millis,
     /// Bound of the difference between the clocks of callers and boxes.
     pub skew: Millis,
 }
 
-impl Default for Memory {
+impl Default for DedupTimings {
     fn default() -> Self {
         Self {
             retention: 120_000,
@@ -55,12 +55,12 @@
     Ran,
 }
 
-/// A guard shard that this box owns.
+/// A dedup shard that this box owns.
 #[derive(Clone, Debug)]
-pub struct Guard {
+pub struct DedupShard {
     /// Epoch of the ownership.
     pub epoch: u64,
-    memory: Memory,
+    memory: DedupTimings,
     /// Wall clock at the start of the ownership; 0 without an earlier owner.
     since: Millis,
     ids: HashMap<Name, State>,
@@ -68,9 +68,9 @@
     forget: BTreeMap<(Millis, Name), ()>,
 }
 
-impl Guard {
+impl DedupShard {
     /// Returns the guard of a shard that was won at `wall`.
-    pub fn new(epoch: u64, wall: Millis, memory: Memory) -> Self {
+    pub fn new(epoch: u64, wall: Millis, memory: DedupTimings) -> Self {
         Self {
             epoch,
             memory,
@@ -101,7 +101,7 @@
                 State::Ran => Admission::Ran,
             };
         }
-        let Memory { retention, skew } = self.memory;
+        let DedupTimings { retention, skew } = self.memory;
         if issued > wall + skew {
             return Admission::Future;
         }
--- a/src/dedup/tests.rs
+++ b/src/dedup/tests.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-const MEMORY: Memory = Memory {
+const MEMORY: DedupTimings = DedupTimings {
     retention: 1_000,
     skew: 10,
 };
 
 #[test]
 fn an_id_passes_once() {
-    let mut guard = Guard::new(1, 5_000, MEMORY);
+    let mut guard = DedupShard::new(1, 5_000, MEMORY);
     let id: Name = "a".into();
     assert_eq!(guard.admit(5_000, &id, 4_990, 0), Admission::Fresh);
     assert_eq!(guard.admit(5_001, &id, 4_990, 0), Admission::Running);
@@ -22,7 +22,7 @@
 
 #[test]
 fn what_was_provably_not_run_may_come_again() {
-    let mut guard = Guard::new(1, 5_000, MEMORY);
+    let mut guard = DedupShard::new(1, 5_000, MEMORY);
     let id: Name = "a".into();
     assert_eq!(guard.admit(5_000, &id, 4_990, 0), Admission::Fresh);
     guard.not_run(&id);
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_new_owner_does_not_know_what_came_before() {
-    let mut guard = Guard::new(2, 5_000, MEMORY);
+    let mut guard = DedupShard::new(2, 5_000, MEMORY);
     assert_eq!(
         guard.admit(5_005, &"a".into(), 5_010, 0),
         Admission::Predates
@@ -43,6 +43,6 @@
 
 #[test]
 fn a_request_from_the_future_is_refused() {
-    let mut guard = Guard::new(1, 5_000, MEMORY);
+    let mut guard = DedupShard::new(1, 5_000, MEMORY);
     assert_eq!(guard.admit(5_000, &"a".into(), 5_011, 0), Admission::Future);
 }
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -21,7 +21,7 @@
 use crate::cell::{CallOutcome, ListedWorker, PollOutcome, Reason, RunId, SendOutcome, Shape};
 use crate::claim::Versioned;
 use crate::config::Config;
-use crate::dedup::Memory;
+use crate::dedup::DedupTimings;
 use crate::lease::LeaseTimings;
 use crate::options::Pace;
 use crate::request::Meta;
@@ -50,8 +50,8 @@
     pub pace: Pace,
     /// Decisions about requests and tasks.
     pub policy: crate::cell::Policy,
-    /// Memory of the guards.
-    pub memory: Memory,
+    /// Retention and clock skew of deduplication.
+    pub dedup_timings: DedupTimings,
 }
 
 /// The time of an event.
@@ -181,11 +181,11 @@
         ticket: u64,
         /// What it says of itself.
         meta: Meta,
-        /// Cell that is to run it; none for a guard to choose.
+        /// Cell that is to run it; none for the owner of the dedup shard to choose.
         cell: Option<Name>,
-        /// Guard shard of its id, for a request that is not repeatable.
-        guard: Option<Name>,
-        /// Epoch of the guard, or 0 when this box is to be the guard.
+        /// Dedup shard of its id, for a request that is not repeatable.
+        dedup_shard: Option<Name>,
+        /// Epoch of the dedup shard, or 0 when this box is to deduplicate.
         epoch: u64,
     },
     /// A send to a worker ended.
@@ -286,9 +286,9 @@
         meta: Meta,
         /// Cell that is to run it.
         cell: Option<Name>,
-        /// Guard shard of its id.
-        guard: Option<Name>,
-        /// Epoch of the guard, or 0.
+        /// Dedup shard of its id.
+        dedup_shard: Option<Name>,
+        /// Epoch of the dedup shard, or 0.
         epoch: u64,
     },
     /// Answer a request.
--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -35,10 +35,10 @@
                 self.release(now, &name, out);
             }
         }
-        for guard in self.guards.values_mut() {
-            guard.tick(now.wall);
+        for shard in self.dedup_shards.values_mut() {
+            shard.tick(now.wall);
         }
-        self.release_guards(now, out);
+        self.release_dedup_shards(now, out);
     }
 
     /// Refuses what waits while the lease has lapsed.
--- a/src/engine/flight.rs
+++ b/src/engine/flight.rs
@@ -14,8 +14,8 @@
 pub(super) enum Origin {
     /// A caller.
     Caller,
-    /// A box that wants this one to be the guard of the id.
-    ForGuard,
+    /// A box that asks this one to deduplicate the id.
+    ForDedup,
     /// A box that has chosen a cell of this one.
     ForCell,
 }
@@ -25,9 +25,9 @@
 pub(super) enum Stage {
     /// Not yet anywhere.
     New,
-    /// At the box that owns the guard shard.
-    Guard,
-    /// Waiting for an owner of the guard shard, or of any cell, to be known.
+    /// At the box that owns the dedup shard.
+    Dedup,
+    /// Waiting for an owner of the dedup shard, or of any cell, to be known.
     Backoff(Millis),
     /// In an own cell.
     Local(Name),
@@ -48,8 +48,8 @@
     pub stage: Stage,
     /// Cells that were tried.
     pub tried: Vec<Name>,
-    /// The guard shard that let it through, and the epoch.
-    pub guard: Option<(Name, u64)>,
+    /// The dedup shard that let it through, and the epoch.
+    pub dedup_shard: Option<(Name, u64)>,
     /// Sends that are left to it.
     pub retries: u32,
     /// True while a send of it has no outcome.
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Returns true when an own guard shard let it through.
-    pub fn guarded_by(&self, shard: &str) -> bool {
-        self.guard
+    /// Returns true when an own dedup shard let it through.
+    pub fn admitted_by(&self, shard: &str) -> bool {
+        self.dedup_shard
             .as_ref()
             .is_some_and(|(name, _)| &**name == shard)
     }
--- a/src/engine/flights.rs
+++ b/src/engine/flights.rs
@@ -1,11 +1,11 @@
 //! Requests on their way through this box.
 
 use super::flight::{Flight, Origin, RESENT, Stage};
-use super::owning::guard_name;
+use super::owning::dedup_shard_name;
 use super::state::Engine;
 use super::{Action, Now, Verdict};
 use crate::cell::{PendingRequest, Reason};
-use crate::constants::GUARDS;
+use crate::constants::DEDUP_SHARDS;
 use crate::dedup::Admission;
 use crate::invariant::{self, Rule};
 use crate::request::Meta;
@@ -19,7 +19,7 @@
 const EARNED: f64 = 0.1;
 /// Milliseconds after which to come back when nothing better is known.
 pub(super) const COME_BACK: Millis = 200;
-/// Milliseconds after which another owner of a guard shard or a cell is looked for.
+/// Milliseconds after which another owner of a dedup shard or a cell is looked for.
 const BACKOFF: Millis = 100;
 impl Engine {
     pub(super) fn request(&mut self, now: Now, ticket: u64, meta: Meta, out: &mut Vec<Action>) {
@@ -39,7 +39,7 @@
         }
         match flight.meta.repeatable {
             true => self.route(now, ticket, out),
-            false => self.guard(now, ticket, out),
+            false => self.deduplicate(now, ticket, out),
         }
     }
 
@@ -49,7 +49,7 @@
             origin,
             stage: Stage::New,
             tried: Vec::new(),
-            guard: None,
+            dedup_shard: None,
             retries: meta.retries,
             sending: false,
             doubtful: false,
@@ -78,48 +78,48 @@
         ticket: u64,
         meta: Meta,
         cell: Option<Name>,
-        guard: Option<Name>,
+        dedup_shard: Option<Name>,
         epoch: u64,
         out: &mut Vec<Action>,
     ) {
         let Some(cell) = cell else {
-            self.begin(now, ticket, meta, Origin::ForGuard);
-            return self.guard(now, ticket, out);
+            self.begin(now, ticket, meta, Origin::ForDedup);
+            return self.deduplicate(now, ticket, out);
         };
         self.begin(now, ticket, meta, Origin::ForCell);
-        // A guard that lost its shard while it was frozen must not let anything through.
-        let known = guard.and_then(|g| self.claims.owner(&g).map(|(_, epoch)| epoch));
+        // An owner that lost its dedup shard while it was frozen must not admit a request.
+        let known = dedup_shard.and_then(|s| self.claims.owner(&s).map(|(_, epoch)| epoch));
         if known.is_some_and(|known| known > epoch) {
             return self.not_run(now, ticket, Reason::NotOwner, COME_BACK, out);
         }
         self.enter(now, ticket, cell, out);
     }
 
-    /// Asks the guard shard of a request that must run at most once.
-    fn guard(&mut self, now: Now, ticket: u64, out: &mut Vec<Action>) {
+    /// Asks the dedup shard of a request that must run at most once.
+    fn deduplicate(&mut self, now: Now, ticket: u64, out: &mut Vec<Action>) {
         let Some(flight) = self.flights.get_mut(&ticket) else {
             return;
         };
         let id = flight.meta.id.clone();
-        let shard = guard_name(stable(&[&id]) % GUARDS);
+        let shard = dedup_shard_name(stable(&[&id]) % DEDUP_SHARDS);
         let acts = self.lease.acts(now.millis);
-        if let Some(guard) = self.guards.get_mut(&shard).filter(|_| acts) {
+        if let Some(dedup) = self.dedup_shards.get_mut(&shard).filter(|_| acts) {
             let leaving = self.claims.mine().get(&shard).is_none_or(|m| m.leaving);
             if leaving {
                 return self.not_run(now, ticket, Reason::Stopping, COME_BACK, out);
             }
-            let admission = guard.admit(now.wall, &id, flight.meta.issued, flight.meta.alone);
-            flight.guard = Some((shard, guard.epoch));
+            let admission = dedup.admit(now.wall, &id, flight.meta.issued, flight.meta.alone);
+            flight.dedup_shard = Some((shard, dedup.epoch));
             return self.admitted(now, ticket, admission, out);
         }
-        let asked_me = flight.origin == Origin::ForGuard;
+        let asked_me = flight.origin == Origin::ForDedup;
         let owner = self.claims.owner(&shard).map(|(owner, _)| owner.clone());
         let peer = owner
             .and_then(|o| self.lease.other(&o))
             .map(|b| b.rpc.parse());
         match peer {
             Some(Ok(rpc)) if !asked_me => {
-                flight.stage = Stage::Guard;
+                flight.stage = Stage::Dedup;
                 let mut meta = flight.meta.clone();
                 meta.left = flight.left(now.millis);
                 meta.retries = flight.retries;
@@ -131,7 +131,7 @@
                     to: rpc,
                     meta,
                     cell: None,
-                    guard: Some(shard),
+                    dedup_shard: Some(shard),
                     epoch: 0,
                 });
             }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Waits a little for a guard shard or the cells to get other owners, if
+    /// Waits a little for a dedup shard or the cells to get other owners, if
     /// the request has time and sends left.
     pub(super) fn back_off(
         &mut self,
@@ -163,17 +163,17 @@
         }
     }
 
-    /// Looks again for the guards or cells of requests that wait for one.
+    /// Looks again for the dedup shards or cells of requests that wait for one.
     pub(super) fn seek_owners(&mut self, now: Now, out: &mut Vec<Action>) {
         let due = |f: &Flight| matches!(f.stage, Stage::Backoff(until) if until <= now.millis);
         let waiting = self.flights.iter().filter(|(_, f)| due(f));
         let tickets: Vec<u64> = waiting.map(|(ticket, _)| *ticket).collect();
         for ticket in tickets {
             let flight = self.flights.get(&ticket);
-            let admitted = flight.is_some_and(|f| f.meta.repeatable || f.guard.is_some());
+            let admitted = flight.is_some_and(|f| f.meta.repeatable || f.dedup_shard.is_some());
             match admitted {
                 true => self.route(now, ticket, out),
-                false => self.guard(now, ticket, out),
+                false => self.deduplicate(now, ticket, out),
             }
         }
     }
@@ -184,7 +184,7 @@
         }
         // The id was not let through by this request, so it is not to be forgotten with it.
         if let Some(flight) = self.flights.get_mut(&ticket) {
-            flight.guard = None;
+            flight.dedup_shard = None;
         }
         let reason = match admission {
             Admission::Fresh => return,
@@ -204,9 +204,12 @@
         let Some(flight) = self.flights.get_mut(&ticket) else {
             return;
         };
-        // A guard that has lost its shard meanwhile lets nothing through.
-        if let Some((shard, epoch)) = &flight.guard {
-            let kept = self.guards.get(shard).is_some_and(|g| g.epoch == *epoch);
+        // An owner that has lost its dedup shard meanwhile admits no request.
+        if let Some((shard, epoch)) = &flight.dedup_shard {
+            let kept = self
+                .dedup_shards
+                .get(shard)
+                .is_some_and(|s| s.epoch == *epoch);
             if !kept || !self.lease.acts(now.millis) {
                 return self.not_run(now, ticket, Reason::Lapsed, COME_BACK, out);
             }
@@ -227,7 +230,7 @@
         let mut meta = flight.meta.clone();
         meta.left = flight.left(now.millis);
         meta.retries = flight.retries;
-        let (guard, epoch) = flight.guard.clone().unzip();
+        let (dedup_shard, epoch) = flight.dedup_shard.clone().unzip();
         if !self.depart(ticket) {
             return self.finish(ticket, RESENT, out);
         }
@@ -236,7 +239,7 @@
             to: rpc,
             meta,
             cell: Some(cell),
-            guard,
+            dedup_shard,
             epoch: epoch.unwrap_or(0),
         });
     }
--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -108,7 +108,7 @@
         let Some(flight) = self.flights.get_mut(&ticket) else {
             return;
         };
-        let at_guard = flight.stage == Stage::Guard;
+        let at_dedup = flight.stage == Stage::Dedup;
         match handed {
             Handed::Answered => {
                 self.left_cell(ticket);
@@ -120,10 +120,10 @@
                 retries,
             } => {
                 flight.retries = flight.retries.min(retries);
-                if !at_guard {
+                if !at_dedup {
                     return self.refused(now, ticket, reason, after, out);
                 }
-                // Only the guard itself may try cells; another guard may be found.
+                // Only the owner of the dedup shard tries cells; the shard may have a new owner.
                 let moved = matches!(reason, Reason::NotOwner | Reason::Unreachable);
                 match moved {
                     true => self.back_off(now, ticket, reason, out),
@@ -177,12 +177,15 @@
             return;
         };
         let verdict = flight.provable(ticket, verdict);
-        if let Some((shard, epoch)) = &flight.guard
-            && let Some(guard) = self.guards.get_mut(shard).filter(|g| g.epoch == *epoch)
+        if let Some((shard, epoch)) = &flight.dedup_shard
+            && let Some(dedup) = self
+                .dedup_shards
+                .get_mut(shard)
+                .filter(|s| s.epoch == *epoch)
         {
             match verdict {
-                Verdict::NotRun { .. } => guard.not_run(&flight.meta.id),
-                _ => guard.ran(&flight.meta.id),
+                Verdict::NotRun { .. } => dedup.not_run(&flight.meta.id),
+                _ => dedup.ran(&flight.meta.id),
             }
         }
         out.push(Action::Finish {
--- a/src/engine/owning.rs
+++ b/src/engine/owning.rs
@@ -6,9 +6,9 @@
 use super::storing::Purpose;
 use super::{Action, Now};
 use crate::cell::{Cell, Reason, Timings};
-use crate::claim::{self, Claims, GUARD, Host};
-use crate::constants::GUARDS;
-use crate::dedup::Guard;
+use crate::claim::{self, Claims, DEDUP_PREFIX, Host};
+use crate::constants::DEDUP_SHARDS;
+use crate::dedup::DedupShard;
 use crate::lease::{self, BoxRow, Lease};
 use crate::table::{Call, Expect, Op};
 use crate::utils::Name;
@@ -53,7 +53,7 @@
         for cell in cells {
             self.give_up(now, &cell, Reason::Lapsed, out);
         }
-        self.guards.clear();
+        self.dedup_shards.clear();
         self.setup.boot += 1;
         let mut me = self.lease.me().clone();
         me.id = incarnation(&self.setup.name, self.setup.boot);
@@ -86,10 +86,10 @@
     }
 
     /// Returns the names of all cells: racks by the list of workers, racks
-    /// that have an owner, and the guard shards.
+    /// that have an owner, and the dedup shards.
     fn cell_names(&self) -> BTreeSet<Name> {
         let mut names: BTreeSet<Name> = self.places.iter().map(|p| p.cell.clone()).collect();
-        names.extend((0..GUARDS).map(guard_name));
+        names.extend((0..DEDUP_SHARDS).map(dedup_shard_name));
         names
     }
 
@@ -138,9 +138,9 @@
 
     fn win(&mut self, now: Now, cell: Name, epoch: u64, out: &mut Vec<Action>) {
         log::info!(target: "claim", "{cell} is owned under epoch {epoch}");
-        if cell.starts_with(GUARD) {
-            let guard = Guard::new(epoch, now.wall, self.setup.memory);
-            self.guards.insert(cell, guard);
+        if cell.starts_with(DEDUP_PREFIX) {
+            let shard = DedupShard::new(epoch, now.wall, self.setup.dedup_timings);
+            self.dedup_shards.insert(cell, shard);
             return;
         }
         let pace = self.setup.pace;
@@ -159,7 +159,7 @@
 
     /// Stops acting for a cell that is no longer owned.
     pub(super) fn give_up(&mut self, now: Now, cell: &Name, reason: Reason, out: &mut Vec<Action>) {
-        self.guards.remove(cell);
+        self.dedup_shards.remove(cell);
         self.scanned.remove(cell);
         let Some(mut old) = self.cells.remove(cell) else {
             return;
@@ -173,16 +173,16 @@
         out.push(Action::Disconnect(endpoints));
     }
 
-    pub(super) fn release_guards(&mut self, now: Now, out: &mut Vec<Action>) {
+    pub(super) fn release_dedup_shards(&mut self, now: Now, out: &mut Vec<Action>) {
         let leaving: Vec<Name> = self
             .claims
             .mine()
             .iter()
-            .filter(|(cell, mine)| mine.leaving && cell.starts_with(GUARD))
+            .filter(|(cell, mine)| mine.leaving && cell.starts_with(DEDUP_PREFIX))
             .map(|(cell, _)| cell.clone())
             .collect();
         for shard in leaving {
-            let busy = self.flights.values().any(|f| f.guarded_by(&shard));
+            let busy = self.flights.values().any(|f| f.admitted_by(&shard));
             if !busy {
                 self.release(now, &shard, out);
             }
@@ -196,9 +196,9 @@
     }
 }
 
-/// Returns the name of a guard shard.
-pub(super) fn guard_name(shard: u64) -> Name {
-    format!("{GUARD}{shard:02}").into()
+/// Returns the name of a dedup shard.
+pub(super) fn dedup_shard_name(shard: u64) -> Name {
+    format!("{DEDUP_PREFIX}{shard:02}").into()
 }
 
 fn box_key(id: &str) -> Name {
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -9,7 +9,7 @@
 use crate::cell::{Cell, ListedWorker};
 use crate::claim::Claims;
 use crate::config::Config;
-use crate::dedup::Guard;
+use crate::dedup::DedupShard;
 use crate::lease::{BoxRow, Lease};
 use crate::route::Router;
 use crate::utils::Name;
@@ -29,7 +29,7 @@
     pub(super) lease: Lease,
     pub(super) claims: Claims,
     pub(super) cells: BTreeMap<Name, Cell>,
-    pub(super) guards: BTreeMap<Name, Guard>,
+    pub(super) dedup_shards: BTreeMap<Name, DedupShard>,
     pub(super) config: Config,
     /// A configuration that is read and not yet known to be whole.
     pub(super) staged: Option<Config>,
@@ -79,7 +79,7 @@
             lease: Lease::new(setup.lease_timings, me),
             claims: Claims::new(id),
             cells: BTreeMap::new(),
-            guards: BTreeMap::new(),
+            dedup_shards: BTreeMap::new(),
             config: Config::default(),
             staged: None,
             router: Router::new(setup.hall.clone(), seed),
@@ -162,9 +162,9 @@
                 ticket,
                 meta,
                 cell,
-                guard,
+                dedup_shard,
                 epoch,
-            } => self.forwarded(now, ticket, meta, cell, guard, epoch, &mut out),
+            } => self.forwarded(now, ticket, meta, cell, dedup_shard, epoch, &mut out),
             Event::Sent { ticket, sent } => self.sent(now, ticket, sent, &mut out),
             Event::Handed { ticket, handed } => self.handed(now, ticket, handed, &mut out),
             Event::Stored { op, sent, outcome } => self.stored(now, op, sent, outcome, &mut out),
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -19,7 +19,7 @@
 
 use futures::channel::mpsc;
 
-use crate::dedup::Memory;
+use crate::dedup::DedupTimings;
 use crate::engine::{Engine, Event, Setup};
 use crate::options::Settings;
 use crate::utils::drain::Drain;
@@ -45,7 +45,7 @@
         lease_timings: settings.lease_timings,
         pace: settings.pace,
         policy: settings.policy.clone(),
-        memory: Memory::default(),
+        dedup_timings: DedupTimings::default(),
     });
     log::info!(target: "entry", "{} starts, callers at {}", engine.id(), settings.web);
     let (sender, receiver) = mpsc::unbounded();
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -37,13 +37,13 @@
 pub struct Target {
     /// Cell that is to run it.
     pub cell: Option<Name>,
-    /// Guard shard of its id.
-    pub guard: Option<Name>,
-    /// Epoch of the guard, or 0.
+    /// Dedup shard of its id.
+    pub dedup_shard: Option<Name>,
+    /// Epoch of the dedup shard, or 0.
     pub epoch: u64,
 }
 
-/// Returns the outcome of a request that a lapsed guard keeps back.
+/// Returns the outcome of a request that isn't sent as the lease of its dedup shard's owner lapsed.
 pub fn lapsed(meta: &Meta) -> Handed {
     Handed::NotRun {
         reason: Reason::Lapsed,
@@ -64,7 +64,10 @@
     let message = proto::ForwardRequest {
         meta: Some(convert::to_meta(meta, hop.header())),
         cell: target.cell.map(|c| c.to_string()).unwrap_or_default(),
-        guard: target.guard.map(|g| g.to_string()).unwrap_or_default(),
+        guard: target
+            .dedup_shard
+            .map(|g| g.to_string())
+            .unwrap_or_default(),
         epoch: target.epoch,
         method: request.method.to_string(),
         path: request.uri.to_string(),
@@ -261,7 +264,7 @@
     context.send(Message::Forwarded {
         meta: convert::meta(&said),
         cell: convert::optional(message.cell),
-        guard: convert::optional(message.guard),
+        dedup_shard: convert::optional(message.guard),
         epoch: message.epoch,
         load: Load {
             request,
--- a/src/entry/sends.rs
+++ b/src/entry/sends.rs
@@ -120,9 +120,9 @@
 ) {
     let hop = load.trace.next();
     let start = clock::micros();
-    let guarded = target.guard.is_some();
-    // A guard whose lease has lapsed must not let a request through.
-    let own = guarded && target.cell.is_some();
+    let admitted = target.dedup_shard.is_some();
+    // An owner of a dedup shard whose lease has lapsed must not send the request on.
+    let own = admitted && target.cell.is_some();
     let (handed, reply) = match own && !context.acts() {
         true => (peers::lapsed(&meta), None),
         false => peers::forward(&context, to, &load.request, &hop, &meta, target).await,
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -60,9 +60,9 @@
         meta: Meta,
         /// Cell that is to run it.
         cell: Option<Name>,
-        /// Guard shard of its id.
-        guard: Option<Name>,
-        /// Epoch of the guard, or 0.
+        /// Dedup shard of its id.
+        dedup_shard: Option<Name>,
+        /// Epoch of the dedup shard, or 0.
         epoch: u64,
         /// The request.
         load: Load,
@@ -232,7 +232,7 @@
             Message::Forwarded {
                 meta,
                 cell,
-                guard,
+                dedup_shard,
                 epoch,
                 load,
                 reply,
@@ -240,7 +240,7 @@
                 ticket: self.park(load, reply),
                 meta,
                 cell,
-                guard,
+                dedup_shard,
                 epoch,
             },
             Message::Answered {
@@ -294,13 +294,17 @@
                 to,
                 meta,
                 cell,
-                guard,
+                dedup_shard,
                 epoch,
             } => {
                 if let Some(parked) = self.parked.get(&ticket) {
                     let load = parked.load.clone();
                     crate::metrics::get().forwards.inc();
-                    let target = peers::Target { cell, guard, epoch };
+                    let target = peers::Target {
+                        cell,
+                        dedup_shard,
+                        epoch,
+                    };
                     monoio::spawn(forward(context, load, ticket, to, meta, target));
                 }
             }
--- a/tools/trial/src/world.rs
+++ b/tools/trial/src/world.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 use willowpoint::cell::{ListedWorker, Policy, Shape};
-use willowpoint::dedup::Memory;
+use willowpoint::dedup::DedupTimings;
 use willowpoint::engine::{Engine, Event, Now, Setup};
 use willowpoint::invariant::Rule;
 use willowpoint::lease::LeaseTimings;
@@ -222,7 +222,7 @@
             quarantine: 1_000,
             ..Policy::default()
         },
-        memory: Memory {
+        dedup_timings: DedupTimings {
             retention: 8_000,
             skew: 500,
         },
--- a/tools/trial/src/world/boxes.rs
+++ b/tools/trial/src/world/boxes.rs
@@ -40,7 +40,7 @@
                 to,
                 meta,
                 cell,
-                guard,
+                dedup_shard,
                 epoch,
             } => {
                 let retries = meta.retries;
@@ -52,8 +52,8 @@
                         retries,
                     },
                 };
-                let guarding = guard.is_some() && cell.is_some();
-                if guarding && !self.acts(node) {
+                let admitted = dedup_shard.is_some() && cell.is_some();
+                if admitted && !self.acts(node) {
                     return self.feed(node, unsent(Reason::Lapsed));
                 }
                 let Some(attempt) = self.attempt(node, ticket) else {
@@ -67,7 +67,7 @@
                 let payload = Payload::Forward {
                     meta,
                     cell,
-                    guard,
+                    dedup_shard,
                     epoch,
                     request: Request { ticket, attempt },
                 };
--- a/tools/trial/src/world/ends.rs
+++ b/tools/trial/src/world/ends.rs
@@ -55,7 +55,7 @@
     Forward {
         meta: Meta,
         cell: Option<Name>,
-        guard: Option<Name>,
+        dedup_shard: Option<Name>,
         epoch: u64,
         request: Request,
     },
@@ -183,7 +183,7 @@
                 Payload::Forward {
                     meta,
                     cell,
-                    guard,
+                    dedup_shard,
                     epoch,
                     request,
                 },
@@ -200,7 +200,7 @@
                         ticket,
                         meta,
                         cell,
-                        guard,
+                        dedup_shard,
                         epoch,
                     },
                 );
