--- a/src/sched/tests/admission.rs
+++ b/src/sched/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Jobs that are refused at once, and those that are not.
+//! Tests of admission control: which jobs are refused at once.
 
 use super::world::{World, job, lasting, step};
 use crate::sched::message::Answer;
@@ -22,11 +22,11 @@
     let label = world.submit("label", job(vec![labelled("nowhere")]));
     assert!(refused(&world, wide) && refused(&world, label));
     world.run(5_000);
-    assert!(world.starts.is_empty(), "it has not run");
+    assert!(world.starts.is_empty(), "a refused job never runs");
 }
 
 #[test]
-fn it_is_taken_once_a_worker_could_hold_it() {
+fn a_job_is_accepted_once_a_worker_could_hold_it() {
     let mut world = World::new(1);
     world.add_worker("large", 200);
     let large = &mut world.workers.get_mut("large").expect("worker").listing;
@@ -42,17 +42,17 @@
 }
 
 #[test]
-fn a_job_that_has_to_wait_for_room_is_taken() {
+fn a_job_that_has_to_wait_for_resources_is_accepted() {
     let mut world = World::new(1);
     world.submit("full", job(vec![lasting(1, 4_000)]));
     world.run(100);
-    let waits = world.submit("waits", job(vec![step(1, 4_000)]));
+    let waiting = world.submit("waits", job(vec![step(1, 4_000)]));
     world.run(100);
-    assert_eq!(world.answers.get(&waits), Some(&Answer::Accepted));
+    assert_eq!(world.answers.get(&waiting), Some(&Answer::Accepted));
 }
 
 #[test]
-fn without_any_worker_nothing_is_known_to_be_too_large() {
+fn no_job_is_refused_as_too_large_while_no_worker_is_known() {
     let mut world = World::new(0);
     let ticket = world.submit("early", job(vec![step(1, 99_000)]));
     world.run(100);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_store_that_has_failed_a_commit_is_not_waited_for() {
+fn jobs_are_refused_sooner_once_a_commit_has_failed() {
     let mut world = World::new(1);
     world.submit("j0", job(vec![step(1, 1_000)]));
     world.run(30);
--- a/src/sched/tests/gang.rs
+++ b/src/sched/tests/gang.rs
@@ -1,11 +1,11 @@
-//! Gangs: tasks that only work together.
+//! Tests of gangs, whose tasks must run at the same time.
 
 use super::world::{World, job, step};
 use crate::sched::job::JobState;
 use crate::sched::message::RunOutcome;
 use crate::sched::spec::StepSpec;
 
-/// A gang of tasks of which two fit on a worker.
+/// Returns a gang of tasks of which two fit on a worker.
 fn gang(count: u32) -> StepSpec {
     StepSpec {
         gang: true,
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_gang_that_lacks_room_for_one_waits_as_a_whole() {
+fn a_gang_waits_as_a_whole_when_one_member_does_not_fit() {
     let mut world = World::new(2);
     world.submit("gang", job(vec![gang(5)]));
     world.run(1_000);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_gang_that_loses_a_member_at_its_start_is_stopped_and_starts_as_a_whole() {
+fn a_gang_that_loses_a_member_at_its_start_is_stopped_and_restarted_as_a_whole() {
     let mut world = World::new(2);
     world.script = |_, _| (5_000, RunOutcome::Done);
     world.workers.get_mut("w1").expect("worker").full = true;
@@ -39,17 +39,17 @@
     let runs: Vec<u32> = world.starts.iter().rev().take(4).map(|s| s.1).collect();
     assert!(
         runs.iter().all(|r| *r == runs[0]),
-        "one run of all: {runs:?}"
+        "all members share one run: {runs:?}"
     );
 }
 
 #[test]
-fn one_end_of_a_gang_stands_for_all_its_members() {
+fn the_completion_of_one_member_completes_its_gang() {
     let mut world = World::new(2);
     world.submit("gang", job(vec![gang(4)]));
     world.run(200);
     assert_eq!(world.running().len(), 4);
-    // Its members have ended, and nobody will ever tell.
+    // The members on the worker end, and their completions are never reported.
     world.run(600);
     world.workers.get_mut("w1").expect("worker").cut = true;
     world.run(12_000);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn members_go_on_from_one_checkpoint() {
+fn members_restart_from_one_checkpoint() {
     let mut world = World::new(2);
     world.script = |task, run| match (task.ends_with(".0"), run) {
         (true, 1) => (500, RunOutcome::Failed),
@@ -68,14 +68,17 @@
     world.submit("gang", job(vec![gang(4)]));
     world.run(4_000);
     assert_eq!(world.running().len(), 4);
-    let saved: Vec<_> = world.resumed.values().collect();
-    assert_eq!(saved.len(), 4);
-    assert!(!saved[0].is_empty());
-    assert!(saved.iter().all(|s| *s == saved[0]), "{saved:?}");
+    let checkpoints: Vec<_> = world.resumed.values().collect();
+    assert_eq!(checkpoints.len(), 4);
+    assert!(!checkpoints[0].is_empty());
+    assert!(
+        checkpoints.iter().all(|c| *c == checkpoints[0]),
+        "{checkpoints:?}"
+    );
 }
 
 #[test]
-fn a_gang_fails_its_job_after_as_many_failures_of_any_members() {
+fn failures_of_all_members_count_towards_the_failure_of_the_job() {
     let mut world = World::new(2);
     world.script = |task, run| match task.ends_with(&format!(".{run}")) {
         true => (300, RunOutcome::Failed),
@@ -85,5 +88,5 @@
     world.run(12_000);
     assert_eq!(world.shown("gang"), Some(JobState::Failed));
     let last = world.starts.iter().map(|s| s.1).max();
-    assert_eq!(last, Some(3), "as often as the queue allows");
+    assert_eq!(last, Some(3), "one run for each allowed failure");
 }
--- a/src/sched/tests/jobs.rs
+++ b/src/sched/tests/jobs.rs
@@ -1,11 +1,11 @@
-//! The way of a job from its acceptance to its end.
+//! Tests of jobs from their submission to their end.
 
 use super::world::{Faults, World, job, step};
 use crate::sched::job::JobState;
 use crate::sched::message::{Answer, JobRequest, RunOutcome};
 
 #[test]
-fn steps_run_in_their_order_and_the_end_is_shown_once_kept() {
+fn steps_run_in_order_and_the_end_is_shown_once_stored() {
     let mut world = World::new(2);
     let second = crate::sched::spec::StepSpec {
         depends_on: vec![0],
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn nothing_is_answered_or_started_before_the_store_holds_it() {
+fn jobs_are_neither_confirmed_nor_started_before_they_are_stored() {
     let mut world = World::new(2);
     world.store_down = true;
     let ticket = world.submit("j1", job(vec![step(1, 1_000)]));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn new_jobs_are_refused_at_once_while_the_store_is_away() {
+fn new_jobs_are_refused_at_once_during_a_store_outage() {
     let mut world = World::new(1);
     world.store_down = true;
     world.run(3_000);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_repeated_submission_is_one_job() {
+fn a_repeated_submission_creates_one_job() {
     let mut world = World::new(2);
     let first = world.submit("j1", job(vec![step(2, 1_000)]));
     let second = world.submit("j1", job(vec![step(2, 1_000)]));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_commit_whose_answer_is_lost_is_found_and_answered() {
+fn a_commit_whose_answer_is_lost_is_resolved_and_answered() {
     let mut world = World::new(2);
     world.faults = Faults {
         commit: 0.6,
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_cancelled_job_stops_and_stays_cancelled() {
+fn a_cancelled_job_is_stopped_and_stays_cancelled() {
     let mut world = World::new(2);
     world.submit("j1", job(vec![step(4, 1_000)]));
     world.run(200);
@@ -99,12 +99,12 @@
     world.script = |_, _| (100, RunOutcome::Failed);
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(3_000);
-    assert_eq!(world.starts.len(), 3, "as often as the queue allows");
+    assert_eq!(world.starts.len(), 3, "one run for each allowed failure");
     assert_eq!(world.shown("j1"), Some(JobState::Failed));
 }
 
 #[test]
-fn a_failed_task_is_tried_elsewhere() {
+fn a_failed_task_is_retried_on_another_worker() {
     let mut world = World::new(3);
     world.script = |_, run| {
         (
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_start_without_an_answer_is_stopped_before_another() {
+fn a_start_without_an_answer_is_stopped_before_the_next() {
     let mut world = World::new(3);
     world.faults = Faults {
         late: 1.0,
@@ -138,20 +138,23 @@
 }
 
 #[test]
-fn workers_are_never_given_more_than_their_room() {
+fn workers_are_never_given_more_than_their_capacity() {
     let mut world = World::new(2);
     world.submit("j1", job(vec![step(30, 1_500)]));
     for _ in 0..100 {
         world.run(50);
         for id in ["w0", "w1"] {
-            let here = world.running().into_iter().filter(|(_, w)| &**w == id);
-            assert!(here.count() <= 2, "4,000 hold two tasks of 1,500");
+            let running = world.running().into_iter().filter(|(_, w)| &**w == id);
+            assert!(
+                running.count() <= 2,
+                "a capacity of 4,000 holds two tasks of 1,500"
+            );
         }
     }
 }
 
 #[test]
-fn a_job_without_steps_or_with_a_cycle_is_refused_with_its_findings() {
+fn a_job_without_steps_or_with_a_cycle_is_refused_with_its_errors() {
     let mut world = World::new(1);
     let none = world.submit("j1", job(vec![]));
     let cycle = crate::sched::spec::StepSpec {
@@ -164,12 +167,12 @@
 }
 
 #[test]
-fn a_job_counts_as_waiting_until_a_worker_has_begun_it() {
+fn a_job_counts_as_waiting_until_a_worker_begins_it() {
     let mut world = World::new(1);
     world.workers.get_mut("w0").expect("worker").full = true;
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(300);
-    // Its place was recorded, and its owner ends before the start.
+    // The placement is stored, and the owner ends before the start.
     world.take_over(0);
     world.run(300);
     let count = world.ask(JobRequest::Count("q".into()));
--- a/src/sched/tests/order.rs
+++ b/src/sched/tests/order.rs
@@ -1,4 +1,4 @@
-//! The order of starts.
+//! Tests of the order in which waiting tasks start, and of preemption.
 
 use super::world::{World, job, lasting, step};
 use crate::sched::job::JobState;
@@ -6,12 +6,12 @@
 use crate::sched::spec::StepSpec;
 
 #[test]
-fn a_job_that_can_still_be_on_time_goes_before_a_hopeless_one() {
+fn jobs_that_can_be_on_time_start_before_jobs_that_cannot() {
     let mut world = World::new(1);
-    // Fills the worker, so that the next two wait.
+    // The first job fills the worker, so that the next two wait.
     world.script = |task, _| {
-        let span = if task.starts_with("full") { 9_000 } else { 500 };
-        (span, RunOutcome::Done)
+        let duration = if task.starts_with("full") { 9_000 } else { 500 };
+        (duration, RunOutcome::Done)
     };
     world.submit("full", job(vec![step(1, 4_000)]));
     world.run(100);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn lasting_tasks_wait_behind_tasks_that_end() {
+fn lasting_tasks_start_after_tasks_that_end() {
     let mut world = World::new(1);
     world.submit("full", job(vec![step(1, 4_000)]));
     world.run(100);
@@ -37,28 +37,28 @@
 }
 
 #[test]
-fn fillers_that_fit_nowhere_keep_no_others_from_starting() {
+fn best_effort_tasks_that_fit_nowhere_do_not_block_others() {
     let mut world = World::new(2);
-    let filler = |label: &str| StepSpec {
+    let best_effort = |label: &str| StepSpec {
         best_effort: true,
         label: label.into(),
         ..step(8, 500)
     };
-    // It has the label and will leave, so it takes nothing new.
+    // The only worker with the label is leaving, so it gets no new tasks.
     world.add_worker("w9", 190);
     let listing = &mut world.workers.get_mut("w9").expect("worker").listing;
     listing.labels.push("nowhere".into());
     listing.leaving = true;
     listing.min_stay = 60_000;
     world.list();
-    world.submit("first", job(vec![filler("nowhere")]));
-    world.submit("second", job(vec![filler("")]));
+    world.submit("first", job(vec![best_effort("nowhere")]));
+    world.submit("second", job(vec![best_effort("")]));
     world.run(300);
     assert_eq!(world.running().len(), 8);
 }
 
 #[test]
-fn a_lasting_task_that_failed_is_back_in_time_among_tasks_that_come_and_go() {
+fn a_failed_lasting_task_restarts_in_time_on_a_busy_worker() {
     let mut world = World::new(1);
     world.script = |task, run| match (task.starts_with("last"), run) {
         (true, 1) => (300, RunOutcome::Failed),
@@ -66,7 +66,7 @@
         _ => (600, RunOutcome::Done),
     };
     world.submit("last", job(vec![lasting(1, 3_000)]));
-    // Small tasks take each bit of room as it comes free.
+    // Small tasks take free resources as soon as there are any.
     for number in 0..60 {
         world.submit(&format!("busy{number}"), job(vec![step(2, 1_000)]));
         world.run(100);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_task_that_ends_gets_the_room_of_one_that_lasts() {
+fn a_task_that_ends_preempts_a_lasting_task() {
     let mut world = World::new(4);
     world.script = |task, _| match task.starts_with("last") {
         true => (600_000, RunOutcome::Done),
@@ -88,16 +88,16 @@
     };
     world.submit("last", job(vec![lasting(16, 1_000)]));
     world.run(4_000);
-    assert_eq!(world.running().len(), 16, "they fill all workers");
+    assert_eq!(world.running().len(), 16, "lasting tasks fill all workers");
     world.submit("ends", job(vec![step(1, 1_000)]));
     world.run(1_000);
     assert_eq!(world.shown("ends"), Some(JobState::Completed));
     world.run(3_000);
-    assert_eq!(world.running().len(), 16, "all lasting tasks are back");
+    assert_eq!(world.running().len(), 16, "all lasting tasks run again");
 }
 
 #[test]
-fn lasting_tasks_that_gave_way_take_turns() {
+fn preempted_lasting_tasks_take_turns() {
     let mut world = World::new(6);
     world.script = |task, _| match task.starts_with("last") {
         true => (600_000, RunOutcome::Done),
@@ -105,25 +105,28 @@
     };
     world.submit("last", job(vec![lasting(24, 1_000)]));
     world.run(4_000);
-    let mut away: std::collections::BTreeMap<String, u64> = Default::default();
+    let mut idle: std::collections::BTreeMap<String, u64> = Default::default();
     for number in 0..200 {
         world.submit(&format!("ends{number}"), job(vec![step(1, 1_000)]));
         world.run(100);
         for index in 0..24 {
             let task = format!("last.0.0.{index}");
             let runs = world.running().iter().any(|(t, _)| *t == task);
-            let spent = away.entry(task).or_insert(0);
+            let spent = idle.entry(task).or_insert(0);
             *spent = if runs { 0 } else { *spent + 100 };
-            assert!(*spent < 5_000, "away for {spent} ms at round {number}");
+            assert!(
+                *spent < 5_000,
+                "not running for {spent} ms at round {number}"
+            );
         }
     }
     let ends = world.starts.iter().filter(|s| s.0.starts_with("ends"));
     let ends = ends.count();
-    assert!(ends > 20, "{ends} tasks that end had a turn");
+    assert!(ends > 20, "only {ends} tasks that end were started");
 }
 
 #[test]
-fn few_lasting_tasks_are_away_for_others_at_once() {
+fn few_lasting_tasks_are_interrupted_at_once() {
     let mut world = World::new(6);
     world.script = |task, _| match task.starts_with("last") {
         true => (600_000, RunOutcome::Done),
@@ -136,12 +139,15 @@
         world.run(100);
         let running = world.running();
         let lasting = running.iter().filter(|(t, _)| t.starts_with("last"));
-        assert!(lasting.count() >= 22, "one in twelve may be away");
+        assert!(
+            lasting.count() >= 22,
+            "at most one in twelve is interrupted"
+        );
     }
 }
 
 #[test]
-fn a_task_of_a_better_priority_takes_the_room_of_a_worse_one() {
+fn a_task_of_a_higher_priority_preempts_one_of_a_lower_priority() {
     let mut world = World::new(1);
     world.script = |task, _| match task.starts_with("worse") {
         true => (20_000, RunOutcome::Done),
@@ -158,30 +164,30 @@
 }
 
 #[test]
-fn a_filler_that_lasts_hides_no_run_that_could_give_way() {
+fn a_lasting_best_effort_task_does_not_hide_a_preemptible_run() {
     let mut world = World::new(1);
     world.script = |_, _| (60_000, RunOutcome::Done);
-    let filler = StepSpec {
+    let best_effort = StepSpec {
         best_effort: true,
         ..lasting(1, 500)
     };
-    world.submit("filler", job(vec![filler]));
+    world.submit("best-effort", job(vec![best_effort]));
     world.submit_with_priority("low", job(vec![step(1, 4_000)]), 5);
     world.run(3_500);
-    // Another lasting task is away, so none that lasts may give way.
+    // Another lasting task is interrupted, so no lasting task may be preempted.
     world.submit_with_priority("away", job(vec![lasting(1, 4_000)]), 9);
-    let waits: Vec<_> = world.owner.ready.keys().copied().collect();
-    world.owner.interrupted.extend(waits);
+    let waiting: Vec<_> = world.owner.ready.keys().copied().collect();
+    world.owner.interrupted.extend(waiting);
     world.submit("high", job(vec![step(1, 4_000)]));
     world.run(1_500);
     assert!(world.starts.iter().any(|s| s.0.starts_with("high")));
 }
 
 #[test]
-fn what_is_nearly_done_ends_before_the_like_of_it_is_begun() {
+fn a_job_that_is_nearly_done_is_finished_before_new_ones_begin() {
     let mut world = World::new(1);
     world.script = |_, _| (1_000, RunOutcome::Done);
-    // Both can be on time, and the second is due first by nothing but its id.
+    // All jobs can be on time, so that only the remaining work gives the old one precedence.
     world.submit(
         "old",
         job(vec![
@@ -197,18 +203,18 @@
         world.submit(&format!("new{number}"), job(vec![step(8, 1_000)]));
     }
     world.run(4_000);
-    let place = |name: &str| world.starts.iter().position(|s| s.0.starts_with(name));
-    let second = place("old.0.1").expect("its second step ran");
+    let position = |name: &str| world.starts.iter().position(|s| s.0.starts_with(name));
+    let second = position("old.0.1").expect("the second step of the old job ran");
     let others = world.starts[..second]
         .iter()
         .filter(|s| s.0.starts_with("new"));
     assert_eq!(others.count(), 0, "{:?}", world.starts);
 }
 
-/// A burst of jobs of all sizes. The first wave of 16 tasks is that of the first job, as no
-/// other is there yet; one more ends in time, and by due time alone that is of wide ones.
+/// A burst of small and wide jobs. The first 16 tasks are those of the first job, as no other has
+/// arrived. One more wave ends in time, which ordering by due time alone would give to wide jobs.
 #[test]
-fn in_a_burst_those_end_in_time_that_ask_least_for_their_worth() {
+fn in_a_burst_jobs_with_the_least_work_per_value_end_in_time() {
     let mut world = World::new(4);
     world.script = |_, _| (1_000, RunOutcome::Done);
     for number in 0..6 {
@@ -217,7 +223,7 @@
     for number in 0..12 {
         world.submit(&format!("small{number}"), job(vec![step(4, 1_000)]));
     }
-    // Twice the second that a job takes, and half a second.
+    // Twice the second that a task runs, and half a second.
     world.run(2_500);
     let done = |world: &mut World, name: &str, count: u32| {
         let ids = (0..count).map(|n| format!("{name}{n}"));
@@ -225,12 +231,12 @@
             .count()
     };
     let small = done(&mut world, "small", 12);
-    assert_eq!(small, 16 / 4, "all that the second wave holds");
+    assert_eq!(small, 16 / 4, "as many as fit in the second wave");
     world.run(20_000);
     assert_eq!(done(&mut world, "small", 12), 12);
     assert_eq!(
         done(&mut world, "wide", 6),
         6,
-        "all that was accepted is done"
+        "all accepted jobs are completed"
     );
 }
--- a/src/sched/tests/pass_cost.rs
+++ b/src/sched/tests/pass_cost.rs
@@ -1,16 +1,17 @@
-//! Full workers: how much is looked at while tasks wait, as that is what an owner of many
-//! workers spends its processor time on.
+//! Tests of the cost of placement passes on full workers, in examined workers. Owners of many
+//! workers spend most of their processor time on these.
 
 use super::world::{World, job, lasting, step};
 use crate::sched::message::RunOutcome;
 use crate::sched::spec::StepSpec;
 
+/// Number of workers.
 const WORKERS: u16 = 40;
-/// Milliseconds of a run in which nothing finds room.
+/// Milliseconds for which passes are observed; no task is placed meanwhile.
 const SPAN: u64 = 500;
 
-/// Returns workers that lasting tasks fill, each of which has run for a while.
-fn full() -> World {
+/// Returns a world whose workers are full of lasting tasks that have run for a while.
+fn full_world() -> World {
     let mut world = World::new(WORKERS);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("last", job(vec![lasting(u32::from(WORKERS) * 4, 1_000)]));
@@ -19,8 +20,8 @@
     world
 }
 
-/// Returns the workers looked at in a pass of placing, as a multiple of all.
-fn looks(world: &mut World) -> f64 {
+/// Returns the mean number of times that each worker is examined in a placement pass.
+fn examinations(world: &mut World) -> f64 {
     let (before, mut passes) = (world.owner.workers_examined, 0);
     for _ in 0..SPAN {
         let next = world.owner.next_pass;
@@ -32,19 +33,19 @@
 }
 
 #[test]
-fn tasks_of_a_step_that_fit_nowhere_are_one_look_at_all_workers_and_one_for_victims() {
-    let mut world = full();
-    // Too wide for what stopping one lasting task frees, so that nothing gives way.
+fn a_step_that_fits_nowhere_examines_workers_once_to_place_and_once_for_victims() {
+    let mut world = full_world();
+    // The tasks need more than one lasting task holds, so that none is preempted.
     world.submit("wide", job(vec![step(30, 3_000)]));
-    let looks = looks(&mut world);
-    assert!(looks <= 2.0, "{looks}");
+    let examinations = examinations(&mut world);
+    assert!(examinations <= 2.0, "{examinations}");
     assert!(world.starts.iter().all(|s| !s.0.starts_with("wide")));
 }
 
 #[test]
-fn fillers_that_wait_are_one_look_for_each_step() {
-    let mut world = full();
-    let filler = StepSpec {
+fn waiting_best_effort_tasks_examine_workers_once_per_step() {
+    let mut world = full_world();
+    let best_effort = StepSpec {
         best_effort: true,
         label: "r1".into(),
         resources: crate::sched::spec::Resources {
@@ -54,7 +55,7 @@
         },
         ..step(30, 1_000)
     };
-    world.submit("fill", job(vec![filler]));
-    let looks = looks(&mut world);
-    assert!(looks <= 1.0, "{looks}");
+    world.submit("fill", job(vec![best_effort]));
+    let examinations = examinations(&mut world);
+    assert!(examinations <= 1.0, "{examinations}");
 }
--- a/src/sched/tests/permits.rs
+++ b/src/sched/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Queues whose steps may run on some workers only, as an advisor tells.
+//! Tests of permits for queues whose steps may only run where the advisor allows.
 
 use super::world::{World, job, queue, step};
 use crate::sched::job::{JobState, Queue};
@@ -18,20 +18,20 @@
 }
 
 #[test]
-fn tasks_start_with_a_ticket_and_only_where_the_advisor_lets_them() {
+fn tasks_start_with_a_permit_and_only_on_allowed_workers() {
     let mut world = world(6, &["w2", "w5"]);
     world.submit_to(advised(), "j1", job(vec![step(4, 1_000)]));
     world.run(300);
     assert_eq!(world.starts.len(), 4);
     let good = ["w2", "w5"];
     assert!(world.starts.iter().all(|s| good.contains(&&*s.2)));
-    assert_eq!(world.questions, [6], "one question for all tasks of a step");
+    assert_eq!(world.questions, [6], "one query for all tasks of a step");
     world.run(1_500);
     assert_eq!(world.shown("j1"), Some(JobState::Completed));
 }
 
 #[test]
-fn no_question_is_asked_for_other_queues() {
+fn other_queues_query_no_permits() {
     let mut world = World::new(2);
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(1_500);
@@ -40,10 +40,10 @@
 }
 
 #[test]
-fn a_ticket_that_has_ended_is_asked_for_again() {
+fn an_expired_permit_is_queried_again() {
     let mut world = world(2, &["w1"]);
     world.submit_to(advised(), "j1", job(vec![step(12, 1_000)]));
-    // Four run at a time, each for a second: the last start after the first tickets.
+    // Four tasks run at a time for a second each, so the last start after the first permits expire.
     world.run(4_500);
     assert_eq!(world.shown("j1"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), 12);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn more_workers_are_asked_about_in_turn_until_some_are_good() {
+fn further_workers_are_queried_until_some_are_allowed() {
     let mut world = world(70, &["w69"]);
     world.submit_to(advised(), "j1", job(vec![step(1, 1_000)]));
     world.run(2_000);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_step_whose_good_workers_are_full_keeps_no_others_from_starting() {
+fn a_step_whose_allowed_workers_are_full_does_not_block_others() {
     let mut world = world(2, &["w0"]);
     world.script = |_, _| (20_000, crate::sched::message::RunOutcome::Done);
     world.submit_to(advised(), "first", job(vec![step(4, 1_000)]));
--- a/src/sched/tests/resizing.rs
+++ b/src/sched/tests/resizing.rs
@@ -1,12 +1,12 @@
-//! Workers whose room shrinks and grows while they run.
+//! Tests of workers whose capacity shrinks and grows while they run tasks.
 
 use super::world::{World, job, step};
 use crate::sched::job::JobState;
 use crate::sched::message::{Answer, JobRequest, RunOutcome};
 use crate::sched::spec::{Resources, StepSpec};
 
-/// Returns a room of so many thousandths of cores, with plenty of all else.
-fn resources(cpu: u64) -> Resources {
+/// Returns a capacity of `cpu` thousandths of cores, with ample memory.
+fn capacity(cpu: u64) -> Resources {
     Resources {
         cpu,
         memory: 10_000,
@@ -14,7 +14,7 @@
     }
 }
 
-/// Returns a world of one worker, which takes whatever it is told, and long runs.
+/// Returns a world with one worker and long runs.
 fn world() -> World {
     let mut world = World::new(1);
     world.script = |_, _| (60_000, RunOutcome::Done);
@@ -22,40 +22,40 @@
 }
 
 #[test]
-fn a_worker_gets_what_fits_its_room_as_it_is() {
+fn a_worker_gets_only_tasks_that_fit_its_current_capacity() {
     let mut world = world();
     world.submit("a", job(vec![step(8, 500)]));
     world.run(500);
     assert_eq!(world.running().len(), 8);
-    world.resize("w0", resources(1_000));
+    world.resize("w0", capacity(1_000));
     world.submit("b", job(vec![step(4, 500)]));
     world.run(2_000);
-    assert_eq!(world.running().len(), 8, "what runs goes on");
+    assert_eq!(world.running().len(), 8, "running tasks continue");
     assert_eq!(world.shown("b"), Some(JobState::Queued));
-    world.resize("w0", resources(6_000));
+    world.resize("w0", capacity(6_000));
     world.run(500);
     assert_eq!(world.running().len(), 12);
     assert!(world.excesses.is_empty(), "{:?}", world.excesses);
 }
 
-/// The placement is on its way to the store when the room shrinks.
+/// The placement is being committed when the worker's capacity shrinks.
 #[test]
-fn a_start_that_does_not_fit_any_more_is_withdrawn() {
+fn a_start_that_no_longer_fits_is_withdrawn() {
     let mut world = world();
     world.submit("a", job(vec![step(6, 500)]));
     world.run(1);
-    world.resize("w0", resources(1_000));
+    world.resize("w0", capacity(1_000));
     world.run(2_000);
     assert_eq!(world.running().len(), 2);
     assert!(world.excesses.is_empty(), "{:?}", world.excesses);
 }
 
 #[test]
-fn what_is_being_stopped_still_counts() {
+fn tasks_that_are_being_stopped_still_hold_their_resources() {
     let mut world = world();
     world.submit("a", job(vec![step(4, 1_000)]));
     world.run(500);
-    // Stops are answered, and no report comes: the runs may still be there.
+    // Stops are answered, but without a report the tasks may still be running.
     world.ask(JobRequest::Cancel("a".into()));
     world.run(5);
     world.workers.get_mut("w0").expect("worker").cut = true;
@@ -68,17 +68,17 @@
     assert!(world.excesses.is_empty(), "{:?}", world.excesses);
 }
 
-/// A job that fits no worker now is taken when one has had the room: it is known to
-/// shrink, not to stay so.
+/// A job that fits no worker is accepted if it has fit one before, as workers that have shrunk
+/// may grow again.
 #[test]
-fn a_job_for_which_there_was_room_is_taken_and_waits() {
+fn a_job_that_fit_before_the_worker_shrank_is_accepted_and_waits() {
     let mut world = world();
-    world.resize("w0", resources(1_000));
+    world.resize("w0", capacity(1_000));
     let ticket = world.submit("a", job(vec![step(1, 3_000)]));
     world.run(1_000);
     assert_eq!(world.answers.get(&ticket), Some(&Answer::Accepted));
     assert!(world.running().is_empty());
-    world.resize("w0", resources(4_000));
+    world.resize("w0", capacity(4_000));
     world.run(500);
     assert_eq!(world.running().len(), 1);
 }
@@ -93,10 +93,10 @@
     };
     world.submit("g", job(vec![gang]));
     world.run(1);
-    world.resize("w0", resources(1_000));
+    world.resize("w0", capacity(1_000));
     world.run(3_000);
     assert!(world.running().is_empty(), "{:?}", world.running());
-    world.resize("w0", resources(4_000));
+    world.resize("w0", capacity(4_000));
     world.run(3_000);
     assert_eq!(world.running().len(), 6);
     assert!(world.excesses.is_empty(), "{:?}", world.excesses);
