--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -100,10 +100,10 @@
             log::info!(target: "worker", "worker={id} event=leaving stays_ms={} tasks={tasks}", listing.min_stay);
         }
         if worker.listing.address != listing.address {
-            let (before, now) = (worker.listing.address, listing.address);
-            log::info!(target: "worker", "worker={id} event=moved address={now} before={before} boot={:?}", listing.boot);
+            let (before, address) = (worker.listing.address, listing.address);
+            log::info!(target: "worker", "worker={id} event=moved address={address} before={before} boot={:?}", listing.boot);
             self.addresses.remove(before, &id);
-            self.addresses.add(now, id.clone());
+            self.addresses.add(address, id.clone());
         }
         if worker.listing.capacity != listing.capacity {
             let (before, capacity, used) =
--- a/src/sched/lost_workers.rs
+++ b/src/sched/lost_workers.rs
@@ -81,7 +81,7 @@
             .workers
             .values()
             .filter(silent)
-            .filter(|w| !w.placements.is_empty() || is_forgettable(w.presence))
+            .filter(|w| !w.placements.is_empty() || is_removable(w.presence))
             .map(|w| w.listing.id.clone())
             .collect();
         for name in ended {
@@ -91,7 +91,7 @@
             self.count_lapsed_runs(tasks);
             self.record_crash(&name, CrashEvidence::Silent);
             self.release_tasks(&name);
-            if is_forgettable(presence) {
+            if is_removable(presence) {
                 self.remove_worker(&name);
             }
         }
@@ -138,6 +138,6 @@
 
 /// Returns true when a silent worker with this presence may be removed: a worker that comes
 /// back is listed again, while an unusable entry of another writer may stay forever.
-fn is_forgettable(presence: Presence) -> bool {
+fn is_removable(presence: Presence) -> bool {
     matches!(presence, Presence::Removed | Presence::Unusable)
 }
--- a/src/sched/tests/rolling_restart.rs
+++ b/src/sched/tests/rolling_restart.rs
@@ -55,7 +55,7 @@
     row: OwnerRow,
     version: u64,
     nodes: Vec<Node>,
-    /// Milliseconds for which no box has serves now.
+    /// Milliseconds for which no box has served now.
     unserved: Millis,
     /// Maximum of `unserved` so far.
     max_unserved: Millis,
