--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -53,9 +53,9 @@
     let baseline = |name, pick| Variant {
         name,
         policy: Policy {
-            route: pick,
-            place: pick,
-            throttle: false,
+            request_selection: pick,
+            task_selection: pick,
+            throttling: false,
             ..Policy::default()
         },
         oracle: false,
@@ -63,7 +63,7 @@
     let learned = |name, tail, oracle| Variant {
         name,
         policy: Policy {
-            tail,
+            tail_weight: tail,
             ..Policy::default()
         },
         oracle,
@@ -296,7 +296,7 @@
             } => {
                 let start = Start {
                     epoch: 1,
-                    round: run.round,
+                    round: run.poll_round,
                     lease: 10_000,
                     not_after: u64::MAX,
                     task: Task {
--- a/src/cell.rs
+++ b/src/cell.rs
@@ -46,7 +46,7 @@
 
 impl Size {
     /// Returns what is held of it at a share of its cores, in thousandths.
-    pub fn at(self, share: u32) -> Self {
+    pub fn with_core_share(self, share: u32) -> Self {
         let cores = u64::from(self.cores) * u64::from(share) / u64::from(WHOLE);
         Self {
             cores: cores as u32,
@@ -87,7 +87,7 @@
 
 impl Shape {
     /// Returns true when an empty worker of this shape could run it.
-    pub fn holds(&self, size: Size) -> bool {
+    pub fn has_capacity_for(&self, size: Size) -> bool {
         size.cores <= self.cores
             && size.memory <= self.memory
             && size.accelerators <= self.accelerators
@@ -113,40 +113,40 @@
 #[derive(Clone, Debug)]
 pub struct Policy {
     /// Weight of the services' tail against batch throughput, from 0 to 1.
-    pub tail: f64,
+    pub tail_weight: f64,
     /// Requests that may wait in a cell.
-    pub queue: usize,
+    pub queue_limit: usize,
     /// Further sends that one request may make over all hops.
     pub retries: u32,
     /// Deadline in milliseconds of a request that gives none.
-    pub deadline: Millis,
+    pub default_deadline: Millis,
     /// Share of a worker's cores that batch tasks leave free.
     pub reserve: f64,
     /// Choice of the worker for a request.
-    pub route: Selection,
+    pub request_selection: Selection,
     /// Choice of the worker for a task.
-    pub place: Selection,
+    pub task_selection: Selection,
     /// True when tasks that hurt are throttled, and evicted only after that.
-    pub throttle: bool,
+    pub throttling: bool,
     /// Failed runs after which a task is given up.
-    pub failures: u32,
+    pub failure_limit: u32,
     /// Milliseconds of a worker's first quarantine; each further one doubles it.
-    pub quarantine: Millis,
+    pub first_quarantine: Millis,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            tail: 0.5,
-            queue: 256,
+            tail_weight: 0.5,
+            queue_limit: 256,
             retries: 2,
-            deadline: 10_000,
+            default_deadline: 10_000,
             reserve: 0.1,
-            route: Selection::Learned,
-            place: Selection::Learned,
-            throttle: true,
-            failures: 3,
-            quarantine: 30_000,
+            request_selection: Selection::Learned,
+            task_selection: Selection::Learned,
+            throttling: true,
+            failure_limit: 3,
+            first_quarantine: 30_000,
         }
     }
 }
--- a/src/cell/outcome.rs
+++ b/src/cell/outcome.rs
@@ -37,23 +37,23 @@
         };
         match called {
             CallOutcome::Done(_) => {
-                worker.change(id, |r| {
+                worker.update_run(id, |r| {
                     if r.phase == RunPhase::Starting {
                         r.phase = RunPhase::Running;
-                        r.since = now;
+                        r.phase_since = now;
                     }
                 });
             }
             CallOutcome::Lost => {
-                worker.change(id, |r| {
+                worker.update_run(id, |r| {
                     if r.phase == RunPhase::Starting {
                         r.phase = RunPhase::InDoubt;
-                        r.since = now;
+                        r.phase_since = now;
                     }
                 });
             }
             CallOutcome::Refused => {
-                if let Some(run) = worker.free(now, id) {
+                if let Some(run) = worker.end_run(now, id) {
                     self.unstarted(&run);
                 }
             }
@@ -86,9 +86,9 @@
         let Some((shard, index)) = ended else {
             return;
         };
-        shard.live[index] = TaskState::Waiting;
+        shard.states[index] = TaskState::Waiting;
         if shard.cancelled {
-            shard.live[index] = TaskState::Ended;
+            shard.states[index] = TaskState::Ended;
             shard.row.tasks[index].phase = Phase::Cancelled;
             shard.dirty = true;
         }
@@ -102,7 +102,7 @@
             *used = used.saturating_sub(u64::from(run.size.cores));
         }
         let (shard, index) = self.task(&run.job, run.task).filter(|(_, i)| *i == index)?;
-        (shard.live[index] == TaskState::Running(run.id)).then_some((shard, index))
+        (shard.states[index] == TaskState::Running(run.id)).then_some((shard, index))
     }
 
     /// Takes in how a stop ended.
@@ -119,7 +119,7 @@
         };
         // A lost or refused stop is settled by the next exchange.
         if let CallOutcome::Done(kept) = called
-            && let Some(run) = worker.free(now, id)
+            && let Some(run) = worker.end_run(now, id)
         {
             self.end(now, name, &run, RunState::Stopped, kept);
         }
@@ -128,7 +128,7 @@
 
     /// Takes in that a run has ended; its task's row is changed and written.
     pub fn end(&mut self, now: Millis, name: &Name, run: &Run, state: RunState, kept: Millis) {
-        let failures = self.policy.failures;
+        let failures = self.policy.failure_limit;
         let Some((shard, index)) = self.uncount(run) else {
             return;
         };
@@ -139,7 +139,7 @@
             _ if cancelled => task.phase = Phase::Cancelled,
             RunState::Failed => {
                 task.failures += 1;
-                shard.shunned.insert(index, name.clone());
+                shard.failed_on.insert(index, name.clone());
                 if task.failures >= failures {
                     task.phase = Phase::Failed;
                 }
@@ -149,7 +149,7 @@
                 task.saved = task.saved.max(kept);
             }
         }
-        shard.live[index] = match task.phase {
+        shard.states[index] = match task.phase {
             Phase::Open => TaskState::Recording,
             _ => TaskState::Ended,
         };
@@ -166,7 +166,7 @@
     fn succeeded(&mut self, name: &Name) {
         self.finished += 1;
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.failing.clear();
+            worker.failed_jobs.clear();
             worker.quarantines = 0;
         }
     }
@@ -174,16 +174,20 @@
     /// Counts a failed run; a worker that fails the tasks of several jobs is
     /// put in quarantine, and those failures no longer count for the tasks.
     fn strike(&mut self, now: Millis, name: &Name, job: Name) {
-        let quarantine = self.policy.quarantine;
+        let quarantine = self.policy.first_quarantine;
         let listed = self.workers.values().filter(|w| w.listed).count();
-        let shut = self.workers.values().filter(|w| w.quarantine > now).count();
+        let shut = self
+            .workers
+            .values()
+            .filter(|w| w.quarantined_until > now)
+            .count();
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        worker.failing.push(job);
-        let jobs: BTreeSet<&Name> = worker.failing.iter().collect();
+        worker.failed_jobs.push(job);
+        let jobs: BTreeSet<&Name> = worker.failed_jobs.iter().collect();
         let again = worker.quarantines > 0;
-        if !again && (worker.failing.len() < FAILURES || jobs.len() < 2) {
+        if !again && (worker.failed_jobs.len() < FAILURES || jobs.len() < 2) {
             return;
         }
         // Where half of the workers fail, the fault is more likely the jobs'.
@@ -191,9 +195,9 @@
             return;
         }
         let span = quarantine << worker.quarantines.min(BACKOFF);
-        worker.quarantine = now + span;
+        worker.quarantined_until = now + span;
         worker.quarantines += 1;
-        let blamed = std::mem::take(&mut worker.failing);
+        let blamed = std::mem::take(&mut worker.failed_jobs);
         log::warn!(target: "cell", "{name} fails every task; in quarantine for {span} ms");
         for shard in self.shards.values_mut() {
             if blamed.contains(&shard.row.spec.id) {
@@ -206,30 +210,30 @@
     pub fn settle(&mut self, now: Millis, name: &Name, report: &RunReport) -> Option<Action> {
         let worker = self.workers.get_mut(name)?;
         if report.state != RunState::Running {
-            let held = worker.free(now, report.id);
+            let held = worker.end_run(now, report.id);
             let run = held.unwrap_or_else(|| adopted(report, now));
             self.settle_ended(now, name, &run, report);
             return None;
         }
-        if worker.has_ended(report.id) {
+        if worker.has_ended_run(report.id) {
             return None;
         }
         match worker.runs.contains_key(&report.id) {
             true => {
-                worker.change(report.id, |r| {
+                worker.update_run(report.id, |r| {
                     r.progress = report.progress;
                     // A report may be older than the last change of the share.
                     r.share = r.share.max(report.share);
                     if matches!(r.phase, RunPhase::Starting | RunPhase::InDoubt) {
                         r.phase = RunPhase::Running;
-                        r.since = now;
+                        r.phase_since = now;
                     }
                 });
             }
             false => {
-                worker.hold(adopted(report, now));
+                worker.add_run(adopted(report, now));
                 // A start that lay unread there may just have begun its lease.
-                worker.renewed = worker.renewed.max(now);
+                worker.lease_renewed = worker.lease_renewed.max(now);
             }
         }
         if !self.loaded {
@@ -243,19 +247,19 @@
         let Some((shard, index)) = self.task(&report.job, report.task) else {
             return self.stop_once(name, report.id);
         };
-        match shard.live[index] {
+        match shard.states[index] {
             TaskState::Running(id) if id == report.id => None,
             TaskState::Held => {
-                shard.live[index] = TaskState::Running(report.id);
+                shard.states[index] = TaskState::Running(report.id);
                 let team = shard.row.spec.team.clone();
                 let urgent = shard.row.spec.urgent;
                 let saved = shard.row.tasks[index].saved;
                 *self.teams.entry(team).or_default() += u64::from(report.size.cores);
                 let worker = self.workers.get_mut(name)?;
-                worker.change(report.id, |r| {
+                worker.update_run(report.id, |r| {
                     r.urgent = urgent;
                     r.saved = saved;
-                    r.since = now;
+                    r.phase_since = now;
                 });
                 None
             }
@@ -288,13 +292,13 @@
         let Some((shard, index)) = self.task(&run.job, run.task) else {
             return self.acknowledge(name, run.id);
         };
-        match shard.live[index] {
+        match shard.states[index] {
             TaskState::Running(id) if id == run.id => {
                 self.end(now, name, run, report.state, report.progress);
             }
             // A finished task is done, whichever of its runs finished it.
             TaskState::Held if report.state == RunState::Finished => {
-                shard.live[index] = TaskState::Running(run.id);
+                shard.states[index] = TaskState::Running(run.id);
                 self.end(now, name, run, report.state, report.progress);
             }
             // It may not be the last run of the task: its work is kept, and
@@ -324,7 +328,7 @@
     fn awaits(&self, id: RunId) -> bool {
         let pending = |w: &PendingWrite| w.acks.iter().any(|(_, r)| *r == id);
         self.shards.values().any(|l| {
-            l.acks.iter().any(|(_, r)| *r == id) || l.writing.as_ref().is_some_and(pending)
+            l.acks.iter().any(|(_, r)| *r == id) || l.pending_write.as_ref().is_some_and(pending)
         })
     }
 
@@ -333,14 +337,14 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let Some(run) = worker.free(now, id) else {
+        let Some(run) = worker.end_run(now, id) else {
             return;
         };
         match run.phase {
             RunPhase::InDoubt | RunPhase::Starting => self.unstarted(&run),
             _ => self.end(now, name, &run, RunState::Stopped, run.saved),
         }
-        if run.phase != RunPhase::Stopping && now < run.since + YOUNG {
+        if run.phase != RunPhase::Stopping && now < run.phase_since + YOUNG {
             self.count_vanished(&run);
         }
     }
@@ -351,7 +355,7 @@
         let Some((shard, index)) = self.task(&run.job, run.task) else {
             return;
         };
-        let count = shard.vanished.entry(index).or_insert(0);
+        let count = shard.vanished_runs.entry(index).or_insert(0);
         *count += 1;
         let task = &mut shard.row.tasks[index];
         if *count < VANISHED || task.phase != Phase::Open {
@@ -359,7 +363,7 @@
         }
         log::warn!(target: "cell", "{} {} is given up: {count} young runs went with their workers", run.job, run.task);
         task.phase = Phase::Failed;
-        shard.live[index] = TaskState::Ended;
+        shard.states[index] = TaskState::Ended;
         shard.dirty = true;
     }
 }
@@ -367,7 +371,7 @@
 /// Takes back what a worker's own fault was counted for.
 fn forgive(shard: &mut JobShard, name: &Name) {
     let blamed: Vec<usize> = shard
-        .shunned
+        .failed_on
         .iter()
         .filter(|(_, worker)| *worker == name)
         .map(|(index, _)| *index)
@@ -391,13 +395,13 @@
         size: report.size,
         share: report.share,
         // An earlier owner may have raised its share without an answer.
-        floor: WHOLE,
-        throttling: false,
+        share_floor: WHOLE,
+        throttle_pending: false,
         phase: RunPhase::Running,
         saved: 0,
         progress: report.progress,
-        since: now,
-        round: 0,
+        phase_since: now,
+        poll_round: 0,
         urgent: false,
     }
 }
--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -148,7 +148,7 @@
     fn enqueue(&mut self, now: Millis, ask: PendingRequest, actions: &mut Vec<Action>) {
         let wait = self.wait(now, ask.class, &ask.service);
         let expected = self.expected(&ask.service);
-        let open = self.workers.values().any(|w| w.open(now));
+        let open = self.workers.values().any(|w| w.accepts_work(now));
         if !open || now + wait + expected > ask.deadline {
             let reason = if open {
                 Reason::Deadline
@@ -158,7 +158,7 @@
             actions.push(refuse(&ask, reason, wait));
             return;
         }
-        if self.queue.len() >= self.policy.queue {
+        if self.queue.len() >= self.policy.queue_limit {
             let shed = match ask.class {
                 Class::Critical => self.queue.shed(),
                 Class::Batch => None,
@@ -180,16 +180,16 @@
     fn dispatch(&mut self, now: Millis, micros: u64, ask: &PendingRequest) -> Option<Action> {
         let name = self.pick(now, ask)?;
         let worker = self.workers.get_mut(&name)?;
-        if !worker.stays() {
+        if !worker.check_stays() {
             return None;
         }
         let active = ActiveRequest {
             service: ask.service.clone(),
             size: ask.size,
-            sent: micros,
-            ghost: None,
+            sent_us: micros,
+            start_deadline: None,
         };
-        worker.add(ask.ticket, active);
+        worker.add_request(ask.ticket, active);
         self.tickets.insert(ask.ticket, name.clone());
         Some(Action::Send {
             ticket: ask.ticket,
@@ -199,22 +199,22 @@
     }
 
     fn pick(&mut self, now: Millis, ask: &PendingRequest) -> Option<Name> {
-        let open = self.workers.values().filter(|w| w.open(now));
+        let open = self.workers.values().filter(|w| w.accepts_work(now));
         let (total, sound) = open.fold((0, 0), |(total, sound), worker| {
-            (total + 1, sound + usize::from(worker.ejected <= now))
+            (total + 1, sound + usize::from(worker.ejected_until <= now))
         });
         // With half of the workers ejected, the fault is likely not theirs.
         let strict = sound * 2 > total;
         let candidates: Vec<&Worker> = self
             .workers
             .values()
-            .filter(|w| w.open(now) && w.slots() > 0 && w.fits(ask.size))
-            .filter(|w| !strict || w.ejected <= now)
+            .filter(|w| w.accepts_work(now) && w.free_slots() > 0 && w.has_free(ask.size))
+            .filter(|w| !strict || w.ejected_until <= now)
             .collect();
         let count = candidates.len() as u64;
-        let chosen = match self.policy.route {
+        let chosen = match self.policy.request_selection {
             Selection::First => candidates.first().copied(),
-            Selection::LeastLoaded => candidates.into_iter().min_by_key(|w| w.busy()),
+            Selection::LeastLoaded => candidates.into_iter().min_by_key(|w| w.used_slots()),
             Selection::Random => {
                 let index = self.random.below(count) as usize;
                 candidates.get(index).copied()
@@ -236,17 +236,17 @@
 
     /// Returns the expected answer time on a worker over that on an idle one.
     fn cost(&self, worker: &Worker, service: &str) -> f64 {
-        let busy = worker.crowded();
+        let busy = worker.is_busy();
         let hurt: f64 = worker
-            .running()
+            .running_runs()
             .map(|r| {
                 self.interference.upper_estimate(service, &r.kind, busy) * f64::from(r.share)
                     / f64::from(WHOLE)
             })
             .sum();
         let mean = self.means.get(service).copied().unwrap_or(GUESS);
-        let measured = (worker.latency / mean - 1.0).clamp(0.0, 4.0);
-        let load = f64::from(worker.busy()) / f64::from(worker.shape.slots.max(1));
+        let measured = (worker.mean_latency / mean - 1.0).clamp(0.0, 4.0);
+        let load = f64::from(worker.used_slots()) / f64::from(worker.shape.slots.max(1));
         1.0 + hurt.max(measured * 0.5) + load
     }
 
@@ -266,25 +266,25 @@
         };
         match sent {
             SendOutcome::Answered => {
-                if let Some(active) = worker.remove(ticket) {
-                    let took = micros.saturating_sub(active.sent);
-                    worker.answered(took);
+                if let Some(active) = worker.remove_request(ticket) {
+                    let took = micros.saturating_sub(active.sent_us);
+                    worker.record_answer(took);
                     let mean = self.means.entry(active.service).or_insert(took as f64);
                     *mean += SMOOTH * (took as f64 - *mean);
                 }
             }
             SendOutcome::NotRun => {
-                worker.remove(ticket);
+                worker.remove_request(ticket);
                 strike(worker, now);
             }
             SendOutcome::LeaseLapsed => {
-                worker.remove(ticket);
+                worker.remove_request(ticket);
                 return Vec::new();
             }
             SendOutcome::Unknown { until } => {
                 // It may still hold its slot there: the next exchange tells.
-                if let Some(active) = worker.active.get_mut(&ticket) {
-                    active.ghost = Some(until + self.margin);
+                if let Some(active) = worker.requests.get_mut(&ticket) {
+                    active.start_deadline = Some(until + self.margin);
                 }
                 strike(worker, now);
             }
@@ -349,7 +349,7 @@
         let slots: u32 = self
             .workers
             .values()
-            .filter(|w| w.open(now))
+            .filter(|w| w.accepts_work(now))
             .map(|w| w.shape.slots)
             .sum();
         let mean = self.means.get(service).copied().unwrap_or(GUESS);
@@ -360,8 +360,8 @@
 }
 
 fn strike(worker: &mut Worker, now: Millis) {
-    if worker.failed(now) {
-        let until = worker.ejected - now;
+    if worker.record_failure(now) {
+        let until = worker.ejected_until - now;
         log::warn!(target: "cell", "{} ejected for {until} ms", worker.name);
     }
 }
--- a/src/cell/runs.rs
+++ b/src/cell/runs.rs
@@ -37,9 +37,9 @@
     pub share: u32,
     /// Thousandths of its cores that it may come to use by a raise without an
     /// answer; never counted less.
-    pub floor: u32,
+    pub share_floor: u32,
     /// True while a change of its share has no outcome.
-    pub throttling: bool,
+    pub throttle_pending: bool,
     /// How far it is.
     pub phase: RunPhase,
     /// Milliseconds of work done before it started.
@@ -47,16 +47,16 @@
     /// Milliseconds of work done, as last reported.
     pub progress: Millis,
     /// When its present phase was confirmed.
-    pub since: Millis,
+    pub phase_since: Millis,
     /// Round of the exchange before its start.
-    pub round: u64,
+    pub poll_round: u64,
     /// True for work that must start within seconds.
     pub urgent: bool,
 }
 
 impl Run {
     /// Returns true when its start may or may not have taken effect.
-    pub fn unconfirmed(&self) -> bool {
+    pub fn is_start_unconfirmed(&self) -> bool {
         matches!(self.phase, RunPhase::Starting | RunPhase::InDoubt)
     }
 }
--- a/src/cell/shard.rs
+++ b/src/cell/shard.rs
@@ -56,19 +56,19 @@
     /// Its row as it is to be.
     pub row: JobShardRow,
     /// Where each task is.
-    pub live: Vec<TaskState>,
+    pub states: Vec<TaskState>,
     /// True once its job was cancelled.
     pub cancelled: bool,
     /// When a task of it last started, or when it came.
-    pub(super) since: Millis,
+    pub(super) last_start: Millis,
     pub(super) dirty: bool,
-    pub(super) writing: Option<PendingWrite>,
-    pub(super) reread: bool,
+    pub(super) pending_write: Option<PendingWrite>,
+    pub(super) needs_reread: bool,
     pub(super) acks: Vec<(Name, RunId)>,
     /// Worker of the last failed run of each task.
-    pub(super) shunned: BTreeMap<usize, Name>,
+    pub(super) failed_on: BTreeMap<usize, Name>,
     /// Young runs of each task that went without a word under this owner.
-    pub(super) vanished: BTreeMap<usize, u32>,
+    pub(super) vanished_runs: BTreeMap<usize, u32>,
 }
 
 impl JobShard {
@@ -82,35 +82,35 @@
         Self {
             version: versioned.version,
             row: versioned.row,
-            live,
+            states: live,
             cancelled: false,
-            since: now,
+            last_start: now,
             dirty: false,
-            writing: None,
-            reread: false,
+            pending_write: None,
+            needs_reread: false,
             acks: Vec::new(),
-            shunned: BTreeMap::new(),
-            vanished: BTreeMap::new(),
+            failed_on: BTreeMap::new(),
+            vanished_runs: BTreeMap::new(),
         }
     }
 
     /// Returns true when every task has ended and that is recorded.
-    pub fn ended(&self) -> bool {
-        let done = self.live.iter().all(|l| *l == TaskState::Ended);
-        done && !self.dirty && self.writing.is_none()
+    pub fn is_ended(&self) -> bool {
+        let done = self.states.iter().all(|l| *l == TaskState::Ended);
+        done && !self.dirty && self.pending_write.is_none()
     }
 
     /// Returns true when its row must be read, as a write is in doubt.
-    pub fn reread(&self) -> bool {
-        self.reread
+    pub fn needs_reread(&self) -> bool {
+        self.needs_reread
     }
 
     /// Returns true when nothing of it is to be written or read.
-    pub fn quiet(&self) -> bool {
-        !self.dirty && self.writing.is_none() && !self.reread
+    pub fn is_settled(&self) -> bool {
+        !self.dirty && self.pending_write.is_none() && !self.needs_reread
     }
 
-    fn index(&self, task: u32) -> Option<usize> {
+    fn task_index(&self, task: u32) -> Option<usize> {
         self.row.tasks.iter().position(|t| t.index == task)
     }
 }
@@ -143,7 +143,7 @@
     pub(super) fn add(&mut self, now: Millis, versioned: Versioned, fresh: bool) {
         let key = versioned.key.clone();
         let shard = JobShard::new(now, versioned, fresh);
-        if !shard.ended() {
+        if !shard.is_ended() {
             self.shards.entry(key).or_insert(shard);
         }
     }
@@ -169,7 +169,7 @@
         }
         let mut stops = Vec::new();
         for worker in self.workers.values() {
-            let runs = worker.running().filter(|r| jobs.contains(&r.job));
+            let runs = worker.running_runs().filter(|r| jobs.contains(&r.job));
             stops.extend(runs.map(|r| (worker.name.clone(), r.id)));
         }
         stops
@@ -185,17 +185,19 @@
     /// told before the job shards were read is told again by its next answer.
     pub fn unhold(&mut self, now: Millis) {
         let since = self.read + self.times.sync * SILENT;
-        let told = |w: &Worker| w.known && w.trusted >= since && now > w.awake + self.margin;
+        let told = |w: &Worker| {
+            w.responsive && w.valid_until >= since && now > w.responsive_since + self.margin
+        };
         let settled = |w: &Worker| !w.listed || told(w);
         if now < self.hold || !self.loaded || !self.workers.values().all(settled) {
             return;
         }
         for shard in self.shards.values_mut() {
             // Work that a worker told of is recorded before it is resumed.
-            if !shard.quiet() {
+            if !shard.is_settled() {
                 continue;
             }
-            for live in &mut shard.live {
+            for live in &mut shard.states {
                 if *live == TaskState::Held {
                     *live = TaskState::Waiting;
                 }
@@ -208,16 +210,16 @@
 
     /// Returns the job shard of a task and its place in there.
     pub(super) fn task(&mut self, job: &Name, task: u32) -> Option<(&mut JobShard, usize)> {
-        let holds = |l: &&mut JobShard| l.row.spec.id == *job && l.index(task).is_some();
+        let holds = |l: &&mut JobShard| l.row.spec.id == *job && l.task_index(task).is_some();
         let shard = self.shards.values_mut().find(holds)?;
-        let index = shard.index(task)?;
+        let index = shard.task_index(task)?;
         Some((shard, index))
     }
 }
 
 /// Ends the waiting tasks of a job shard whose job was cancelled.
 pub(super) fn end_waiting(shard: &mut JobShard) {
-    for (index, live) in shard.live.iter_mut().enumerate() {
+    for (index, live) in shard.states.iter_mut().enumerate() {
         if *live == TaskState::Waiting {
             *live = TaskState::Ended;
             shard.row.tasks[index].phase = Phase::Cancelled;
--- a/src/cell/start.rs
+++ b/src/cell/start.rs
@@ -64,7 +64,7 @@
             .shards
             .iter()
             .filter(|(key, shard)| {
-                !passed.contains(*key) && shard.live.contains(&TaskState::Waiting)
+                !passed.contains(*key) && shard.states.contains(&TaskState::Waiting)
             })
             .filter(|(_, shard)| self.within_quota(shard));
         let rank = |(key, shard): &(&Name, &JobShard)| {
@@ -101,21 +101,21 @@
 
     fn start_one(&mut self, now: Millis, key: &Name) -> Option<Action> {
         let shard = self.shards.get(key)?;
-        let index = shard.live.iter().position(|l| *l == TaskState::Waiting)?;
+        let index = shard.states.iter().position(|l| *l == TaskState::Waiting)?;
         let spec = shard.row.spec.clone();
         let size = self.corrected(&spec.kind, spec.size);
-        let shunned = shard.shunned.get(&index).cloned();
+        let shunned = shard.failed_on.get(&index).cloned();
         let saved = shard.row.tasks[index].saved;
         let task = shard.row.tasks[index].index;
         let wanted = WaitingTask {
             kind: &spec.kind,
             size,
             urgent: spec.urgent,
-            starved: now >= shard.since + STARVED,
+            starved: now >= shard.last_start + STARVED,
             shunned,
         };
         let (name, share) = self.place(now, wanted)?;
-        if self.runs_already(&spec.id, task) || !self.workers.get(&name)?.stays() {
+        if self.runs_already(&spec.id, task) || !self.workers.get(&name)?.check_stays() {
             return None;
         }
         self.counter += 1;
@@ -128,23 +128,25 @@
             kind: spec.kind.clone(),
             size,
             share,
-            floor: 0,
-            throttling: false,
+            share_floor: 0,
+            throttle_pending: false,
             phase: RunPhase::Starting,
             saved,
             progress: saved,
-            since: now,
-            round: self.round,
+            phase_since: now,
+            poll_round: self.round,
             urgent: spec.urgent,
         };
-        worker.hold(run.clone());
-        worker.renewed = worker.renewed.max(now);
-        invariant::check(worker.within(), Rule::Room, || format!("start on {name}"));
+        worker.add_run(run.clone());
+        worker.lease_renewed = worker.lease_renewed.max(now);
+        invariant::check(worker.is_within_capacity(), Rule::Room, || {
+            format!("start on {name}")
+        });
         let rpc = worker.rpc;
         *self.teams.entry(spec.team.clone()).or_default() += u64::from(size.cores);
         if let Some(shard) = self.shards.get_mut(key) {
-            shard.since = now;
-            let before = std::mem::replace(&mut shard.live[index], TaskState::Running(id));
+            shard.last_start = now;
+            let before = std::mem::replace(&mut shard.states[index], TaskState::Running(id));
             invariant::check(before == TaskState::Waiting, Rule::Resume, || {
                 format!("{key} {task}")
             });
@@ -180,14 +182,13 @@
         if yielding {
             return None;
         }
-        let index = shard.live.iter().position(|l| *l == TaskState::Waiting)?;
-        let shunned = shard.shunned.get(&index);
+        let index = shard.states.iter().position(|l| *l == TaskState::Waiting)?;
+        let shunned = shard.failed_on.get(&index);
         // Only where the urgent task could then run.
-        let victims = self
-            .workers
-            .values()
-            .filter(|w| w.open(now) && w.quarantine <= now && Some(&w.name) != shunned);
-        let victims = victims.flat_map(|w| w.running().map(move |r| (w, r)));
+        let victims = self.workers.values().filter(|w| {
+            w.accepts_work(now) && w.quarantined_until <= now && Some(&w.name) != shunned
+        });
+        let victims = victims.flat_map(|w| w.running_runs().map(move |r| (w, r)));
         let enough = |(w, r): &(&Worker, &Run)| !r.urgent && fits_without(w, r, size);
         let loss = |(_, r): &(&Worker, &Run)| (r.progress.saturating_sub(r.saved), r.id);
         let (worker, run) = victims.filter(enough).min_by_key(loss)?;
@@ -207,16 +208,16 @@
         let candidates: Vec<&Worker> = self
             .workers
             .values()
-            .filter(|w| w.open(now) && w.quarantine <= now)
+            .filter(|w| w.accepts_work(now) && w.quarantined_until <= now)
             .filter(|w| Some(&w.name) != wanted.shunned.as_ref())
-            .filter(|w| w.fits(size) && w.cores() >= size.cores + kept(w))
+            .filter(|w| w.has_free(size) && w.free_cores() >= size.cores + kept(w))
             .collect();
         let count = candidates.len() as u64;
-        let chosen = match self.policy.place {
+        let chosen = match self.policy.task_selection {
             Selection::First => candidates.first().copied(),
             Selection::LeastLoaded => candidates
                 .into_iter()
-                .max_by_key(|w| (w.cores(), w.name.clone())),
+                .max_by_key(|w| (w.free_cores(), w.name.clone())),
             Selection::Random => {
                 let index = self.random.below(count) as usize;
                 candidates.get(index).copied()
@@ -258,7 +259,7 @@
     /// what one more run of a kind would add at its whole share. Of several
     /// services the one that would be hurt most counts.
     fn hurt(&self, now: Millis, worker: &Worker, kind: &str) -> (f64, f64) {
-        let busy = worker.crowded();
+        let busy = worker.is_busy();
         let mut worst = (0.0, 0.0);
         let in_use = |at: &Millis| now < at + IN_USE;
         for (service, _) in self.used.iter().filter(|(_, at)| in_use(at)) {
@@ -280,7 +281,7 @@
 
     /// Returns the slowdown of services at which batch has to yield.
     pub fn bearable(&self) -> f64 {
-        2.5 - 1.5 * self.policy.tail
+        2.5 - 1.5 * self.policy.tail_weight
     }
 
     /// Raises a declared size to what runs of the kind were seen to use.
@@ -297,6 +298,6 @@
 
 fn fits_without(worker: &Worker, run: &Run, size: Size) -> bool {
     let mut rest = worker.clone();
-    rest.drop_run(run.id);
-    rest.fits(size)
+    rest.remove_run(run.id);
+    rest.has_free(size)
 }
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -189,26 +189,26 @@
                 .entry(place.name.clone())
                 .or_insert_with(|| Worker::new(place.name.clone(), place.http, place.rpc));
             let moved = worker.rpc != place.rpc || worker.http != place.http;
-            if moved && worker.runs.is_empty() && worker.active.is_empty() {
+            if moved && worker.runs.is_empty() && worker.requests.is_empty() {
                 *worker = Worker::new(place.name.clone(), place.http, place.rpc);
             }
             worker.listed = true;
             worker.leaving = place.leaving || drained.contains(&place.name);
         }
         self.workers
-            .retain(|_, w| w.listed || !w.runs.is_empty() || !w.active.is_empty());
+            .retain(|_, w| w.listed || !w.runs.is_empty() || !w.requests.is_empty());
     }
 
     /// Returns the free slots of all workers.
     pub fn free(&self, now: Millis) -> u32 {
-        let open = self.workers.values().filter(|w| w.open(now));
-        open.map(Worker::slots).sum()
+        let open = self.workers.values().filter(|w| w.accepts_work(now));
+        open.map(Worker::free_slots).sum()
     }
 
     /// Returns the free cores of all workers in thousandths.
     pub fn cores(&self, now: Millis) -> u64 {
-        let open = self.workers.values().filter(|w| w.open(now));
-        open.map(|w| u64::from(w.cores())).sum()
+        let open = self.workers.values().filter(|w| w.accepts_work(now));
+        open.map(|w| u64::from(w.free_cores())).sum()
     }
 
     /// Returns the number of requests that wait.
@@ -218,14 +218,14 @@
 
     /// Returns true when no request waits or is in progress.
     pub fn idle(&self) -> bool {
-        let sent = self.workers.values().any(|w| !w.active.is_empty());
+        let sent = self.workers.values().any(|w| !w.requests.is_empty());
         let calling = |w: &Worker| {
             let phases = w.runs.values().map(|r| r.phase);
             phases
                 .into_iter()
                 .any(|p| p == RunPhase::Starting || p == RunPhase::Stopping)
         };
-        let journal = self.shards.values().all(JobShard::quiet);
+        let journal = self.shards.values().all(JobShard::is_settled);
         self.queue.len() == 0 && !sent && journal && !self.workers.values().any(calling)
     }
 
@@ -245,19 +245,21 @@
         let mut actions = Vec::new();
         self.round += 1;
         for worker in self.workers.values_mut() {
-            let due = worker.asked.is_none_or(|at| now >= at + self.times.sync);
-            if worker.syncing || !due {
+            let due = worker
+                .last_poll
+                .is_none_or(|at| now >= at + self.times.sync);
+            if worker.polling || !due {
                 continue;
             }
-            if now >= worker.trusted {
-                worker.known = false;
+            if now >= worker.valid_until {
+                worker.responsive = false;
             }
-            worker.syncing = true;
-            worker.asked = Some(now);
+            worker.polling = true;
+            worker.last_poll = Some(now);
             // A silent worker's runs are left to lapse: it is asked, not renewed.
-            let renew = worker.known;
+            let renew = worker.responsive;
             if renew {
-                worker.renewing = now;
+                worker.renewal_sent = now;
             }
             actions.push(Action::Poll {
                 worker: worker.name.clone(),
@@ -283,37 +285,37 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return (false, Vec::new());
         };
-        worker.syncing = false;
-        let renewing = std::mem::take(&mut worker.renewing);
+        worker.polling = false;
+        let renewing = std::mem::take(&mut worker.renewal_sent);
         if !matches!(exchange, PollOutcome::NotSent) {
-            worker.renewed = worker.renewed.max(renewing);
+            worker.lease_renewed = worker.lease_renewed.max(renewing);
         }
         let PollOutcome::Reply(reply) = exchange else {
             worker.acks.extend(acks);
             return (false, Vec::new());
         };
         if reply.refused {
-            worker.known = false;
+            worker.responsive = false;
             return (true, Vec::new());
         }
-        if !worker.known || now >= worker.trusted {
-            worker.awake = now;
+        if !worker.responsive || now >= worker.valid_until {
+            worker.responsive_since = now;
         }
-        worker.trusted = sent + self.times.sync * SILENT;
-        worker.known = true;
+        worker.valid_until = sent + self.times.sync * SILENT;
+        worker.responsive = true;
         worker.shape = reply.shape;
         worker.retiring = reply.leaving;
-        worker.foreign = reply.foreign;
+        worker.foreign_requests = reply.foreign;
         let gone: Vec<u64> = worker
-            .active
+            .requests
             .iter()
             .filter(|(ticket, a)| {
-                a.ghost.is_some_and(|g| sent > g) && !reply.tickets.contains(ticket)
+                a.start_deadline.is_some_and(|g| sent > g) && !reply.tickets.contains(ticket)
             })
             .map(|(ticket, _)| *ticket)
             .collect();
         for ticket in gone {
-            worker.remove(ticket);
+            worker.remove_request(ticket);
         }
         let missing = absent(worker, sent, self.margin, &reply.runs);
         let mut actions = Vec::new();
@@ -324,7 +326,7 @@
             actions.extend(self.settle(now, name, report));
         }
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.forget_ended(sent);
+            worker.forget_ended_runs(sent);
         }
         self.measure(name, &reply);
         actions.extend(self.pump(now, micros));
@@ -360,11 +362,13 @@
         let mut lapsed: Vec<(Name, RunId)> = Vec::new();
         for worker in self.workers.values() {
             // An earlier owner may have renewed them until this one won.
-            let end = self.hold.max(worker.renewed.max(worker.renewing) + span);
-            if worker.known || now <= end {
+            let end = self
+                .hold
+                .max(worker.lease_renewed.max(worker.renewal_sent) + span);
+            if worker.responsive || now <= end {
                 continue;
             }
-            let over = |r: &&Run| !worker.listed || !r.unconfirmed();
+            let over = |r: &&Run| !worker.listed || !r.is_start_unconfirmed();
             let runs = worker.runs.values().filter(over);
             lapsed.extend(runs.map(|r| (worker.name.clone(), r.id)));
         }
@@ -380,9 +384,9 @@
     let reported: BTreeSet<RunId> = reports.iter().map(|r| r.id).collect();
     let gone = worker.runs.values().filter(|run| {
         let confirmed = match run.phase {
-            RunPhase::Running | RunPhase::Stopping => run.since < sent,
+            RunPhase::Running | RunPhase::Stopping => run.phase_since < sent,
             // What was sent before has taken effect by now, or never will.
-            RunPhase::InDoubt => sent > run.since.max(worker.awake) + margin,
+            RunPhase::InDoubt => sent > run.phase_since.max(worker.responsive_since) + margin,
             RunPhase::Starting => false,
         };
         confirmed && !reported.contains(&run.id)
--- a/src/cell/tests.rs
+++ b/src/cell/tests.rs
@@ -161,7 +161,7 @@
 #[test]
 fn overload_sheds_batch_before_critical() {
     let mut cell = cell(1);
-    cell.policy.queue = 1;
+    cell.policy.queue_limit = 1;
     for ticket in 0..2 {
         cell.admit(10, 10_000, ask(ticket, Class::Critical, 9_000));
     }
@@ -407,7 +407,7 @@
             PollOutcome::NotSent,
         );
         assert_eq!(
-            cell.shards[&key].live,
+            cell.shards[&key].states,
             [TaskState::Running(1 << 32)],
             "at {now}"
         );
--- a/src/cell/throttling.rs
+++ b/src/cell/throttling.rs
@@ -20,13 +20,13 @@
 impl Cell {
     /// Throttles or evicts where services are hurt, and lets go where not.
     pub fn relieve(&mut self, now: Millis) -> Vec<Action> {
-        if !self.policy.throttle {
+        if !self.policy.throttling {
             return Vec::new();
         }
         let bearable = self.bearable();
         let mut steps = Vec::new();
         for worker in self.workers.values() {
-            if !worker.known || now < worker.throttled + STEP {
+            if !worker.responsive || now < worker.last_throttle + STEP {
                 continue;
             }
             let slow = self.slowdowns.get(&worker.name).copied().unwrap_or(1.0);
@@ -50,8 +50,8 @@
     /// Returns the next step against the run that hurts most: half its share,
     /// or its eviction when that did not help for a while.
     fn slow_down(&self, now: Millis, worker: &Worker) -> Option<(Name, RunId, Option<u32>)> {
-        let busy = worker.crowded();
-        let services: Vec<&Name> = worker.active.values().map(|a| &a.service).collect();
+        let busy = worker.is_busy();
+        let services: Vec<&Name> = worker.requests.values().map(|a| &a.service).collect();
         let interference = |r: &Run| -> f64 {
             let known = services
                 .iter()
@@ -59,23 +59,23 @@
             known.fold(0.0, f64::max) * f64::from(r.share)
         };
         let worst = worker
-            .running()
+            .running_runs()
             .max_by(|a, b| interference(a).total_cmp(&interference(b)))?;
         if worst.share > LOWEST {
             let share = (worst.share / 2).max(LOWEST);
             return Some((worker.name.clone(), worst.id, Some(share)));
         }
-        let waited = now >= worst.since + PERSIST && now >= worker.evicted + COOL;
+        let waited = now >= worst.phase_since + PERSIST && now >= worker.last_eviction + COOL;
         waited.then(|| (worker.name.clone(), worst.id, None))
     }
 
     /// Makes room for a waiting critical request that no worker can hold.
     pub fn make_room(&mut self, now: Millis, size: Size) -> Vec<Action> {
-        let stuck = |w: &&Worker| w.open(now) && w.slots() > 0 && !w.fits(size);
+        let stuck = |w: &&Worker| w.accepts_work(now) && w.free_slots() > 0 && !w.has_free(size);
         let fits = self
             .workers
             .values()
-            .any(|w| w.open(now) && w.slots() > 0 && w.fits(size));
+            .any(|w| w.accepts_work(now) && w.free_slots() > 0 && w.has_free(size));
         if fits {
             return Vec::new();
         }
@@ -83,17 +83,19 @@
             .workers
             .values()
             .filter(stuck)
-            .filter(|w| now >= w.throttled + STEP)
-            .max_by_key(|w| (w.cores(), w.slots()));
+            .filter(|w| now >= w.last_throttle + STEP)
+            .max_by_key(|w| (w.free_cores(), w.free_slots()));
         let Some(worker) = chosen else {
             return Vec::new();
         };
-        let largest = worker.running().max_by_key(|r| (r.held().cores, r.id));
+        let largest = worker
+            .running_runs()
+            .max_by_key(|r| (r.allocated().cores, r.id));
         let Some(run) = largest else {
             return Vec::new();
         };
         let (name, id, share) = (worker.name.clone(), run.id, run.share);
-        let action = match share > LOWEST && self.policy.throttle {
+        let action = match share > LOWEST && self.policy.throttling {
             true => self.throttle(now, &name, id, (share / 2).max(LOWEST)),
             false => self.evict(now, &name, id),
         };
@@ -103,16 +105,16 @@
     fn throttle(&mut self, now: Millis, name: &Name, id: RunId, share: u32) -> Option<Action> {
         let worker = self.workers.get_mut(name)?;
         let rpc = worker.rpc;
-        let run = worker.runs.get(&id).filter(|r| !r.throttling)?;
-        let (old, held) = (run.share, run.held().cores);
-        let wanted = run.size.at(share).cores;
-        if share > old && wanted > worker.cores() + held {
+        let run = worker.runs.get(&id).filter(|r| !r.throttle_pending)?;
+        let (old, held) = (run.share, run.allocated().cores);
+        let wanted = run.size.with_core_share(share).cores;
+        if share > old && wanted > worker.free_cores() + held {
             return None;
         }
-        worker.throttled = now;
+        worker.last_throttle = now;
         // More is counted at once, less only when the worker has confirmed it.
-        worker.change(id, |r| {
-            r.throttling = true;
+        worker.update_run(id, |r| {
+            r.throttle_pending = true;
             r.share = r.share.max(share);
         });
         Some(Action::Throttle {
@@ -136,14 +138,14 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return Vec::new();
         };
-        worker.change(id, |r| {
-            r.throttling = false;
+        worker.update_run(id, |r| {
+            r.throttle_pending = false;
             match called {
                 CallOutcome::Done(_) => {
                     r.share = share;
-                    r.since = now;
+                    r.phase_since = now;
                 }
-                CallOutcome::Lost => r.floor = r.floor.max(share),
+                CallOutcome::Lost => r.share_floor = r.share_floor.max(share),
                 CallOutcome::Refused => {}
             }
         });
@@ -153,8 +155,8 @@
     pub(super) fn evict(&mut self, now: Millis, name: &Name, id: RunId) -> Option<Action> {
         let action = self.stop(name, id, true)?;
         let worker = self.workers.get_mut(name)?;
-        worker.evicted = now;
-        worker.throttled = now;
+        worker.last_eviction = now;
+        worker.last_throttle = now;
         self.evictions += 1;
         Some(action)
     }
@@ -162,7 +164,7 @@
     pub(super) fn stop(&mut self, name: &Name, id: RunId, checkpoint: bool) -> Option<Action> {
         let worker = self.workers.get_mut(name)?;
         let rpc = worker.rpc;
-        worker.change(id, |r| r.phase = RunPhase::Stopping)?;
+        worker.update_run(id, |r| r.phase = RunPhase::Stopping)?;
         Some(Action::Stop {
             worker: name.clone(),
             rpc,
@@ -174,7 +176,7 @@
 
 /// Returns the next step towards a run's full share on a calm worker.
 fn speed_up(worker: &Worker) -> Option<(Name, RunId, Option<u32>)> {
-    let run = worker.running().find(|r| r.share < WHOLE)?;
+    let run = worker.running_runs().find(|r| r.share < WHOLE)?;
     let share = (run.share * 2).min(WHOLE);
     Some((worker.name.clone(), run.id, Some(share)))
 }
--- a/src/cell/writes.rs
+++ b/src/cell/writes.rs
@@ -15,15 +15,15 @@
             return actions;
         }
         for (key, shard) in &mut self.shards {
-            if !shard.dirty || shard.writing.is_some() || shard.reread {
+            if !shard.dirty || shard.pending_write.is_some() || shard.needs_reread {
                 continue;
             }
             shard.dirty = false;
             shard.row.epoch = self.epoch;
             shard.row.seq += 1;
-            let recorded = shard.live.iter().enumerate();
+            let recorded = shard.states.iter().enumerate();
             let recorded = recorded.filter(|(_, l)| **l == TaskState::Recording);
-            shard.writing = Some(PendingWrite {
+            shard.pending_write = Some(PendingWrite {
                 seq: shard.row.seq,
                 recorded: recorded.map(|(i, _)| i).collect(),
                 acks: std::mem::take(&mut shard.acks),
@@ -48,7 +48,7 @@
                 self.recorded(key);
             }
             Written::NotSent => self.unwritten(key),
-            Written::Conflict | Written::Unknown => shard.reread = true,
+            Written::Conflict | Written::Unknown => shard.needs_reread = true,
         }
     }
 
@@ -60,8 +60,8 @@
         let Some(versioned) = row else {
             return;
         };
-        shard.reread = false;
-        let seq = shard.writing.as_ref().map_or(0, |w| w.seq);
+        shard.needs_reread = false;
+        let seq = shard.pending_write.as_ref().map_or(0, |w| w.seq);
         let ours = versioned.row.epoch == self.epoch && versioned.row.seq == seq;
         shard.version = versioned.version;
         match ours {
@@ -74,18 +74,18 @@
         let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
-        let Some(writing) = shard.writing.take() else {
+        let Some(writing) = shard.pending_write.take() else {
             return;
         };
         for index in writing.recorded {
-            if shard.live[index] == TaskState::Recording {
-                shard.live[index] = TaskState::Waiting;
+            if shard.states[index] == TaskState::Recording {
+                shard.states[index] = TaskState::Waiting;
             }
         }
         if shard.cancelled {
             end_waiting(shard);
         }
-        let ended = shard.ended();
+        let ended = shard.is_ended();
         for (name, id) in writing.acks {
             if let Some(worker) = self.workers.get_mut(&name) {
                 worker.acks.push(id);
@@ -100,7 +100,7 @@
         let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
-        if let Some(writing) = shard.writing.take() {
+        if let Some(writing) = shard.pending_write.take() {
             shard.acks.extend(writing.acks);
             shard.dirty = true;
         }
--- a/src/engine/journal.rs
+++ b/src/engine/journal.rs
@@ -68,7 +68,7 @@
         }
         let mut shards = Vec::new();
         for (name, cell) in &self.cells {
-            let doubted = cell.shards.iter().filter(|(_, l)| l.reread());
+            let doubted = cell.shards.iter().filter(|(_, l)| l.needs_reread());
             shards.extend(doubted.map(|(key, _)| (name.clone(), cell.epoch, key.clone())));
         }
         if !shards.is_empty() {
--- a/src/engine/views.rs
+++ b/src/engine/views.rs
@@ -193,8 +193,8 @@
         cell: cell.name.clone(),
         state: state(w, now),
         shape: w.shape,
-        busy: w.busy(),
-        free: w.cores(),
+        busy: w.used_slots(),
+        free: w.free_cores(),
         runs: w.runs.len(),
     };
     cell.workers.values().map(view).collect()
@@ -202,10 +202,10 @@
 
 fn state(worker: &Worker, now: Millis) -> &'static str {
     match () {
-        () if !worker.known => "silent",
-        () if !worker.open(now) => "leaving",
-        () if worker.quarantine > now => "quarantine",
-        () if worker.ejected > now => "ejected",
+        () if !worker.responsive => "silent",
+        () if !worker.accepts_work(now) => "leaving",
+        () if worker.quarantined_until > now => "quarantine",
+        () if worker.ejected_until > now => "ejected",
         () => "open",
     }
 }
@@ -216,7 +216,7 @@
         if job.is_some_and(|j| *j != shard.row.spec.id) {
             continue;
         }
-        for (row, live) in shard.row.tasks.iter().zip(&shard.live) {
+        for (row, live) in shard.row.tasks.iter().zip(&shard.states) {
             let run = cell.run(live);
             views.push(TaskView {
                 job: shard.row.spec.id.clone(),
--- a/src/entry/workers.rs
+++ b/src/entry/workers.rs
@@ -147,7 +147,7 @@
         kind: run.kind.to_string(),
         work,
         done: run.saved,
-        round: run.round,
+        round: run.poll_round,
         not_after: place.not_after(),
         share: run.share,
     };
--- a/src/job/plan.rs
+++ b/src/job/plan.rs
@@ -70,7 +70,11 @@
     }
     let mut fitting: Vec<&Site> = sites
         .iter()
-        .filter(|s| s.shapes.iter().any(|shape| shape.holds(spec.size)))
+        .filter(|s| {
+            s.shapes
+                .iter()
+                .any(|shape| shape.has_capacity_for(spec.size))
+        })
         .collect();
     if fitting.is_empty() {
         return Err(Refusal::Never(largest(spec.size, sites)));
--- a/src/options/file.rs
+++ b/src/options/file.rs
@@ -89,13 +89,18 @@
 fn policy(reader: &mut Reader) -> Policy {
     let default = Policy::default();
     Policy {
-        tail: reader.fraction("policy.tail-weight", default.tail),
-        queue: reader.count("policy.queue", default.queue as u64, 0..=100_000) as usize,
+        tail_weight: reader.fraction("policy.tail-weight", default.tail_weight),
+        queue_limit: reader.count("policy.queue", default.queue_limit as u64, 0..=100_000) as usize,
         retries: reader.count("policy.retries", u64::from(default.retries), 0..=16) as u32,
-        deadline: reader.duration("policy.deadline", default.deadline, 1..=HOUR),
+        default_deadline: reader.duration("policy.deadline", default.default_deadline, 1..=HOUR),
         reserve: reader.fraction("policy.reserve", default.reserve),
-        failures: reader.count("policy.failures", u64::from(default.failures), 1..=100) as u32,
-        quarantine: reader.duration("policy.quarantine", default.quarantine, 100..=HOUR),
+        failure_limit: reader.count("policy.failures", u64::from(default.failure_limit), 1..=100)
+            as u32,
+        first_quarantine: reader.duration(
+            "policy.quarantine",
+            default.first_quarantine,
+            100..=HOUR,
+        ),
         ..default
     }
 }
--- a/src/request.rs
+++ b/src/request.rs
@@ -131,7 +131,7 @@
     }
     let left = reader
         .number(constants::DEADLINE)
-        .unwrap_or(policy.deadline);
+        .unwrap_or(policy.default_deadline);
     if left > DEADLINE_LIMIT {
         reader.find(
             constants::DEADLINE,
--- a/src/request/tests.rs
+++ b/src/request/tests.rs
@@ -15,7 +15,7 @@
     let meta = parse(&map, &Policy::default()).expect("no findings");
     assert_eq!(meta.class, Class::Critical);
     assert!(meta.repeatable);
-    assert_eq!(meta.left, Policy::default().deadline);
+    assert_eq!(meta.left, Policy::default().default_deadline);
 }
 
 #[test]
--- a/src/standin/worker/state.rs
+++ b/src/standin/worker/state.rs
@@ -42,7 +42,7 @@
 impl Task {
     /// Returns the size that the run holds, its throttle taken into account.
     fn held(&self) -> Size {
-        self.size.at(self.share)
+        self.size.with_core_share(self.share)
     }
 }
 
@@ -280,7 +280,7 @@
             memory: used.memory + size.memory,
             accelerators: used.accelerators + size.accelerators,
         };
-        if !self.shape.holds(total) {
+        if !self.shape.has_capacity_for(total) {
             self.counts.overloads += 1;
             return Err(Refusal::Full);
         }
--- a/tools/trial/src/world.rs
+++ b/tools/trial/src/world.rs
@@ -218,8 +218,8 @@
             stop: 8_000,
         },
         policy: Policy {
-            queue: 16,
-            quarantine: 1_000,
+            queue_limit: 16,
+            first_quarantine: 1_000,
             ..Policy::default()
         },
         dedup_timings: DedupTimings {
--- a/tools/trial/src/world/ends.rs
+++ b/tools/trial/src/world/ends.rs
@@ -411,7 +411,7 @@
         };
         let start = Start {
             epoch,
-            round: run.round,
+            round: run.poll_round,
             lease: TASK,
             not_after,
             task,
