--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -218,8 +218,8 @@
 async fn load_state(shared: &Shared, epoch: u64) -> Option<StoredState> {
     let specs = read_table(shared, epoch, SPEC_TABLE).await?;
     let rows = read_table(shared, epoch, JOB_TABLE).await?;
-    let beliefs = read_table(shared, epoch, ESTIMATES_TABLE).await?;
-    let interference = beliefs.iter().find(|r| &*r.key == INTERFERENCE_KEY);
+    let estimates = read_table(shared, epoch, ESTIMATES_TABLE).await?;
+    let interference = estimates.iter().find(|r| &*r.key == INTERFERENCE_KEY);
     Some(StoredState {
         interference: interference.and_then(decode).unwrap_or_default(),
         ..decode_jobs(&specs, &rows)
