--- a/src/dedup.rs
+++ b/src/dedup.rs
@@ -1,10 +1,9 @@
-//! Requests that must run at most once.
+//! Deduplicates requests that must run at most once.
 //!
-//! Each id belongs to one of a fixed number of dedup shards, owned like cells.
-//! The owner remembers the ids it has let through for a retention time after
-//! their first issue. It can't know those of an earlier owner, so a resend of
-//! what was first issued before its time began is answered as unknown. This
-//! costs no write per request.
+//! Each request id belongs to one of a fixed number of dedup shards, which are owned like cells.
+//! The owner keeps the ids that it admitted in memory for a retention time after their first
+//! issue, so that a request costs no write to the table. It does not know the ids that an earlier
+//! owner admitted; a request first issued before its own term is therefore answered as unknown.
 
 #[cfg(test)]
 mod tests;
@@ -14,12 +13,12 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Times of a guard, in milliseconds.
+/// Durations that bound deduplication, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct DedupTimings {
-    /// How long after its first issue an id is remembered.
+    /// Time for which an id is remembered after its first issue.
     pub retention: Millis,
-    /// Bound of the difference between the clocks of callers and boxes.
+    /// Largest difference between the clocks of callers and boxes.
     pub skew: Millis,
 }
 
@@ -32,23 +31,24 @@
     }
 }
 
-/// What the guard says of a request.
+/// Decision of a dedup shard about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It was not let through before.
-    Fresh,
-    /// It was let through and may be running.
+    /// The id is new: the request may run.
+    Admitted,
+    /// The id was admitted before, and its request may still be running.
     Running,
-    /// It was let through and has run.
+    /// The id was admitted before, and its request has run or may have run.
     Ran,
-    /// It may have been let through by an earlier owner.
-    Predates,
-    /// It was first issued so long ago that it may be forgotten.
+    /// An earlier owner may have admitted the id.
+    PredatesOwner,
+    /// The request was first issued so long ago that its id may have been forgotten.
     TooOld,
-    /// It claims to be issued in the future.
-    Future,
+    /// The time of issue is later than the clock skew allows.
+    IssuedInFuture,
 }
 
+/// State of a request whose id is remembered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Running,
@@ -60,27 +60,27 @@
 pub struct DedupShard {
     /// Epoch of the ownership.
     pub epoch: u64,
-    memory: DedupTimings,
-    /// Wall clock at the start of the ownership; 0 without an earlier owner.
-    since: Millis,
+    timings: DedupTimings,
+    /// Wall clock in ms at the start of the ownership; 0 if there was no earlier owner.
+    owned_since: Millis,
     ids: HashMap<Name, State>,
-    /// Ids by the time at which they may be forgotten.
-    forget: BTreeMap<(Millis, Name), ()>,
+    /// Ids in the order of the wall clock, in ms, at which they expire.
+    expirations: BTreeMap<(Millis, Name), ()>,
 }
 
 impl DedupShard {
-    /// Returns the guard of a shard that was won at `wall`.
-    pub fn new(epoch: u64, wall: Millis, memory: DedupTimings) -> Self {
+    /// Returns an empty shard that this box owns since `wall` under `epoch`.
+    pub fn new(epoch: u64, wall: Millis, timings: DedupTimings) -> Self {
         Self {
             epoch,
-            memory,
-            since: if epoch == 1 { 0 } else { wall },
+            timings,
+            owned_since: if epoch == 1 { 0 } else { wall },
             ids: HashMap::new(),
-            forget: BTreeMap::new(),
+            expirations: BTreeMap::new(),
         }
     }
 
-    /// Returns the number of ids remembered.
+    /// Returns the number of remembered ids.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
@@ -90,49 +90,55 @@
         self.ids.is_empty()
     }
 
-    /// Decides on a request first issued at `issued`, and remembers a fresh one.
+    /// Decides whether a request first issued at `issued` may run, and remembers its id if so.
     ///
-    /// `alone` is the time until which the caller sends it only once, as it
-    /// promised, or 0: until then no earlier owner can have let it through.
-    pub fn admit(&mut self, wall: Millis, id: &Name, issued: Millis, alone: Millis) -> Admission {
+    /// `sole_until` is the time until which the caller has promised not to send the request a
+    /// second time, or 0. Before that time no earlier owner can have admitted it.
+    pub fn admit(
+        &mut self,
+        wall: Millis,
+        id: &Name,
+        issued: Millis,
+        sole_until: Millis,
+    ) -> Admission {
         if let Some(state) = self.ids.get(id) {
             return match state {
                 State::Running => Admission::Running,
                 State::Ran => Admission::Ran,
             };
         }
-        let DedupTimings { retention, skew } = self.memory;
+        let DedupTimings { retention, skew } = self.timings;
         if issued > wall + skew {
-            return Admission::Future;
+            return Admission::IssuedInFuture;
         }
         if issued + retention <= wall {
             return Admission::TooOld;
         }
-        let first = wall + skew <= alone;
-        if !first && self.since > 0 && issued <= self.since + skew {
-            return Admission::Predates;
+        let first_send = wall + skew <= sole_until;
+        if !first_send && self.owned_since > 0 && issued <= self.owned_since + skew {
+            return Admission::PredatesOwner;
         }
         self.ids.insert(id.clone(), State::Running);
         let end = issued + retention + skew;
-        self.forget.insert((end, id.clone()), ());
-        Admission::Fresh
+        self.expirations.insert((end, id.clone()), ());
+        Admission::Admitted
     }
 
-    /// Takes in that a request was let through and has run, or may have.
-    pub fn ran(&mut self, id: &Name) {
+    /// Records that an admitted request has run or may have run.
+    pub fn mark_ran(&mut self, id: &Name) {
         if let Some(state) = self.ids.get_mut(id) {
             *state = State::Ran;
         }
     }
 
-    /// Takes in that a request was let through and provably not run.
-    pub fn not_run(&mut self, id: &Name) {
+    /// Forgets an admitted request that provably did not run, so that it may be sent again.
+    pub fn mark_not_run(&mut self, id: &Name) {
         self.ids.remove(id);
     }
 
-    /// Forgets ids whose resends are too old by now.
-    pub fn tick(&mut self, wall: Millis) {
-        while let Some(entry) = self.forget.first_entry() {
+    /// Forgets ids whose requests are refused as too old at `wall`.
+    pub fn forget_expired(&mut self, wall: Millis) {
+        while let Some(entry) = self.expirations.first_entry() {
             let (end, id) = entry.key().clone();
             if end > wall {
                 return;
--- a/src/dedup/tests.rs
+++ b/src/dedup/tests.rs
@@ -1,48 +1,58 @@
-//! Tests of what a guard lets through.
+//! Tests of which requests a dedup shard admits.
 
 use super::*;
 
-const MEMORY: DedupTimings = DedupTimings {
+const TIMINGS: DedupTimings = DedupTimings {
     retention: 1_000,
     skew: 10,
 };
 
 #[test]
-fn an_id_passes_once() {
-    let mut guard = DedupShard::new(1, 5_000, MEMORY);
+fn an_id_is_admitted_once() {
+    let mut shard = DedupShard::new(1, 5_000, TIMINGS);
     let id: Name = "a".into();
-    assert_eq!(guard.admit(5_000, &id, 4_990, 0), Admission::Fresh);
-    assert_eq!(guard.admit(5_001, &id, 4_990, 0), Admission::Running);
-    guard.ran(&id);
-    assert_eq!(guard.admit(5_900, &id, 4_990, 0), Admission::Ran);
-    guard.tick(6_100);
-    assert!(guard.is_empty());
-    assert_eq!(guard.admit(6_100, &id, 4_990, 0), Admission::TooOld);
+    assert_eq!(shard.admit(5_000, &id, 4_990, 0), Admission::Admitted);
+    assert_eq!(shard.admit(5_001, &id, 4_990, 0), Admission::Running);
+    shard.mark_ran(&id);
+    assert_eq!(shard.admit(5_900, &id, 4_990, 0), Admission::Ran);
+    shard.forget_expired(6_100);
+    assert!(shard.is_empty());
+    assert_eq!(shard.admit(6_100, &id, 4_990, 0), Admission::TooOld);
 }
 
 #[test]
-fn what_was_provably_not_run_may_come_again() {
-    let mut guard = DedupShard::new(1, 5_000, MEMORY);
+fn a_request_that_did_not_run_is_admitted_again() {
+    let mut shard = DedupShard::new(1, 5_000, TIMINGS);
     let id: Name = "a".into();
-    assert_eq!(guard.admit(5_000, &id, 4_990, 0), Admission::Fresh);
-    guard.not_run(&id);
-    assert_eq!(guard.admit(5_001, &id, 4_990, 0), Admission::Fresh);
+    assert_eq!(shard.admit(5_000, &id, 4_990, 0), Admission::Admitted);
+    shard.mark_not_run(&id);
+    assert_eq!(shard.admit(5_001, &id, 4_990, 0), Admission::Admitted);
 }
 
 #[test]
-fn a_new_owner_does_not_know_what_came_before() {
-    let mut guard = DedupShard::new(2, 5_000, MEMORY);
+fn a_request_issued_before_the_ownership_predates_the_owner() {
+    let mut shard = DedupShard::new(2, 5_000, TIMINGS);
     assert_eq!(
-        guard.admit(5_005, &"a".into(), 5_010, 0),
-        Admission::Predates
+        shard.admit(5_005, &"a".into(), 5_010, 0),
+        Admission::PredatesOwner
+    );
+    let sole_send = shard.admit(5_005, &"a".into(), 5_010, 5_015);
+    assert_eq!(
+        sole_send,
+        Admission::Admitted,
+        "the caller promised to send it only once"
+    );
+    assert_eq!(
+        shard.admit(5_020, &"b".into(), 5_011, 0),
+        Admission::Admitted
     );
-    let first = guard.admit(5_005, &"a".into(), 5_010, 5_015);
-    assert_eq!(first, Admission::Fresh, "nobody let it through before");
-    assert_eq!(guard.admit(5_020, &"b".into(), 5_011, 0), Admission::Fresh);
 }
 
 #[test]
 fn a_request_from_the_future_is_refused() {
-    let mut guard = DedupShard::new(1, 5_000, MEMORY);
-    assert_eq!(guard.admit(5_000, &"a".into(), 5_011, 0), Admission::Future);
+    let mut shard = DedupShard::new(1, 5_000, TIMINGS);
+    assert_eq!(
+        shard.admit(5_000, &"a".into(), 5_011, 0),
+        Admission::IssuedInFuture
+    );
 }
--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -36,7 +36,7 @@
             }
         }
         for shard in self.dedup_shards.values_mut() {
-            shard.tick(now.wall);
+            shard.forget_expired(now.wall);
         }
         self.release_dedup_shards(now, out);
     }
--- a/src/engine/flights.rs
+++ b/src/engine/flights.rs
@@ -179,7 +179,7 @@
     }
 
     fn admitted(&mut self, now: Now, ticket: u64, admission: Admission, out: &mut Vec<Action>) {
-        if admission == Admission::Fresh {
+        if admission == Admission::Admitted {
             return self.route(now, ticket, out);
         }
         // The id was not let through by this request, so it is not to be forgotten with it.
@@ -187,12 +187,12 @@
             flight.dedup_shard = None;
         }
         let reason = match admission {
-            Admission::Fresh => return,
+            Admission::Admitted => return,
             Admission::Running => "already-running",
             Admission::Ran => "already-run",
-            Admission::Predates => "guard-changed",
+            Admission::PredatesOwner => "guard-changed",
             Admission::TooOld => "too-old",
-            Admission::Future => {
+            Admission::IssuedInFuture => {
                 return self.not_run(now, ticket, Reason::Invalid, COME_BACK, out);
             }
         };
--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -184,8 +184,8 @@
                 .filter(|s| s.epoch == *epoch)
         {
             match verdict {
-                Verdict::NotRun { .. } => dedup.not_run(&flight.meta.id),
-                _ => dedup.ran(&flight.meta.id),
+                Verdict::NotRun { .. } => dedup.mark_not_run(&flight.meta.id),
+                _ => dedup.mark_ran(&flight.meta.id),
             }
         }
         out.push(Action::Finish {
