--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -229,7 +229,7 @@
         ReportedRun { key, run }
     }
 
-    /// Finds a task by its name; returns none when no open job has such a task. Workers may
+    /// Finds a task by its name; returns none when there is no such job or task. Workers may
     /// report any name, and an unchecked lookup would crash this owner and all its successors.
     pub(super) fn find_task(&self, name: &str) -> Option<TaskKey> {
         let (id, round, step, index) = parse_task_name(name)?;
--- a/src/sched/scoring.rs
+++ b/src/sched/scoring.rs
@@ -178,9 +178,9 @@
             load(worker.allocated.cpu + step.resources.cpu),
         ),
         (_, true) => best_effort_score(load(
-            worker.busy_cpu() + worker.wanted_cpu + step.resources.cpu,
+            worker.busy_cpu() + worker.unreserved_cpu + step.resources.cpu,
         )),
-        _ => load(worker.allocated.cpu + worker.wanted_cpu + step.resources.cpu),
+        _ => load(worker.allocated.cpu + worker.unreserved_cpu + step.resources.cpu),
     };
     if (step.latency_target > 0 || step.best_effort)
         && let Some(interference) = request.interference
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -16,10 +16,10 @@
 /// Milliseconds for which a worker gets no new tasks after it refused a start as full, unfit or
 /// unhealthy.
 const QUARANTINE: Millis = 700;
-/// Milliseconds that a task waits after a start that its worker could not carry out, before the
-/// doubling: the first such start doubles it once, and each further one once more.
+/// Half of the milliseconds that a task waits after its first start that was refused as unfit.
+/// Each further refusal doubles the wait.
 const DEFERRAL_BASE: Millis = 500;
-/// Number of doublings after which the wait stays the same, at 16 s.
+/// Highest number of doublings, counted from `DEFERRAL_BASE`: the wait grows to 16 s.
 const MAX_DOUBLINGS: u32 = 5;
 /// Milliseconds after which a stop without an effect is sent again.
 pub(super) const STOP_RETRY: Millis = 1_000;
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -109,8 +109,8 @@
     pub placements: BTreeMap<TaskKey, Placement>,
     /// Resources reserved for these tasks.
     pub allocated: Resources,
-    /// Thousandths of cores that best-effort tasks could use beyond what they reserve.
-    pub wanted_cpu: u64,
+    /// Thousandths of cores that the tasks can use without a reservation.
+    pub unreserved_cpu: u64,
     /// Its serving and best-effort tasks, reduced to what they mean for each other.
     pub colocation: Colocation,
     /// Number of lasting tasks placed on the worker.
@@ -163,7 +163,7 @@
             leaves_at: None,
             placements: BTreeMap::new(),
             allocated: Resources::default(),
-            wanted_cpu: 0,
+            unreserved_cpu: 0,
             colocation: Colocation::default(),
             lasting_tasks: 0,
             over_target_since: None,
@@ -224,7 +224,7 @@
     /// Places a task on the worker.
     pub fn insert(&mut self, key: TaskKey, placement: Placement) {
         self.allocated = self.allocated.plus(placement.resources);
-        self.wanted_cpu += placement.unreserved_cpu;
+        self.unreserved_cpu += placement.unreserved_cpu;
         self.lasting_tasks += u32::from(placement.lasting);
         self.colocation.place(key, &placement);
         if placement.suspect {
@@ -246,7 +246,7 @@
                 .record(&placement.image, share, placement.placed_at, now);
         }
         self.allocated = self.allocated.minus(placement.resources);
-        self.wanted_cpu -= placement.unreserved_cpu;
+        self.unreserved_cpu -= placement.unreserved_cpu;
         self.lasting_tasks -= u32::from(placement.lasting);
         if placement.serving {
             self.update_over_since();
