--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -13,7 +13,7 @@
     RunState, Sample, Selection, SendOutcome, SentPoll, Shape, Size, Timings,
 };
 use willowpoint::job::{JobShardRow, Spec, TaskRow, Versioned};
-use willowpoint::lease::Written;
+use willowpoint::lease::WriteOutcome;
 use willowpoint::standin::worker::state::{Active, Start, Sync, Task, Worker};
 use willowpoint::utils::Name;
 use willowpoint::utils::random::Random;
@@ -201,7 +201,7 @@
                 self.carry_out(actions);
                 for action in self.cell.flush() {
                     if let Action::Write { key, .. } = action {
-                        self.cell.written(&key, Written::Committed);
+                        self.cell.written(&key, WriteOutcome::Committed);
                     }
                 }
             }
--- a/src/cell/tests.rs
+++ b/src/cell/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::job::{JobShardRow, Spec, TaskRow, Versioned};
-use crate::lease::Written;
+use crate::lease::WriteOutcome;
 
 const SHAPE: Shape = Shape {
     slots: 2,
@@ -223,7 +223,7 @@
         starts(&cell.tick(40, 40_000)).is_empty(),
         "not committed yet"
     );
-    cell.written(key, Written::Committed);
+    cell.written(key, WriteOutcome::Committed);
     let again = starts(&cell.tick(50, 50_000));
     assert_eq!(again[0].1.saved, 700, "it resumes from its checkpoint");
     assert_ne!(again[0].1.id, run.id);
@@ -242,7 +242,7 @@
         }
         for action in cell.flush() {
             if let Action::Write { key, .. } = action {
-                cell.written(&key, Written::Committed);
+                cell.written(&key, WriteOutcome::Committed);
             }
         }
         for worker in 0..2 {
@@ -271,7 +271,7 @@
     let [Action::Write { key, row, .. }] = &writes[..] else {
         panic!("{writes:?}");
     };
-    cell.written(key, Written::Unknown);
+    cell.written(key, WriteOutcome::Unknown);
     assert!(starts(&cell.tick(40, 40_000)).is_empty());
     let found = Versioned {
         key: key.clone(),
--- a/src/cell/writes.rs
+++ b/src/cell/writes.rs
@@ -4,7 +4,7 @@
 use super::shard::{PendingWrite, TaskState, end_waiting};
 use super::state::Cell;
 use crate::job::Versioned;
-use crate::lease::Written;
+use crate::lease::WriteOutcome;
 use crate::utils::Name;
 
 impl Cell {
@@ -38,17 +38,17 @@
     }
 
     /// Takes in how the write of a job shard's row ended.
-    pub fn written(&mut self, key: &Name, written: Written) {
+    pub fn written(&mut self, key: &Name, written: WriteOutcome) {
         let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
         match written {
-            Written::Committed => {
+            WriteOutcome::Committed => {
                 shard.version += 1;
                 self.recorded(key);
             }
-            Written::NotSent => self.unwritten(key),
-            Written::Conflict | Written::Unknown => shard.needs_reread = true,
+            WriteOutcome::NotSent => self.unwritten(key),
+            WriteOutcome::Conflict | WriteOutcome::Unknown => shard.needs_reread = true,
         }
     }
 
--- a/src/claim/state.rs
+++ b/src/claim/state.rs
@@ -4,7 +4,7 @@
 
 use super::plan::{Host, plan};
 use super::{Action, CellRow, Versioned};
-use crate::lease::Written;
+use crate::lease::WriteOutcome;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -373,10 +373,10 @@
         cell: &Name,
         expect: u64,
         row: CellRow,
-        written: Written,
+        written: WriteOutcome,
     ) -> Option<Action> {
         match written {
-            Written::Committed => {
+            WriteOutcome::Committed => {
                 let version = expect + 1;
                 let known = self.views.get(cell).map_or(0, |v| v.version);
                 if known > version {
@@ -388,14 +388,14 @@
                     row,
                 })
             }
-            Written::Conflict | Written::NotSent => {
+            WriteOutcome::Conflict | WriteOutcome::NotSent => {
                 self.pending.remove(cell);
                 self.wanted = true;
                 None
             }
             // The next read tells; until then the claim stays pending, and a
             // second try expects the same version, so only one can win.
-            Written::Unknown => {
+            WriteOutcome::Unknown => {
                 self.pending.remove(cell);
                 self.wanted = true;
                 None
@@ -409,10 +409,10 @@
         cell: &Name,
         expect: u64,
         row: CellRow,
-        written: Written,
+        written: WriteOutcome,
     ) -> Option<Action> {
         match written {
-            Written::Committed => {
+            WriteOutcome::Committed => {
                 let versioned = Versioned {
                     cell: cell.clone(),
                     version: expect + 1,
@@ -422,10 +422,10 @@
                 self.saw(versioned)
             }
             // The next tick tries again with what the next read shows.
-            Written::Conflict | Written::NotSent | Written::Unknown => {
+            WriteOutcome::Conflict | WriteOutcome::NotSent | WriteOutcome::Unknown => {
                 if let Some(releasing) = self.releasing.get_mut(cell) {
                     releasing.writing = false;
-                    releasing.alone |= written == Written::Conflict;
+                    releasing.alone |= written == WriteOutcome::Conflict;
                 }
                 self.wanted = true;
                 None
--- a/src/claim/tests.rs
+++ b/src/claim/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the spread of cells.
 
 use super::*;
-use crate::lease::Written;
+use crate::lease::WriteOutcome;
 
 fn host(id: &str, hall: &str) -> Host {
     Host {
@@ -75,7 +75,7 @@
     let (expect, row) = release(claims.release(&cell));
     assert_eq!((expect, row.epoch), (1, 2));
     // It took effect, the other box gave the cell back, and only that is seen.
-    claims.released(&cell, expect, row, Written::Unknown);
+    claims.released(&cell, expect, row, WriteOutcome::Unknown);
     claims.read(2, Some(vec![versioned(3, ME, 3)]));
     let (expect, row) = release(claims.tick(3_000, 1_000, |_| false));
     assert_eq!((expect, row.epoch), (3, 4));
--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::{ChangeRow, ENTRY, Edit, EntryRow, HEAD, Head, ID, KEPT, change_key};
-use crate::lease::Written;
+use crate::lease::WriteOutcome;
 use crate::table::{Call, Expect, Op, Outcome, Row, decode};
 use crate::utils::Name;
 
@@ -182,12 +182,12 @@
         Step::Call(Call::Commit(ops))
     }
 
-    fn written(&mut self, written: Written) -> Step {
+    fn written(&mut self, written: WriteOutcome) -> Step {
         match written {
-            Written::Committed => Step::Accepted(self.row.version),
-            Written::Conflict => self.read(),
-            Written::NotSent => self.unreached(),
-            Written::Unknown => {
+            WriteOutcome::Committed => Step::Accepted(self.row.version),
+            WriteOutcome::Conflict => self.read(),
+            WriteOutcome::NotSent => self.unreached(),
+            WriteOutcome::Unknown => {
                 self.doubt = true;
                 self.read()
             }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of changes by operators that race and lose answers.
 
 use super::*;
-use crate::lease::Written;
+use crate::lease::WriteOutcome;
 use crate::standin::table::Table;
 use crate::table::{Call, Outcome};
 
@@ -69,7 +69,7 @@
         panic!()
     };
     table.call(&commit);
-    let step = a.next(Outcome::Written(Written::Unknown));
+    let step = a.next(Outcome::Written(WriteOutcome::Unknown));
     assert_eq!(drive(&mut table, &mut a, step), Step::Accepted(1));
     // A resend by the client with the same id is applied once.
     let (mut again, step) = Editor::new(row("a", Some(0), VALUE));
@@ -86,7 +86,7 @@
     let Step::Call(Call::Commit(_)) = b.next(table.call(&read)) else {
         panic!()
     };
-    b.next(Outcome::Written(Written::Unknown));
+    b.next(Outcome::Written(WriteOutcome::Unknown));
     assert_eq!(b.next(Outcome::Failed), Step::Refused(Refusal::Unknown));
 }
 
--- a/src/engine/journal.rs
+++ b/src/engine/journal.rs
@@ -6,7 +6,7 @@
 use super::{Action, Now};
 use crate::cell::Action as CellAction;
 use crate::job::{self, JobRow, Versioned};
-use crate::lease::Written;
+use crate::lease::WriteOutcome;
 use crate::table::{Call, Expect, Op, Outcome, decode};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -96,7 +96,7 @@
         }
     }
 
-    pub(super) fn journaled(&mut self, shards: &[(Name, u64, Name)], written: Written) {
+    pub(super) fn journaled(&mut self, shards: &[(Name, u64, Name)], written: WriteOutcome) {
         for (name, epoch, key) in shards {
             if let Some(cell) = self.cells.get_mut(name).filter(|c| c.epoch == *epoch) {
                 cell.written(key, written);
--- a/src/engine/storing.rs
+++ b/src/engine/storing.rs
@@ -3,7 +3,7 @@
 use super::state::Engine;
 use super::{Action, Now};
 use crate::claim::{self, CellRow};
-use crate::lease::{self, Written};
+use crate::lease::{self, WriteOutcome};
 use crate::table::{Call, Outcome, Row, decode};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -49,7 +49,7 @@
         };
         let reached = !matches!(
             outcome,
-            Outcome::Failed | Outcome::Written(Written::NotSent | Written::Unknown)
+            Outcome::Failed | Outcome::Written(WriteOutcome::NotSent | WriteOutcome::Unknown)
         );
         if reached {
             self.answered = now.millis;
@@ -102,10 +102,10 @@
     }
 }
 
-pub(super) fn written(outcome: &Outcome) -> Written {
+pub(super) fn written(outcome: &Outcome) -> WriteOutcome {
     match outcome {
         Outcome::Written(written) => *written,
-        _ => Written::Unknown,
+        _ => WriteOutcome::Unknown,
     }
 }
 
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -13,7 +13,7 @@
 use crate::cell::Size;
 use crate::engine::{Event, Query, View};
 use crate::job::{self, JobRow, JobShardRow, Site, Spec};
-use crate::lease::Written;
+use crate::lease::WriteOutcome;
 use crate::proto;
 use crate::table::{Call, Expect, Op, Outcome, decode};
 use crate::utils::Name;
@@ -64,24 +64,24 @@
         ops.push(Op::put(key.clone(), Expect::Absent, shard));
     }
     match commit(&context, ops).await {
-        Written::Committed => {}
-        Written::Conflict => return submitted_before(&context, &spec).await,
-        Written::NotSent => {
+        WriteOutcome::Committed => {}
+        WriteOutcome::Conflict => return submitted_before(&context, &spec).await,
+        WriteOutcome::NotSent => {
             return Err(Status::unavailable(
                 "the table is not reached; nothing was submitted",
             ));
         }
         // The row by the job's id tells whether the commit took effect.
-        Written::Unknown => return submitted_before(&context, &spec).await,
+        WriteOutcome::Unknown => return submitted_before(&context, &spec).await,
     }
     hint_owners(&context, &row, &owners);
     Ok(reply(&row, &shards))
 }
 
-async fn commit(context: &Context, ops: Vec<Op>) -> Written {
+async fn commit(context: &Context, ops: Vec<Op>) -> WriteOutcome {
     match context.store.call(Call::Commit(ops)).await {
         Outcome::Written(written) => written,
-        _ => Written::Unknown,
+        _ => WriteOutcome::Unknown,
     }
 }
 
@@ -218,10 +218,10 @@
         row.cancelled = true;
         let op = Op::put(job::key(&id), Expect::Version(version), &row);
         match commit(&context, vec![op]).await {
-            Written::Committed => return cancelled(&context, row).await,
+            WriteOutcome::Committed => return cancelled(&context, row).await,
             // After a lost answer the next read tells.
-            Written::Conflict | Written::Unknown => {}
-            Written::NotSent => {
+            WriteOutcome::Conflict | WriteOutcome::Unknown => {}
+            WriteOutcome::NotSent => {
                 return Err(Status::unavailable(
                     "the table is not reached; nothing was cancelled",
                 ));
--- a/src/entry/store.rs
+++ b/src/entry/store.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use crate::cell::ListedWorker;
-use crate::lease::Written;
+use crate::lease::WriteOutcome;
 use crate::proto::{self, directory_client::DirectoryClient, table_client::TableClient};
 use crate::rpc::client::{CallError, Channel};
 use crate::table::{Call, Change, Expect, Op, Outcome, Row};
@@ -74,26 +74,26 @@
         }
     }
 
-    async fn commit(&self, ops: Vec<Op>) -> Written {
+    async fn commit(&self, ops: Vec<Op>) -> WriteOutcome {
         let ops = ops.into_iter().map(op).collect();
         let request = proto::CommitRequest { ops };
         let call = self.channel.call(self.patience, |c| async move {
             TableClient::new(c).commit(request).await
         });
         match call.await {
-            Ok(reply) if reply.committed => Written::Committed,
+            Ok(reply) if reply.committed => WriteOutcome::Committed,
             Ok(reply) => {
                 log::debug!(target: "store", "conflict at {}", reply.conflict);
-                Written::Conflict
+                WriteOutcome::Conflict
             }
             Err(CallError::NotSent(e)) => {
                 log::debug!(target: "store", "commit not sent: {e}");
-                Written::NotSent
+                WriteOutcome::NotSent
             }
             // Even an error status does not prove that nothing was written.
             Err(e) => {
                 log::debug!(target: "store", "commit in doubt: {e}");
-                Written::Unknown
+                WriteOutcome::Unknown
             }
         }
     }
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -77,7 +77,7 @@
 
 /// How a write ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// It took effect.
     Committed,
     /// It did not take effect, as an expectation failed.
--- a/src/lease/state.rs
+++ b/src/lease/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Action, BoxRow, LeaseTimings, SUCCESSORS, Versioned, Written};
+use super::{Action, BoxRow, LeaseTimings, SUCCESSORS, Versioned, WriteOutcome};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -331,7 +331,7 @@
     }
 
     /// Takes in how the renewal `beat` ended.
-    pub fn renewed(&mut self, now: Millis, beat: u64, written: Written) -> Vec<Action> {
+    pub fn renewed(&mut self, now: Millis, beat: u64, written: WriteOutcome) -> Vec<Action> {
         if self.waiting == Some(beat) {
             self.waiting = None;
         }
@@ -339,32 +339,32 @@
             return Vec::new();
         };
         match written {
-            Written::Committed => self.confirm(now, renewal.expect + 1, beat),
-            Written::NotSent => self.doubtful.retain(|r| r.beat != beat),
+            WriteOutcome::Committed => self.confirm(now, renewal.expect + 1, beat),
+            WriteOutcome::NotSent => self.doubtful.retain(|r| r.beat != beat),
             // The next read tells: an own earlier write won, or the row is gone.
-            Written::Conflict => {
+            WriteOutcome::Conflict => {
                 self.doubtful.retain(|r| r.beat != beat);
                 self.read = None;
             }
-            Written::Unknown => {}
+            WriteOutcome::Unknown => {}
         }
         Vec::new()
     }
 
     /// Takes in how the declaration of a dead box ended.
-    pub fn declared(&mut self, now: Millis, owner: &Name, written: Written) {
+    pub fn declared(&mut self, now: Millis, owner: &Name, written: WriteOutcome) {
         match written {
-            Written::Committed => {
+            WriteOutcome::Committed => {
                 self.declaring.remove(owner);
                 self.seen.remove(owner);
                 self.dead.insert(owner.clone(), now);
             }
-            Written::Conflict | Written::NotSent => {
+            WriteOutcome::Conflict | WriteOutcome::NotSent => {
                 self.declaring.remove(owner);
                 self.read = None;
             }
             // It may still take effect: no promise until a newer version is seen.
-            Written::Unknown => {}
+            WriteOutcome::Unknown => {}
         }
     }
 
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -40,7 +40,7 @@
         Action::Renew { row, .. } => Some(row.beat),
         _ => None,
     });
-    lease.renewed(50, beat.expect("a renewal"), Written::Committed);
+    lease.renewed(50, beat.expect("a renewal"), WriteOutcome::Committed);
     lease
 }
 
@@ -82,7 +82,7 @@
     let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[]);
     lease.tick(0, 100);
-    lease.renewed(50, 1, Written::Committed);
+    lease.renewed(50, 1, WriteOutcome::Committed);
     assert!(lease.acts(999));
     assert!(!lease.acts(1_000));
 }
@@ -140,7 +140,7 @@
     read(&mut lease, 0, &[(4, row("x.1", &["a.1"]))]);
     let due = lease.tick(2_000, 10_000);
     assert!(declares(&due, "x.1"));
-    lease.declared(2_050, &"x.1".into(), Written::Unknown);
+    lease.declared(2_050, &"x.1".into(), WriteOutcome::Unknown);
     assert!(!lease.asked(2_100, &"x.1".into()));
     read(&mut lease, 2_200, &[(4, row("x.1", &["a.1"]))]);
     assert!(
@@ -157,7 +157,7 @@
     let rows = [(4, row("x.1", &["a.1"]))];
     read(&mut lease, 0, &rows);
     assert!(declares(&lease.tick(2_000, 10_000), "x.1"));
-    lease.declared(2_100, &"x.1".into(), Written::Committed);
+    lease.declared(2_100, &"x.1".into(), WriteOutcome::Committed);
     // This read was sent before the row was deleted.
     let old = rows.iter().map(|(v, r)| versioned(*v, r.clone())).collect();
     lease.read(2_200, 2_050, Some(old));
@@ -186,7 +186,7 @@
     let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[(1, row("b.1", &[]))]);
     lease.tick(0, 100);
-    lease.renewed(50, 1, Written::Unknown);
+    lease.renewed(50, 1, WriteOutcome::Unknown);
     lease
 }
 
--- a/src/standin/table.rs
+++ b/src/standin/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-use crate::lease::Written;
+use crate::lease::WriteOutcome;
 use crate::table::{Call, Change, Expect, Op, Outcome, Row};
 use crate::utils::Name;
 
@@ -28,8 +28,8 @@
             Call::Read(keys) => Outcome::Rows(self.read(keys)),
             Call::Scan(prefix) => Outcome::Rows(self.scan(prefix, "", usize::MAX).0),
             Call::Commit(ops) => Outcome::Written(match self.commit(ops) {
-                Ok(()) => Written::Committed,
-                Err(_) => Written::Conflict,
+                Ok(()) => WriteOutcome::Committed,
+                Err(_) => WriteOutcome::Conflict,
             }),
         }
     }
--- a/src/table.rs
+++ b/src/table.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::lease::Written;
+use crate::lease::WriteOutcome;
 use crate::utils::Name;
 
 /// The condition on a row for a commit to take effect.
@@ -99,7 +99,7 @@
     /// The requested rows that exist.
     Rows(Vec<Row>),
     /// The outcome of a commit.
-    Written(Written),
+    Written(WriteOutcome),
     /// A read without an answer.
     Failed,
 }
--- a/tools/trial/src/world/boxes.rs
+++ b/tools/trial/src/world/boxes.rs
@@ -5,7 +5,7 @@
 use willowpoint::cell::{Action as CellAction, CallOutcome, PollOutcome, Reason, SendOutcome};
 use willowpoint::engine::{Action, Event, Handed, Reported, Verdict};
 use willowpoint::invariant::Rule;
-use willowpoint::lease::Written;
+use willowpoint::lease::WriteOutcome;
 use willowpoint::table::{Call as TableCall, Outcome};
 use willowpoint::utils::Name;
 
@@ -172,8 +172,8 @@
         let event = |outcome| Event::Stored { op, sent, outcome };
         let (lost, unsent) = match call {
             TableCall::Commit(_) => (
-                event(Outcome::Written(Written::Unknown)),
-                event(Outcome::Written(Written::NotSent)),
+                event(Outcome::Written(WriteOutcome::Unknown)),
+                event(Outcome::Written(WriteOutcome::NotSent)),
             ),
             _ => (event(Outcome::Failed), event(Outcome::Failed)),
         };
--- a/tools/trial/src/world/ends.rs
+++ b/tools/trial/src/world/ends.rs
@@ -6,7 +6,7 @@
 use willowpoint::engine::{Event, Greeting, Handed, Reported};
 use willowpoint::invariant::Rule;
 use willowpoint::job::{JobShardRow, Phase};
-use willowpoint::lease::Written;
+use willowpoint::lease::WriteOutcome;
 use willowpoint::request::Meta;
 use willowpoint::standin::worker::state::{Active, Start, Sync, Task};
 use willowpoint::table::{Call as TableCall, Outcome, decode};
@@ -231,7 +231,7 @@
         let is_commit = matches!(table_call, TableCall::Commit(_));
         if self.trouble.store_down > self.now {
             let outcome = match is_commit {
-                true => Outcome::Written(Written::Unknown),
+                true => Outcome::Written(WriteOutcome::Unknown),
                 false => Outcome::Failed,
             };
             return self.reply(call, End::Store, Event::Stored { op, sent, outcome }, None);
--- a/tools/trial/src/world/load.rs
+++ b/tools/trial/src/world/load.rs
@@ -7,7 +7,7 @@
 use willowpoint::engine::{Action, Event, Query, Verdict, View};
 use willowpoint::invariant::Rule;
 use willowpoint::job::{self, JobRow, JobShardRow, Site, Spec};
-use willowpoint::lease::Written;
+use willowpoint::lease::WriteOutcome;
 use willowpoint::request::Meta;
 use willowpoint::table::{Call, Expect, Op, Outcome, decode};
 use willowpoint::utils::Name;
@@ -211,12 +211,12 @@
         let down = self.trouble.store_down > self.now || away;
         let lost = self.trouble.lose > self.now && self.random.chance(0.5);
         let outcome = match (down, is_commit) {
-            (true, true) => Outcome::Written(Written::Unknown),
+            (true, true) => Outcome::Written(WriteOutcome::Unknown),
             (true, false) => Outcome::Failed,
             (false, _) => {
                 let outcome = self.table.call(&call);
                 match lost && is_commit {
-                    true => Outcome::Written(Written::Unknown),
+                    true => Outcome::Written(WriteOutcome::Unknown),
                     false => outcome,
                 }
             }
