--- a/src/sched.rs
+++ b/src/sched.rs
@@ -1,16 +1,22 @@
-//! Jobs of steps on workers: one owner at a time decides for all of them.
+//! Scheduler of a cell: one owner at a time decides for all jobs and workers.
 //!
-//! The way of a job: accepted (`requests`), kept (`journal`, `commits`), placed
-//! (`order`, `placement_pass`, `gang`, `scoring`, `permits`, `preemption`), started and
-//! stopped (`starts`, `late_starts`), watched (`reports`), ended (`completions`), shown (`requests`); once it is
-//! over, `history` knows what callers may still ask.
-//! Workers come and go by `directory` and `lost_workers`, get nothing new by `cordon`, and are
-//! asked in turn by `poll_schedule`; `addresses` tells who was listed where. The load that they
-//! report is recorded by `gauges` (with `recently_ended`, `loads` and `breaches`), from which
-//! `interference` learns how best-effort tasks slow serving tasks; `throttling` and `swaps` limit
-//! that, a little less while `backlog` is long. `predecessors` tells what earlier owners may still do, `failover`
-//! which box comes next; `mechanisms` switches parts of the scheduler off.
-//! Everything here is plain state without sockets and clocks.
+//! All state is plain data without sockets or clocks: `owner` takes events in and returns actions.
+//!
+//! - Jobs: `spec` and `job` hold their descriptions and state, `requests` and `admission` handle
+//!   callers' requests, `journal` and `commits` store changes, and `history` keeps finished jobs.
+//! - Placement: `placement_pass` places waiting tasks in the `order` of their value on the best
+//!   workers by `scoring`, with `gang`, `permits` and `preemption`. `placement` describes a placed
+//!   task.
+//! - Runs: `starts` and `late_starts` start and stop them, `reports` reconciles them with what
+//!   workers report, `completions` ends them, and `crashes` finds tasks that crash workers.
+//! - Workers: `directory` and `lost_workers` add and remove them, `incarnation` tells their restarts
+//!   apart, `poll_schedule` decides when they are polled, `cordon` excludes halls, and `addresses`
+//!   finds workers by address.
+//! - Interference: `gauges` records reported loads (with `recently_ended`, `loads` and `breaches`),
+//!   `interference` learns from them how best-effort tasks slow serving tasks beside them
+//!   (`colocation`), and `throttling` and `swaps` limit that, a little less while `backlog` is long.
+//! - Owners: `predecessors` says what earlier owners may still do, `failover` which box takes over
+//!   next, and `mechanisms` which parts of the scheduler are enabled.
 
 mod addresses;
 mod admission;
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -1,7 +1,7 @@
 //! Admission control: decides whether a submitted job is accepted.
 //!
 //! Jobs that arrive during an outage of the store, and jobs with a task that no worker could
-//! hold, are refused at once: they could not run, and a refusal tells their callers that
+//! hold, are refused at once: they could not run, and a refusal assures their callers that
 //! nothing was started. A job that only has to wait for resources is accepted: its tasks start
 //! within seconds on full workers, and only the caller knows how long waiting is worthwhile.
 
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -145,7 +145,7 @@
 }
 
 impl Outcome {
-    /// Returns the state that callers are told; `begun` is true once a task has begun.
+    /// Returns the state that is reported to callers; `begun` is true once a task has begun.
     pub fn state(self, begun: bool) -> JobState {
         match self {
             Self::Completed => JobState::Completed,
@@ -175,7 +175,7 @@
     pub rounds: Vec<Vec<Vec<Task>>>,
 }
 
-/// State of a job as callers are told it.
+/// State of a job as reported to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
     /// No task has begun.
@@ -199,7 +199,7 @@
     pub spec: std::sync::Arc<JobSpec>,
     /// Current state, which may be newer than the one in the store.
     pub row: JobRow,
-    /// Outcome that the store is known to have; callers are told only this one.
+    /// Outcome that the store is known to have; only this one is reported to callers.
     pub stored_outcome: Outcome,
     /// Outcome in the latest commit.
     pub sent_outcome: Outcome,
@@ -351,7 +351,7 @@
         })
     }
 
-    /// Returns the state that callers are told. Its outcome is never ahead of the store.
+    /// Returns the state that is reported to callers. Its outcome is never ahead of the store.
     pub fn state(&self) -> JobState {
         self.stored_outcome.state(self.row.begun)
     }
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -24,8 +24,8 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Divides the longest breach of a latency target: tasks beside the serving task are halted
-/// after this part of it. The rest covers reports and orders that get lost.
+/// Divides the longest allowed breach of a latency target. Best-effort tasks are halted after this
+/// part of it; the rest covers reports and orders that get lost.
 const HALT_DIVISOR: Millis = 4;
 
 /// Durations and mechanisms that the platform and the settings give an owner.
@@ -273,13 +273,13 @@
 
     /// Returns the milliseconds until the owner next has work that is due.
     pub fn due_in(&self, now: Now) -> Millis {
-        let places = !self.saturated && !self.ready.is_empty() && self.cordoned_halls.is_some();
-        let place = places.then_some(self.next_pass);
+        let can_place = !self.saturated && !self.ready.is_empty() && self.cordoned_halls.is_some();
+        let pass = can_place.then_some(self.next_pass);
         let due = self
             .next_poll()
             .into_iter()
             .chain(self.journal.next_due())
-            .chain(place)
+            .chain(pass)
             .chain([self.next_sweep]);
         due.min().unwrap_or(0).saturating_sub(now.steady).max(1)
     }
@@ -319,7 +319,7 @@
             Event::Directory(listings) => self.replace_directory(listings),
             Event::DirectoryChanged(changes) => self.apply_directory_changes(changes),
             Event::Cordoned(halls) => self.set_cordoned_halls(halls),
-            Event::Polled(hold, reply) => self.handle_poll_reply(&hold, reply),
+            Event::Polled(poll, reply) => self.handle_poll_reply(&poll, reply),
             Event::Started(key, run, incarnation, reply) => {
                 self.handle_start_reply(key, run, &incarnation, reply)
             }
@@ -330,8 +330,8 @@
                 self.handle_throttle_reply(key, run, percent, &incarnation, reply);
             }
             Event::Advised(step, asked, reply) => self.handle_advice(step, asked, reply),
-            Event::CommitEnded(number, written) => {
-                self.commit_ended(number, written);
+            Event::CommitEnded(number, outcome) => {
+                self.commit_ended(number, outcome);
                 self.answer_parked();
             }
             Event::History(page) => self.merge_history(page),
--- a/src/sched/placement.rs
+++ b/src/sched/placement.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// An earlier owner placed the task and may have started it. The next report of the worker
-    /// tells which.
+    /// shows whether it did.
     Inherited,
     /// The store has not confirmed the placement; no start was sent.
     Recording,
@@ -19,9 +19,9 @@
     Starting,
     /// The worker confirmed the run at this time.
     Running(Millis),
-    /// The task may be running or may still be started: only a stop tells.
+    /// The task may be running or may still be started, which only a stop can settle.
     Doubt,
-    /// A stop was answered at this time; a later report tells how the run ended.
+    /// A stop was answered at this time; a later report says how the run ended.
     Stopped(Millis),
     /// A stop of a running task was sent at this time.
     Stopping(Millis),
--- a/src/sched/placement_pass.rs
+++ b/src/sched/placement_pass.rs
@@ -32,7 +32,7 @@
 /// Requirements of a task that decide whether another task with the same ones fits.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Demand {
-    /// Resources to reserve. First field, as it tells most demands apart without comparing names.
+    /// Resources to reserve. First field, as it distinguishes most demands without comparing names.
     resources: Resources,
     /// Service whose workers may run the task.
     service: Name,
--- a/src/sched/tests/order.rs
+++ b/src/sched/tests/order.rs
@@ -175,7 +175,7 @@
     world.submit_with_priority("low", job(vec![step(1, 4_000)]), 5);
     world.run(3_500);
     // Another lasting task is interrupted, so no lasting task may be preempted.
-    world.submit_with_priority("away", job(vec![lasting(1, 4_000)]), 9);
+    world.submit_with_priority("waiting", job(vec![lasting(1, 4_000)]), 9);
     let waiting: Vec<_> = world.owner.ready.keys().copied().collect();
     world.owner.interrupted.extend(waiting);
     world.submit("high", job(vec![step(1, 4_000)]));
