--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -15,7 +15,7 @@
 };
 use willowpoint::config::{Config, EntryRow};
 use willowpoint::dedup::{DedupShard, DedupTimings};
-use willowpoint::job::{JobShardRow, Spec, TaskRow, Versioned};
+use willowpoint::job::{JobShardRow, Spec, TaskRow, VersionedShard};
 use willowpoint::proto;
 use willowpoint::route::{Load, Router};
 use willowpoint::utils::Name;
@@ -301,7 +301,7 @@
     }
 }
 
-fn shard(tasks: usize) -> Versioned {
+fn shard(tasks: usize) -> VersionedShard {
     let spec = Spec {
         id: "settlement-2026-11".into(),
         team: "ledger".into(),
@@ -315,7 +315,7 @@
         work: 60_000,
         urgent: false,
     };
-    Versioned {
+    VersionedShard {
         key: "lot/hall-01/rack-001/settlement-2026-11.0".into(),
         version: 1,
         row: JobShardRow {
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -12,7 +12,7 @@
     Action, CallOutcome, Cell, Class, ListedWorker, PendingRequest, Policy, PollOutcome, PollReply,
     RunState, Sample, Selection, SendOutcome, SentPoll, Shape, Size, Timings,
 };
-use willowpoint::job::{JobShardRow, Spec, TaskRow, Versioned};
+use willowpoint::job::{JobShardRow, Spec, TaskRow, VersionedShard};
 use willowpoint::lease::WriteOutcome;
 use willowpoint::standin::worker::state::{Active, Start, Sync, Task, Worker};
 use willowpoint::utils::Name;
@@ -397,7 +397,7 @@
     worker.trim_start_matches('w').parse().unwrap_or(0)
 }
 
-fn shard(kind: &str) -> Versioned {
+fn shard(kind: &str) -> VersionedShard {
     let spec = Spec {
         id: format!("{kind}-1").into(),
         team: kind.into(),
@@ -411,7 +411,7 @@
         work: WORK,
         urgent: false,
     };
-    Versioned {
+    VersionedShard {
         key: format!("lot/h/r/{kind}-1.0").into(),
         version: 1,
         row: JobShardRow {
--- a/src/cell/shard.rs
+++ b/src/cell/shard.rs
@@ -6,7 +6,7 @@
 use super::runs::{Run, RunId};
 use super::state::{Cell, SILENT};
 use super::worker::Worker;
-use crate::job::{JobShardRow, Phase, Versioned};
+use crate::job::{JobShardRow, Phase, VersionedShard};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -72,7 +72,7 @@
 }
 
 impl JobShard {
-    pub(super) fn new(now: Millis, versioned: Versioned, fresh: bool) -> Self {
+    pub(super) fn new(now: Millis, versioned: VersionedShard, fresh: bool) -> Self {
         let start = |phase| match phase {
             Phase::Open if fresh => TaskState::Waiting,
             Phase::Open => TaskState::Held,
@@ -117,7 +117,7 @@
 
 impl Cell {
     /// Takes in the job shards of the cell as read after it was won.
-    pub fn load(&mut self, now: Millis, shards: Vec<Versioned>) {
+    pub fn load(&mut self, now: Millis, shards: Vec<VersionedShard>) {
         // Nothing of an earlier owner can be running where there was none.
         let fresh = self.epoch == 1;
         for versioned in shards {
@@ -128,7 +128,7 @@
     }
 
     /// Takes in a job shard that was read later: new, or known already.
-    pub fn offer(&mut self, now: Millis, versioned: Versioned) {
+    pub fn offer(&mut self, now: Millis, versioned: VersionedShard) {
         // A read that is older than the end of a job shard must not bring it back.
         let closed = self.closed.get(&versioned.key);
         let old = closed.is_some_and(|version| versioned.version <= *version);
@@ -140,7 +140,7 @@
         self.add(now, versioned, fresh);
     }
 
-    pub(super) fn add(&mut self, now: Millis, versioned: Versioned, fresh: bool) {
+    pub(super) fn add(&mut self, now: Millis, versioned: VersionedShard, fresh: bool) {
         let key = versioned.key.clone();
         let shard = JobShard::new(now, versioned, fresh);
         if !shard.is_ended() {
--- a/src/cell/tests.rs
+++ b/src/cell/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the decisions in one cell.
 
 use super::*;
-use crate::job::{JobShardRow, Spec, TaskRow, Versioned};
+use crate::job::{JobShardRow, Spec, TaskRow, VersionedShard};
 use crate::lease::WriteOutcome;
 
 const SHAPE: Shape = Shape {
@@ -72,7 +72,7 @@
     }
 }
 
-fn shard(job: &str, tasks: u32, cores: u32) -> Versioned {
+fn shard(job: &str, tasks: u32, cores: u32) -> VersionedShard {
     let spec = Spec {
         id: job.into(),
         team: "t".into(),
@@ -86,7 +86,7 @@
         work: 1_000,
         urgent: false,
     };
-    Versioned {
+    VersionedShard {
         key: format!("lot/h/r/{job}.0").into(),
         version: 1,
         row: JobShardRow {
@@ -273,7 +273,7 @@
     };
     cell.written(key, WriteOutcome::Unknown);
     assert!(starts(&cell.tick(40, 40_000)).is_empty());
-    let found = Versioned {
+    let found = VersionedShard {
         key: key.clone(),
         version: 2,
         row: row.clone(),
--- a/src/cell/writes.rs
+++ b/src/cell/writes.rs
@@ -3,7 +3,7 @@
 use super::Action;
 use super::shard::{PendingWrite, TaskState, end_waiting};
 use super::state::Cell;
-use crate::job::Versioned;
+use crate::job::VersionedShard;
 use crate::lease::WriteOutcome;
 use crate::utils::Name;
 
@@ -53,7 +53,7 @@
     }
 
     /// Takes in a job shard's row as read after a write in doubt.
-    pub fn reread(&mut self, key: &Name, row: Option<&Versioned>) {
+    pub fn reread(&mut self, key: &Name, row: Option<&VersionedShard>) {
         let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -34,7 +34,7 @@
 
 /// A row of a cell with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Versioned {
+pub struct VersionedCell {
     /// Name of the cell.
     pub cell: Name,
     /// Version of the row.
--- a/src/claim/state.rs
+++ b/src/claim/state.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::plan::{Host, plan};
-use super::{Action, CellRow, Versioned};
+use super::{Action, CellRow, VersionedCell};
 use crate::lease::WriteOutcome;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -70,7 +70,7 @@
     stopping: bool,
     wanted: bool,
     moves: u64,
-    recent: VecDeque<Versioned>,
+    recent: VecDeque<VersionedCell>,
 }
 
 impl Claims {
@@ -283,17 +283,17 @@
     }
 
     /// Returns the rows of the last of these cells, the newest last.
-    pub fn recent(&self) -> impl Iterator<Item = &Versioned> {
+    pub fn recent(&self) -> impl Iterator<Item = &VersionedCell> {
         self.recent.iter()
     }
 
     /// Takes in a committed row that another box tells of. Like a read it may
     /// be old: a newer version that is known stands.
-    pub fn told(&mut self, versioned: Versioned) -> Option<Action> {
+    pub fn told(&mut self, versioned: VersionedCell) -> Option<Action> {
         self.saw(versioned)
     }
 
-    fn moved(&mut self, versioned: Versioned) {
+    fn moved(&mut self, versioned: VersionedCell) {
         self.moves += 1;
         self.recent.push_back(versioned);
         if self.recent.len() > RECENT {
@@ -308,7 +308,7 @@
 
     /// Takes in the rows of all cells, read by a call sent at `sent`; `None`
     /// when the read failed.
-    pub fn read(&mut self, sent: Millis, rows: Option<Vec<Versioned>>) -> Vec<Action> {
+    pub fn read(&mut self, sent: Millis, rows: Option<Vec<VersionedCell>>) -> Vec<Action> {
         self.reading = false;
         let Some(rows) = rows else {
             return Vec::new();
@@ -321,8 +321,8 @@
         rows.into_iter().filter_map(|v| self.saw(v)).collect()
     }
 
-    fn saw(&mut self, versioned: Versioned) -> Option<Action> {
-        let Versioned { cell, version, row } = versioned;
+    fn saw(&mut self, versioned: VersionedCell) -> Option<Action> {
+        let VersionedCell { cell, version, row } = versioned;
         let known = self.views.get(&cell).map_or(0, |v| v.version);
         if version < known {
             return None;
@@ -337,7 +337,7 @@
             self.releasing.remove(&cell);
         }
         if ours && !self.mine.contains_key(&cell) && !self.releasing.contains_key(&cell) {
-            let versioned = Versioned { cell, version, row };
+            let versioned = VersionedCell { cell, version, row };
             return Some(self.win(versioned));
         }
         if !ours && self.mine.contains_key(&cell) {
@@ -349,7 +349,7 @@
         None
     }
 
-    fn win(&mut self, versioned: Versioned) -> Action {
+    fn win(&mut self, versioned: VersionedCell) -> Action {
         let (cell, epoch) = (versioned.cell.clone(), versioned.row.epoch);
         self.moved(versioned);
         self.pending.remove(&cell);
@@ -382,7 +382,7 @@
                 if known > version {
                     return None;
                 }
-                self.saw(Versioned {
+                self.saw(VersionedCell {
                     cell: cell.clone(),
                     version,
                     row,
@@ -413,7 +413,7 @@
     ) -> Option<Action> {
         match written {
             WriteOutcome::Committed => {
-                let versioned = Versioned {
+                let versioned = VersionedCell {
                     cell: cell.clone(),
                     version: expect + 1,
                     row,
--- a/src/claim/tests.rs
+++ b/src/claim/tests.rs
@@ -38,8 +38,8 @@
 const OTHER: &str = "other";
 const CELL: &str = "h/r0";
 
-fn versioned(version: u64, owner: &str, epoch: u64) -> Versioned {
-    Versioned {
+fn versioned(version: u64, owner: &str, epoch: u64) -> VersionedCell {
+    VersionedCell {
         cell: CELL.into(),
         version,
         row: CellRow {
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 
 use crate::cell::{CallOutcome, ListedWorker, PollOutcome, Reason, RunId, SendOutcome, Shape};
-use crate::claim::Versioned;
+use crate::claim::VersionedCell;
 use crate::config::Config;
 use crate::dedup::DedupTimings;
 use crate::lease::LeaseTimings;
@@ -99,7 +99,7 @@
     /// are new, the owners are to be read again.
     pub moves: u64,
     /// The last of these, while they are news.
-    pub moved: Vec<Versioned>,
+    pub moved: Vec<VersionedCell>,
     /// Load of the sender's cells.
     pub loads: Vec<Load>,
 }
--- a/src/engine/journal.rs
+++ b/src/engine/journal.rs
@@ -5,7 +5,7 @@
 use super::storing::{Purpose, rows};
 use super::{Action, Now};
 use crate::cell::Action as CellAction;
-use crate::job::{self, JobRow, Versioned};
+use crate::job::{self, JobRow, VersionedShard};
 use crate::lease::WriteOutcome;
 use crate::table::{Call, Expect, Op, Outcome, decode};
 use crate::utils::Name;
@@ -84,7 +84,7 @@
         for (name, epoch, key) in shards {
             let row = rows.iter().find(|r| r.key == *key);
             let versioned = row.and_then(|row| {
-                decode(row).map(|shard| Versioned {
+                decode(row).map(|shard| VersionedShard {
                     key: key.clone(),
                     version: row.version,
                     row: shard,
@@ -133,7 +133,7 @@
             return self.scan_shards(name, out);
         };
         let versioned = rows.iter().filter_map(|row| {
-            decode(row).map(|shard| Versioned {
+            decode(row).map(|shard| VersionedShard {
                 key: row.key.clone(),
                 version: row.version,
                 row: shard,
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -2,7 +2,7 @@
 
 use super::state::Engine;
 use super::{Action, Greeting, Now, largest};
-use crate::claim::Versioned;
+use crate::claim::VersionedCell;
 use crate::route::Load;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -62,7 +62,7 @@
     }
 
     /// Returns the last own moves of cells, while they are news.
-    fn news(&self, now: Millis) -> Vec<Versioned> {
+    fn news(&self, now: Millis) -> Vec<VersionedCell> {
         match now < self.news {
             true => self.claims.recent().cloned().collect(),
             false => Vec::new(),
--- a/src/engine/storing.rs
+++ b/src/engine/storing.rs
@@ -109,19 +109,19 @@
     }
 }
 
-fn boxes(rows: &[Row]) -> Vec<lease::Versioned> {
+fn boxes(rows: &[Row]) -> Vec<lease::VersionedBox> {
     let versioned = |row: &Row| {
         let version = row.version;
-        decode(row).map(|row| lease::Versioned { version, row })
+        decode(row).map(|row| lease::VersionedBox { version, row })
     };
     rows.iter().filter_map(versioned).collect()
 }
 
-fn cells(rows: &[Row]) -> Vec<claim::Versioned> {
+fn cells(rows: &[Row]) -> Vec<claim::VersionedCell> {
     let versioned = |row: &Row| {
         let cell: Name = row.key.strip_prefix(claim::PREFIX)?.into();
         let version = row.version;
-        decode(row).map(|row| claim::Versioned { cell, version, row })
+        decode(row).map(|row| claim::VersionedCell { cell, version, row })
     };
     rows.iter().filter_map(versioned).collect()
 }
--- a/src/entry/convert.rs
+++ b/src/entry/convert.rs
@@ -6,7 +6,7 @@
 
 use super::workers::shape;
 use crate::cell::Class;
-use crate::claim::{CellRow, Versioned};
+use crate::claim::{CellRow, VersionedCell};
 use crate::engine::Greeting;
 use crate::proto;
 use crate::request::Meta;
@@ -49,8 +49,8 @@
     }
 }
 
-fn moved(moved: proto::Moved) -> Versioned {
-    Versioned {
+fn moved(moved: proto::Moved) -> VersionedCell {
+    VersionedCell {
         cell: moved.cell.into(),
         version: moved.version,
         row: CellRow {
@@ -60,7 +60,7 @@
     }
 }
 
-fn to_moved(versioned: Versioned) -> proto::Moved {
+fn to_moved(versioned: VersionedCell) -> proto::Moved {
     proto::Moved {
         cell: versioned.cell.to_string(),
         version: versioned.version,
--- a/src/job.rs
+++ b/src/job.rs
@@ -117,7 +117,7 @@
 
 /// A job shard's row with its version.
 #[derive(Clone, Debug)]
-pub struct Versioned {
+pub struct VersionedShard {
     /// Key of the row.
     pub key: Name,
     /// Version of the row.
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -68,7 +68,7 @@
 
 /// A row of a box with its version.
 #[derive(Clone, Debug)]
-pub struct Versioned {
+pub struct VersionedBox {
     /// Version of the row.
     pub version: u64,
     /// Contents of the row.
--- a/src/lease/state.rs
+++ b/src/lease/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Action, BoxRow, LeaseTimings, SUCCESSORS, Versioned, WriteOutcome};
+use super::{Action, BoxRow, LeaseTimings, SUCCESSORS, VersionedBox, WriteOutcome};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -242,7 +242,12 @@
 
     /// Takes in the rows of all boxes, read by a call sent at `sent`; `None`
     /// when the read failed.
-    pub fn read(&mut self, now: Millis, sent: Millis, rows: Option<Vec<Versioned>>) -> Vec<Action> {
+    pub fn read(
+        &mut self,
+        now: Millis,
+        sent: Millis,
+        rows: Option<Vec<VersionedBox>>,
+    ) -> Vec<Action> {
         self.reading = false;
         let Some(rows) = rows else {
             return Vec::new();
@@ -275,7 +280,7 @@
         Vec::new()
     }
 
-    fn saw(&mut self, now: Millis, id: Name, versioned: Versioned) {
+    fn saw(&mut self, now: Millis, id: Name, versioned: VersionedBox) {
         let known = self.seen.get(&id).map_or(0, |s| s.version);
         if versioned.version <= known {
             return;
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -21,8 +21,8 @@
     }
 }
 
-fn versioned(version: u64, row: BoxRow) -> Versioned {
-    Versioned { version, row }
+fn versioned(version: u64, row: BoxRow) -> VersionedBox {
+    VersionedBox { version, row }
 }
 
 fn read(lease: &mut Lease, now: Millis, rows: &[(u64, BoxRow)]) -> Vec<Action> {
