--- a/src/sched.rs
+++ b/src/sched.rs
@@ -9,12 +9,13 @@
 //!   task.
 //! - Runs: `starts` and `late_starts` start and stop them, `reports` reconciles them with what
 //!   workers report, `completions` ends them, and `crashes` finds tasks that crash workers.
-//! - Workers: `directory` and `lost_workers` add and remove them, `incarnation` tells their restarts
-//!   apart, `poll_schedule` decides when they are polled, `cordon` excludes halls, and `addresses`
-//!   finds workers by address.
+//! - Workers: `directory` and `lost_workers` add and remove them, `incarnation` distinguishes their
+//!   restarts, `poll_schedule` decides when they are polled, `cordon` excludes halls, and
+//!   `addresses` finds workers by address.
 //! - Interference: `gauges` records reported loads (with `recently_ended`, `loads` and `breaches`),
 //!   `interference` learns from them how best-effort tasks slow serving tasks beside them
-//!   (`colocation`), and `throttling` and `swaps` limit that, a little less while `backlog` is long.
+//!   (`colocation`), and `throttling` and `swaps` limit that, a little less while the `backlog` is
+//!   long.
 //! - Owners: `predecessors` says what earlier owners may still do, `failover` which box takes over
 //!   next, and `mechanisms` which parts of the scheduler are enabled.
 
--- a/src/sched/placement_pass.rs
+++ b/src/sched/placement_pass.rs
@@ -106,8 +106,8 @@
         demand.best_effort && tried >= MAX_BEST_EFFORT_MISSES
     }
 
-    /// Returns true when a worker may still be isolated in this pass; `left` returns the number of
-    /// isolations at its begin.
+    /// Returns true when a worker may still be isolated in this pass; `left` returns the number
+    /// of isolations that are left when the pass begins.
     fn may_isolate(&mut self, left: impl FnOnce() -> usize) -> bool {
         *self.isolations_left.get_or_insert_with(left) > 0
     }
@@ -163,8 +163,8 @@
         count
     }
 
-    /// Places a task, with its gang if it has one, unless a task with the same demand fits
-    /// nowhere. Otherwise starts to free resources for it.
+    /// Places a task or its whole gang, unless a task with the same demand was found to fit nowhere.
+    /// For a task that is not placed, permits are queried and a run may be preempted.
     fn try_place(&mut self, key: TaskKey, pass: &mut Pass) -> Attempt {
         let demand = self.cached_demand(key, pass);
         if pass.unplaceable.contains(&demand) {
