--- a/src/engine/views.rs
+++ b/src/engine/views.rs
@@ -5,7 +5,7 @@
 use super::state::Engine;
 use crate::cell::{Cell, Shape, Worker};
 use crate::config::Config;
-use crate::job::Site;
+use crate::job::CandidateCell;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -21,7 +21,7 @@
     /// Running and waiting tasks of own cells, of one job or of all.
     Tasks(Option<Name>),
     /// The cells that can take job shards.
-    Sites,
+    CandidateCells,
     /// The configuration in force.
     Config,
 }
@@ -110,7 +110,7 @@
     /// Tasks of own cells.
     Tasks(Vec<TaskView>),
     /// Cells that can take job shards, with the address of the owner; none for own ones.
-    Sites(Vec<(Site, Option<SocketAddr>)>),
+    CandidateCells(Vec<(CandidateCell, Option<SocketAddr>)>),
     /// The configuration in force.
     Config(Config),
 }
@@ -128,7 +128,7 @@
                 let cells = self.cells.values();
                 View::Tasks(cells.flat_map(|c| tasks(c, job.as_ref())).collect())
             }
-            Query::Sites => View::Sites(self.sites()),
+            Query::CandidateCells => View::CandidateCells(self.candidate_cells()),
             Query::Config => View::Config(self.config.clone()),
         }
     }
@@ -172,16 +172,16 @@
         views
     }
 
-    fn sites(&self) -> Vec<(Site, Option<SocketAddr>)> {
+    fn candidate_cells(&self) -> Vec<(CandidateCell, Option<SocketAddr>)> {
         let views = self.router.views().iter();
         views
             .map(|v| {
-                let site = Site {
+                let candidate = CandidateCell {
                     cell: v.load.cell.clone(),
                     shapes: vec![v.load.largest],
-                    free: v.load.cores,
+                    free_cores: v.load.cores,
                 };
-                (site, v.rpc)
+                (candidate, v.rpc)
             })
             .collect()
     }
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -12,7 +12,7 @@
 use super::shell::{Context, Message};
 use crate::cell::Size;
 use crate::engine::{Event, Query, View};
-use crate::job::{self, JobRow, JobShardRow, Site, Spec};
+use crate::job::{self, CandidateCell, JobRow, JobShardRow, Spec};
 use crate::lease::WriteOutcome;
 use crate::proto;
 use crate::table::{Call, Expect, Op, Outcome, decode};
@@ -44,20 +44,23 @@
     if !findings.is_empty() {
         return Err(Status::invalid_argument(findings.join("; ")));
     }
-    let Some(View::Sites(sites)) = context.query(Query::Sites).await else {
+    let Some(View::CandidateCells(candidates)) = context.query(Query::CandidateCells).await else {
         return Err(stopping());
     };
-    let owners: BTreeMap<Name, Option<SocketAddr>> = sites
+    let owners: BTreeMap<Name, Option<SocketAddr>> = candidates
         .iter()
         .map(|(s, rpc)| (s.cell.clone(), *rpc))
         .collect();
-    let sites: Vec<Site> = sites.into_iter().map(|(site, _)| site).collect();
-    if sites.is_empty() {
+    let candidates: Vec<CandidateCell> = candidates
+        .into_iter()
+        .map(|(candidate, _)| candidate)
+        .collect();
+    if candidates.is_empty() {
         return Err(Status::unavailable(
             "no cell has an owner yet; nothing was submitted",
         ));
     }
-    let (row, shards) = job::spread(&spec, &sites, clock::wall())
+    let (row, shards) = job::spread(&spec, &candidates, clock::wall())
         .map_err(|refusal| Status::failed_precondition(refusal.to_string()))?;
     let mut ops = vec![Op::put(job::key(&spec.id), Expect::Absent, &row)];
     for (key, shard) in row.shards.iter().zip(&shards) {
--- a/src/job.rs
+++ b/src/job.rs
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use plan::{Refusal, Site, Summary, spread, summarize, validate};
+pub use plan::{CandidateCell, Refusal, Summary, spread, summarize, validate};
 
 use serde::{Deserialize, Serialize};
 
--- a/src/job/plan.rs
+++ b/src/job/plan.rs
@@ -7,17 +7,17 @@
 use crate::utils::clock::Millis;
 
 /// Fewest tasks for which a further cell is used.
-const CHUNK: u32 = 8;
+const MIN_TASKS_PER_CELL: u32 = 8;
 
 /// A cell that can take job shards.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct CandidateCell {
     /// Name of the cell.
     pub cell: Name,
     /// Shapes of its workers.
     pub shapes: Vec<Shape>,
     /// Thousandths of cores that batch tasks could have now.
-    pub free: u64,
+    pub free_cores: u64,
 }
 
 /// Why a job was not accepted.
@@ -26,14 +26,14 @@
     /// The specification itself is wrong; one text for each finding.
     Invalid(Vec<String>),
     /// No worker could ever run one of its tasks.
-    Never(String),
+    Unsatisfiable(String),
 }
 
 impl std::fmt::Display for Refusal {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Invalid(findings) => f.write_str(&findings.join("; ")),
-            Self::Never(reason) => write!(f, "can never run: {reason}"),
+            Self::Unsatisfiable(reason) => write!(f, "can never run: {reason}"),
         }
     }
 }
@@ -61,14 +61,14 @@
 /// Spreads a job over cells by their free cores, or tells why it can't run.
 pub fn spread(
     spec: &Spec,
-    sites: &[Site],
+    candidates: &[CandidateCell],
     now: Millis,
 ) -> Result<(JobRow, Vec<JobShardRow>), Refusal> {
     let findings = validate(spec);
     if !findings.is_empty() {
         return Err(Refusal::Invalid(findings));
     }
-    let mut fitting: Vec<&Site> = sites
+    let mut eligible: Vec<&CandidateCell> = candidates
         .iter()
         .filter(|s| {
             s.shapes
@@ -76,16 +76,18 @@
                 .any(|shape| shape.has_capacity_for(spec.size))
         })
         .collect();
-    if fitting.is_empty() {
-        return Err(Refusal::Never(largest(spec.size, sites)));
+    if eligible.is_empty() {
+        return Err(Refusal::Unsatisfiable(describe_misfit(
+            spec.size, candidates,
+        )));
     }
-    fitting.sort_by_key(|s| (std::cmp::Reverse(s.free), s.cell.clone()));
-    let wanted = spec
+    eligible.sort_by_key(|s| (std::cmp::Reverse(s.free_cores), s.cell.clone()));
+    let cell_count = spec
         .tasks
-        .div_ceil(CHUNK)
+        .div_ceil(MIN_TASKS_PER_CELL)
         .max(spec.tasks.div_ceil(SHARD_TASK_LIMIT)) as usize;
-    let cells = &fitting[..wanted.min(fitting.len())];
-    let total: u64 = cells.iter().map(|s| s.free + 1).sum();
+    let cells = &eligible[..cell_count.min(eligible.len())];
+    let total: u64 = cells.iter().map(|s| s.free_cores + 1).sum();
     let mut row = JobRow {
         spec: spec.clone(),
         shards: Vec::new(),
@@ -95,21 +97,21 @@
     let mut shards = Vec::new();
     let mut next = 0;
     let mut weight = 0;
-    for site in cells {
-        weight += site.free + 1;
+    for candidate in cells {
+        weight += candidate.free_cores + 1;
         let end = (u64::from(spec.tasks) * weight / total) as u32;
         while next < end {
-            let upto = end.min(next + SHARD_TASK_LIMIT);
+            let shard_end = end.min(next + SHARD_TASK_LIMIT);
             row.shards
-                .push(shard_key(&site.cell, &spec.id, row.shards.len()));
-            shards.push(shard(spec, now, next..upto));
-            next = upto;
+                .push(shard_key(&candidate.cell, &spec.id, row.shards.len()));
+            shards.push(new_shard(spec, now, next..shard_end));
+            next = shard_end;
         }
     }
     Ok((row, shards))
 }
 
-fn shard(spec: &Spec, now: Millis, indexes: std::ops::Range<u32>) -> JobShardRow {
+fn new_shard(spec: &Spec, now: Millis, indexes: std::ops::Range<u32>) -> JobShardRow {
     JobShardRow {
         spec: spec.clone(),
         submitted: now,
@@ -119,8 +121,8 @@
     }
 }
 
-fn largest(size: Size, sites: &[Site]) -> String {
-    let shapes = sites.iter().flat_map(|s| &s.shapes);
+fn describe_misfit(size: Size, candidates: &[CandidateCell]) -> String {
+    let shapes = candidates.iter().flat_map(|s| &s.shapes);
     let max = shapes.fold(Size::default(), |max, shape| Size {
         cores: max.cores.max(shape.cores),
         memory: max.memory.max(shape.memory),
--- a/src/job/tests.rs
+++ b/src/job/tests.rs
@@ -19,7 +19,7 @@
     }
 }
 
-fn site(cell: &str, free: u64) -> Site {
+fn candidate(cell: &str, free: u64) -> CandidateCell {
     let shape = Shape {
         slots: 8,
         connections: 64,
@@ -27,18 +27,22 @@
         memory: 60_000,
         accelerators: 0,
     };
-    Site {
+    CandidateCell {
         cell: cell.into(),
         shapes: vec![shape],
-        free,
+        free_cores: free,
     }
 }
 
 #[test]
 fn every_task_lies_in_exactly_one_job_shard() {
-    let sites = [site("h/a", 9_000), site("h/b", 1_000), site("h/c", 0)];
+    let candidates = [
+        candidate("h/a", 9_000),
+        candidate("h/b", 1_000),
+        candidate("h/c", 0),
+    ];
     for tasks in [1, 7, 8, 9, 100, 1_000] {
-        let (row, shards) = spread(&spec(tasks, 1_000), &sites, 5).expect("accepted");
+        let (row, shards) = spread(&spec(tasks, 1_000), &candidates, 5).expect("accepted");
         let mut seen: Vec<u32> = shards
             .iter()
             .flat_map(|l| l.tasks.iter().map(|t| t.index))
@@ -56,8 +60,8 @@
 
 #[test]
 fn a_job_that_can_never_run_is_refused_with_the_reason() {
-    let refusal = spread(&spec(1, 17_000), &[site("h/a", 0)], 0).expect_err("refused");
-    let Refusal::Never(reason) = refusal else {
+    let refusal = spread(&spec(1, 17_000), &[candidate("h/a", 0)], 0).expect_err("refused");
+    let Refusal::Unsatisfiable(reason) = refusal else {
         panic!("wrong refusal");
     };
     assert!(reason.contains("17"), "{reason}");
--- a/tools/trial/src/world/load.rs
+++ b/tools/trial/src/world/load.rs
@@ -6,7 +6,7 @@
 use willowpoint::config::{self, ChangeRow, Edit, Editor, Head, Refusal, Step};
 use willowpoint::engine::{Action, Event, Query, Verdict, View};
 use willowpoint::invariant::Rule;
-use willowpoint::job::{self, JobRow, JobShardRow, Site, Spec};
+use willowpoint::job::{self, CandidateCell, JobRow, JobShardRow, Spec};
 use willowpoint::lease::WriteOutcome;
 use willowpoint::request::Meta;
 use willowpoint::table::{Call, Expect, Op, Outcome, decode};
@@ -225,21 +225,24 @@
         self.advance(number, step);
     }
 
-    fn sites(&mut self) -> Vec<Site> {
+    fn candidate_cells(&mut self) -> Vec<CandidateCell> {
         for node in 0..BOXES {
             let now = self.clock(node);
             let query = Event::Query {
                 ticket: 0,
-                query: Query::Sites,
+                query: Query::CandidateCells,
             };
             let mut actions = self.nodes[node].engine.step(now, query);
             if let Some(Action::Answer {
-                view: View::Sites(sites),
+                view: View::CandidateCells(candidates),
                 ..
             }) = actions.pop()
-                && !sites.is_empty()
+                && !candidates.is_empty()
             {
-                return sites.into_iter().map(|(site, _)| site).collect();
+                return candidates
+                    .into_iter()
+                    .map(|(candidate, _)| candidate)
+                    .collect();
             }
         }
         Vec::new()
@@ -247,8 +250,8 @@
 
     /// Submits a job; false when that is not possible now.
     pub fn submit(&mut self, fault: Fault, urgent: bool) -> bool {
-        let sites = self.sites();
-        if sites.is_empty() || self.jobs.len() >= JOBS {
+        let candidates = self.candidate_cells();
+        if candidates.is_empty() || self.jobs.len() >= JOBS {
             return false;
         }
         let spec = Spec {
@@ -264,7 +267,7 @@
             work: 200 + fault.span * 20,
             urgent,
         };
-        let Ok((row, shards)) = job::spread(&spec, &sites, EPOCH + self.now) else {
+        let Ok((row, shards)) = job::spread(&spec, &candidates, EPOCH + self.now) else {
             return false;
         };
         let mut ops = vec![Op::put(job::key(&spec.id), Expect::Absent, &row)];
@@ -301,8 +304,10 @@
 
     /// Submits a job that can never run, which must be refused.
     pub fn submit_never(&mut self) -> bool {
-        let sites = self.sites();
-        let known = sites.iter().any(|s| s.shapes.iter().any(|sh| sh.cores > 0));
+        let candidates = self.candidate_cells();
+        let known = candidates
+            .iter()
+            .any(|s| s.shapes.iter().any(|sh| sh.cores > 0));
         if !known {
             return false;
         }
@@ -319,7 +324,7 @@
             work: 1,
             urgent: false,
         };
-        let refused = job::spread(&spec, &sites, EPOCH).is_err();
+        let refused = job::spread(&spec, &candidates, EPOCH).is_err();
         self.truth.check(refused, Rule::Room, || {
             "a job that can't run is accepted".into()
         });
