--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -208,7 +208,7 @@
         };
         let actions = cell.admit(1_000, 1_000_000, ask);
         assert!(matches!(actions[..], [Action::Send { .. }]));
-        cell.ended(1_000, 1_001_000, ticket, SendOutcome::Answered);
+        cell.finish_send(1_000, 1_001_000, ticket, SendOutcome::Answered);
     });
     println!(
         "{:44} {took:>9.0} ns",
@@ -221,9 +221,9 @@
     let mut best = f64::MAX;
     for _ in 0..20 {
         let mut cell = cell(0, workers, 0);
-        cell.load(1_000, vec![shard(256)]);
+        cell.load_shards(1_000, vec![shard(256)]);
         let start = Instant::now();
-        let started = cell.start(1_000).len();
+        let started = cell.start_tasks(1_000).len();
         best = best.min(start.elapsed().as_nanos() as f64 / started.max(1) as f64);
     }
     println!(
@@ -241,9 +241,9 @@
 fn cell(index: usize, workers: usize, runs: usize) -> Cell {
     let name: Name = format!("hall-01/rack-{index:03}").into();
     let times = Timings {
-        task: 10_000,
+        run_lease: 10_000,
         margin: 2_000,
-        sync: 1_000,
+        poll_interval: 1_000,
     };
     let mut cell = Cell::new(name.clone(), 1, 0, Policy::default(), times);
     let place = |i: usize| ListedWorker {
@@ -254,19 +254,19 @@
         leaving: false,
     };
     let places: Vec<ListedWorker> = (0..workers).map(place).collect();
-    cell.places(&places, &Default::default());
-    cell.load(0, Vec::new());
+    cell.set_workers(&places, &Default::default());
+    cell.load_shards(0, Vec::new());
     exchange(&mut cell, 1_000, 0);
     if runs > 0 {
-        cell.load(1_000, vec![shard(workers * runs)]);
-        let mut started = cell.start(1_000);
+        cell.load_shards(1_000, vec![shard(workers * runs)]);
+        let mut started = cell.start_tasks(1_000);
         while !started.is_empty() {
             for action in started.drain(..) {
                 if let Action::Start { worker, run, .. } = action {
-                    cell.started(1_000, &worker, run.id, CallOutcome::Done(0));
+                    cell.finish_start(1_000, &worker, run.id, CallOutcome::Done(0));
                 }
             }
-            started = cell.start(1_000);
+            started = cell.start_tasks(1_000);
         }
     }
     cell
@@ -297,7 +297,7 @@
             round: 1,
             acks: Vec::new(),
         };
-        cell.synced(now, now * 1_000, &name, asked, PollOutcome::Reply(reply));
+        cell.finish_poll(now, now * 1_000, &name, asked, PollOutcome::Reply(reply));
     }
 }
 
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -60,10 +60,10 @@
         },
         oracle: false,
     };
-    let learned = |name, tail, oracle| Variant {
+    let learned = |name, tail_weight, oracle| Variant {
         name,
         policy: Policy {
-            tail_weight: tail,
+            tail_weight,
             ..Policy::default()
         },
         oracle,
@@ -150,9 +150,9 @@
 impl World {
     fn new(variant: &Variant, load: f64) -> Self {
         let times = Timings {
-            task: 10_000,
+            run_lease: 10_000,
             margin: 1_000,
-            sync: 200,
+            poll_interval: 200,
         };
         let policy = variant.policy.clone();
         let mut cell = Cell::new("h/r".into(), 1, 0, policy, times);
@@ -164,8 +164,8 @@
             leaving: false,
         };
         let places: Vec<ListedWorker> = (0..WORKERS).map(place).collect();
-        cell.places(&places, &Default::default());
-        cell.load(0, KINDS.iter().map(|k| shard(k)).collect());
+        cell.set_workers(&places, &Default::default());
+        cell.load_shards(0, KINDS.iter().map(|k| shard(k)).collect());
         let shape = Shape {
             slots: SLOTS,
             connections: 64,
@@ -199,9 +199,9 @@
             if self.now.is_multiple_of(25) {
                 let actions = self.cell.tick(self.now, self.now * 1_000);
                 self.carry_out(actions);
-                for action in self.cell.flush() {
+                for action in self.cell.write_shards() {
                     if let Action::Write { key, .. } = action {
-                        self.cell.written(&key, WriteOutcome::Committed);
+                        self.cell.finish_write(&key, WriteOutcome::Committed);
                     }
                 }
             }
@@ -248,7 +248,7 @@
             }
             let actions =
                 self.cell
-                    .ended(self.now, self.now * 1_000, ticket, SendOutcome::Answered);
+                    .finish_send(self.now, self.now * 1_000, ticket, SendOutcome::Answered);
             self.carry_out(actions);
         }
     }
@@ -315,7 +315,7 @@
                 };
                 let result = self.workers[number(&worker)].start(now, now, start);
                 let called = result.map_or(CallOutcome::Refused, |()| CallOutcome::Done(0));
-                self.cell.started(now, &worker, run.id, called)
+                self.cell.finish_start(now, &worker, run.id, called)
             }
             Action::Stop {
                 worker,
@@ -325,7 +325,7 @@
             } => {
                 let result = self.workers[number(&worker)].stop(now, 1, run, checkpoint);
                 let called = result.map_or(CallOutcome::Refused, CallOutcome::Done);
-                self.cell.stopped(now, micros, &worker, run, called)
+                self.cell.finish_stop(now, micros, &worker, run, called)
             }
             Action::Throttle {
                 worker, run, share, ..
@@ -333,7 +333,7 @@
                 let result = self.workers[number(&worker)].throttle(now, 1, run, share);
                 let called = result.map_or(CallOutcome::Refused, |()| CallOutcome::Done(0));
                 self.cell
-                    .throttled(now, micros, &worker, run, share, called)
+                    .finish_throttle(now, micros, &worker, run, share, called)
             }
             Action::Write { .. } => Vec::new(),
         }
@@ -364,7 +364,7 @@
         let reply = PollReply {
             shape: host.shape,
             tickets,
-            foreign,
+            foreign_requests: foreign,
             runs,
             samples,
             ..PollReply::default()
@@ -376,7 +376,7 @@
         };
         let reply = PollOutcome::Reply(reply);
         self.cell
-            .synced(self.now, self.now * 1_000, worker, asked, reply)
+            .finish_poll(self.now, self.now * 1_000, worker, asked, reply)
             .1
     }
 }
--- a/src/cell.rs
+++ b/src/cell.rs
@@ -180,7 +180,7 @@
 
 impl Reason {
     /// Returns the word for headers, logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::NoRoom => "no-room",
             Self::Deadline => "deadline",
@@ -197,7 +197,7 @@
     }
 
     /// Returns the reason for a word, or [`Reason::Refused`].
-    pub fn of(word: &str) -> Self {
+    pub fn parse(word: &str) -> Self {
         let all = [
             Self::NoRoom,
             Self::Deadline,
@@ -212,7 +212,7 @@
             Self::Invalid,
         ];
         all.into_iter()
-            .find(|r| r.word() == word)
+            .find(|r| r.as_str() == word)
             .unwrap_or(Self::Refused)
     }
 }
@@ -236,7 +236,7 @@
         /// Why.
         reason: Reason,
         /// Milliseconds after which to come back.
-        after: Millis,
+        retry_after: Millis,
     },
     /// Exchange state with a worker and renew the leases of its runs.
     Poll {
@@ -289,7 +289,7 @@
         /// Key of the row.
         key: Name,
         /// Version the row must have.
-        expect: u64,
+        expected_version: u64,
         /// New contents.
         row: job::JobShardRow,
     },
--- a/src/cell/outcome.rs
+++ b/src/cell/outcome.rs
@@ -25,7 +25,7 @@
 
 impl Cell {
     /// Takes in how a start ended.
-    pub fn started(
+    pub fn finish_start(
         &mut self,
         now: Millis,
         name: &Name,
@@ -54,7 +54,7 @@
             }
             CallOutcome::Refused => {
                 if let Some(run) = worker.end_run(now, id) {
-                    self.unstarted(&run);
+                    self.requeue(&run);
                 }
             }
         }
@@ -81,8 +81,8 @@
     }
 
     /// Puts a task back whose run never started.
-    fn unstarted(&mut self, run: &Run) {
-        let ended = self.uncount(run);
+    fn requeue(&mut self, run: &Run) {
+        let ended = self.release_quota(run);
         let Some((shard, index)) = ended else {
             return;
         };
@@ -95,18 +95,20 @@
     }
 
     /// Takes a run out of its team's count; returns the task if it is its run.
-    fn uncount(&mut self, run: &Run) -> Option<(&mut JobShard, usize)> {
-        let (shard, index) = self.task(&run.job, run.task)?;
+    fn release_quota(&mut self, run: &Run) -> Option<(&mut JobShard, usize)> {
+        let (shard, index) = self.find_task(&run.job, run.task)?;
         let team = shard.row.spec.team.clone();
-        if let Some(used) = self.teams.get_mut(&team) {
+        if let Some(used) = self.team_cores.get_mut(&team) {
             *used = used.saturating_sub(u64::from(run.size.cores));
         }
-        let (shard, index) = self.task(&run.job, run.task).filter(|(_, i)| *i == index)?;
+        let (shard, index) = self
+            .find_task(&run.job, run.task)
+            .filter(|(_, i)| *i == index)?;
         (shard.states[index] == TaskState::Running(run.id)).then_some((shard, index))
     }
 
     /// Takes in how a stop ended.
-    pub fn stopped(
+    pub fn finish_stop(
         &mut self,
         now: Millis,
         micros: u64,
@@ -121,15 +123,15 @@
         if let CallOutcome::Done(kept) = called
             && let Some(run) = worker.end_run(now, id)
         {
-            self.end(now, name, &run, RunState::Stopped, kept);
+            self.end_run(now, name, &run, RunState::Stopped, kept);
         }
-        self.pump(now, micros)
+        self.send_queued(now, micros)
     }
 
     /// Takes in that a run has ended; its task's row is changed and written.
-    pub fn end(&mut self, now: Millis, name: &Name, run: &Run, state: RunState, kept: Millis) {
+    pub fn end_run(&mut self, now: Millis, name: &Name, run: &Run, state: RunState, kept: Millis) {
         let failures = self.policy.failure_limit;
-        let Some((shard, index)) = self.uncount(run) else {
+        let Some((shard, index)) = self.release_quota(run) else {
             return;
         };
         let task = &mut shard.row.tasks[index];
@@ -157,14 +159,14 @@
         shard.acks.push((name.clone(), run.id));
         let job = run.job.clone();
         match state {
-            RunState::Finished => self.succeeded(name),
-            RunState::Failed => self.strike(now, name, job),
+            RunState::Finished => self.record_success(name),
+            RunState::Failed => self.record_failure(now, name, job),
             RunState::Stopped | RunState::Running => {}
         }
     }
 
-    fn succeeded(&mut self, name: &Name) {
-        self.finished += 1;
+    fn record_success(&mut self, name: &Name) {
+        self.finished_tasks += 1;
         if let Some(worker) = self.workers.get_mut(name) {
             worker.failed_jobs.clear();
             worker.quarantines = 0;
@@ -173,7 +175,7 @@
 
     /// Counts a failed run; a worker that fails the tasks of several jobs is
     /// put in quarantine, and those failures no longer count for the tasks.
-    fn strike(&mut self, now: Millis, name: &Name, job: Name) {
+    fn record_failure(&mut self, now: Millis, name: &Name, job: Name) {
         let quarantine = self.policy.first_quarantine;
         let listed = self.workers.values().filter(|w| w.listed).count();
         let shut = self
@@ -207,12 +209,12 @@
     }
 
     /// Takes in a worker's word on a run.
-    pub fn settle(&mut self, now: Millis, name: &Name, report: &RunReport) -> Option<Action> {
+    pub fn apply_report(&mut self, now: Millis, name: &Name, report: &RunReport) -> Option<Action> {
         let worker = self.workers.get_mut(name)?;
         if report.state != RunState::Running {
             let held = worker.end_run(now, report.id);
             let run = held.unwrap_or_else(|| adopted(report, now));
-            self.settle_ended(now, name, &run, report);
+            self.apply_end(now, name, &run, report);
             return None;
         }
         if worker.has_ended_run(report.id) {
@@ -239,12 +241,12 @@
         if !self.loaded {
             return None;
         }
-        self.adopt(name, report, now)
+        self.adopt_run(name, report, now)
     }
 
     /// Ties a running run to its task, or stops it when it has none.
-    fn adopt(&mut self, name: &Name, report: &RunReport, now: Millis) -> Option<Action> {
-        let Some((shard, index)) = self.task(&report.job, report.task) else {
+    fn adopt_run(&mut self, name: &Name, report: &RunReport, now: Millis) -> Option<Action> {
+        let Some((shard, index)) = self.find_task(&report.job, report.task) else {
             return self.stop_once(name, report.id);
         };
         match shard.states[index] {
@@ -254,7 +256,7 @@
                 let team = shard.row.spec.team.clone();
                 let urgent = shard.row.spec.urgent;
                 let saved = shard.row.tasks[index].saved;
-                *self.teams.entry(team).or_default() += u64::from(report.size.cores);
+                *self.team_cores.entry(team).or_default() += u64::from(report.size.cores);
                 let worker = self.workers.get_mut(name)?;
                 worker.update_run(report.id, |r| {
                     r.urgent = urgent;
@@ -288,18 +290,18 @@
     }
 
     /// Takes in a worker's word on a run that has ended.
-    fn settle_ended(&mut self, now: Millis, name: &Name, run: &Run, report: &RunReport) {
-        let Some((shard, index)) = self.task(&run.job, run.task) else {
+    fn apply_end(&mut self, now: Millis, name: &Name, run: &Run, report: &RunReport) {
+        let Some((shard, index)) = self.find_task(&run.job, run.task) else {
             return self.acknowledge(name, run.id);
         };
         match shard.states[index] {
             TaskState::Running(id) if id == run.id => {
-                self.end(now, name, run, report.state, report.progress);
+                self.end_run(now, name, run, report.state, report.progress);
             }
             // A finished task is done, whichever of its runs finished it.
             TaskState::Held if report.state == RunState::Finished => {
                 shard.states[index] = TaskState::Running(run.id);
-                self.end(now, name, run, report.state, report.progress);
+                self.end_run(now, name, run, report.state, report.progress);
             }
             // It may not be the last run of the task: its work is kept, and
             // the task is held on.
@@ -315,7 +317,7 @@
 
     /// Lets a worker forget a run, unless its end is yet to be recorded.
     fn acknowledge(&mut self, name: &Name, id: RunId) {
-        if !self.loaded || self.awaits(id) {
+        if !self.loaded || self.has_unrecorded_end(id) {
             return;
         }
         if let Some(worker) = self.workers.get_mut(name)
@@ -325,7 +327,7 @@
         }
     }
 
-    fn awaits(&self, id: RunId) -> bool {
+    fn has_unrecorded_end(&self, id: RunId) -> bool {
         let pending = |w: &PendingWrite| w.acks.iter().any(|(_, r)| *r == id);
         self.shards.values().any(|l| {
             l.acks.iter().any(|(_, r)| *r == id) || l.pending_write.as_ref().is_some_and(pending)
@@ -333,7 +335,7 @@
     }
 
     /// Takes in that a run is not on its worker any more and left no word.
-    pub fn vanish(&mut self, now: Millis, name: &Name, id: RunId) {
+    pub fn lose_run(&mut self, now: Millis, name: &Name, id: RunId) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -341,18 +343,18 @@
             return;
         };
         match run.phase {
-            RunPhase::InDoubt | RunPhase::Starting => self.unstarted(&run),
-            _ => self.end(now, name, &run, RunState::Stopped, run.saved),
+            RunPhase::InDoubt | RunPhase::Starting => self.requeue(&run),
+            _ => self.end_run(now, name, &run, RunState::Stopped, run.saved),
         }
         if run.phase != RunPhase::Stopping && now < run.phase_since + YOUNG {
-            self.count_vanished(&run);
+            self.count_lost_run(&run);
         }
     }
 
     /// Counts a young run that went without a word. A task that brings its workers down
     /// reports no failure, and would take one after the other.
-    fn count_vanished(&mut self, run: &Run) {
-        let Some((shard, index)) = self.task(&run.job, run.task) else {
+    fn count_lost_run(&mut self, run: &Run) {
+        let Some((shard, index)) = self.find_task(&run.job, run.task) else {
             return;
         };
         let count = shard.vanished_runs.entry(index).or_insert(0);
--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -65,12 +65,12 @@
     }
 
     /// Takes the last batch request out, to make place for a critical one.
-    fn shed(&mut self) -> Option<PendingRequest> {
+    fn shed_batch(&mut self) -> Option<PendingRequest> {
         let entry = self.waiting.last_entry()?;
         (entry.key().0 == Class::Batch).then(|| entry.remove())
     }
 
-    fn ahead(&self, class: Class) -> usize {
+    fn count_ahead(&self, class: Class) -> usize {
         let end = (class, Millis::MAX, u64::MAX);
         self.waiting.range(..=end).count()
     }
@@ -80,7 +80,7 @@
         std::mem::take(&mut self.waiting).into_values().collect()
     }
 
-    fn expire(&mut self, late: impl Fn(&PendingRequest) -> bool) -> Vec<PendingRequest> {
+    fn take_expired(&mut self, late: impl Fn(&PendingRequest) -> bool) -> Vec<PendingRequest> {
         let ranks: Vec<QueueKey> = self
             .waiting
             .iter()
@@ -114,22 +114,22 @@
     /// Takes in a request; it is sent, queued or refused.
     pub fn admit(&mut self, now: Millis, micros: u64, ask: PendingRequest) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.note_use(now, &ask.service);
+        self.record_use(now, &ask.service);
         if self.leaving {
             let after = COME_BACK.0;
             actions.push(refuse(&ask, Reason::Stopping, after));
             return actions;
         }
-        let expected = self.expected(&ask.service);
+        let expected = self.expected_latency(&ask.service);
         if now + expected > ask.deadline {
             actions.push(refuse(
                 &ask,
                 Reason::Deadline,
-                self.wait(now, ask.class, &ask.service),
+                self.expected_wait(now, ask.class, &ask.service),
             ));
             return actions;
         }
-        let behind = self.queue.ahead(ask.class) > 0;
+        let behind = self.queue.count_ahead(ask.class) > 0;
         if !behind && let Some(action) = self.dispatch(now, micros, &ask) {
             actions.push(action);
             return actions;
@@ -138,16 +138,16 @@
         actions
     }
 
-    fn note_use(&mut self, now: Millis, service: &Name) {
-        match self.used.get_mut(service) {
+    fn record_use(&mut self, now: Millis, service: &Name) {
+        match self.last_requests.get_mut(service) {
             Some(at) => *at = now,
-            None => drop(self.used.insert(service.clone(), now)),
+            None => drop(self.last_requests.insert(service.clone(), now)),
         }
     }
 
     fn enqueue(&mut self, now: Millis, ask: PendingRequest, actions: &mut Vec<Action>) {
-        let wait = self.wait(now, ask.class, &ask.service);
-        let expected = self.expected(&ask.service);
+        let wait = self.expected_wait(now, ask.class, &ask.service);
+        let expected = self.expected_latency(&ask.service);
         let open = self.workers.values().any(|w| w.accepts_work(now));
         if !open || now + wait + expected > ask.deadline {
             let reason = if open {
@@ -160,7 +160,7 @@
         }
         if self.queue.len() >= self.policy.queue_limit {
             let shed = match ask.class {
-                Class::Critical => self.queue.shed(),
+                Class::Critical => self.queue.shed_batch(),
                 Class::Batch => None,
             };
             match shed {
@@ -172,13 +172,13 @@
         let size = ask.size;
         self.queue.push(ask);
         if class == Class::Critical {
-            actions.extend(self.make_room(now, size));
+            actions.extend(self.free_resources(now, size));
         }
     }
 
     /// Sends a request to the best worker with room, if there is one.
     fn dispatch(&mut self, now: Millis, micros: u64, ask: &PendingRequest) -> Option<Action> {
-        let name = self.pick(now, ask)?;
+        let name = self.select_worker(now, ask)?;
         let worker = self.workers.get_mut(&name)?;
         if !worker.check_stays() {
             return None;
@@ -198,7 +198,7 @@
         })
     }
 
-    fn pick(&mut self, now: Millis, ask: &PendingRequest) -> Option<Name> {
+    fn select_worker(&mut self, now: Millis, ask: &PendingRequest) -> Option<Name> {
         let open = self.workers.values().filter(|w| w.accepts_work(now));
         let (total, sound) = open.fold((0, 0), |(total, sound), worker| {
             (total + 1, sound + usize::from(worker.ejected_until <= now))
@@ -220,8 +220,8 @@
                 candidates.get(index).copied()
             }
             Selection::RoundRobin => {
-                self.turn += 1;
-                let index = self.turn.checked_rem(count).unwrap_or(0) as usize;
+                self.next_turn += 1;
+                let index = self.next_turn.checked_rem(count).unwrap_or(0) as usize;
                 candidates.get(index).copied()
             }
             Selection::Learned => {
@@ -244,14 +244,14 @@
                     / f64::from(WHOLE)
             })
             .sum();
-        let mean = self.means.get(service).copied().unwrap_or(GUESS);
+        let mean = self.mean_latencies.get(service).copied().unwrap_or(GUESS);
         let measured = (worker.mean_latency / mean - 1.0).clamp(0.0, 4.0);
         let load = f64::from(worker.used_slots()) / f64::from(worker.shape.slots.max(1));
         1.0 + hurt.max(measured * 0.5) + load
     }
 
     /// Takes in how a send ended, and gives its slot to who waits.
-    pub fn ended(
+    pub fn finish_send(
         &mut self,
         now: Millis,
         micros: u64,
@@ -269,7 +269,10 @@
                 if let Some(active) = worker.remove_request(ticket) {
                     let took = micros.saturating_sub(active.sent_us);
                     worker.record_answer(took);
-                    let mean = self.means.entry(active.service).or_insert(took as f64);
+                    let mean = self
+                        .mean_latencies
+                        .entry(active.service)
+                        .or_insert(took as f64);
                     *mean += SMOOTH * (took as f64 - *mean);
                 }
             }
@@ -289,11 +292,11 @@
                 strike(worker, now);
             }
         }
-        self.pump(now, micros)
+        self.send_queued(now, micros)
     }
 
     /// Sends what waits while there is room.
-    pub fn pump(&mut self, now: Millis, micros: u64) -> Vec<Action> {
+    pub fn send_queued(&mut self, now: Millis, micros: u64) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some(ask) = self.queue.pop() {
             if now >= ask.deadline {
@@ -312,18 +315,18 @@
     }
 
     /// Refuses at once what can't be answered in time any more.
-    pub fn expire(&mut self, now: Millis) -> Vec<Action> {
-        let means = &self.means;
+    pub fn refuse_expired(&mut self, now: Millis) -> Vec<Action> {
+        let means = &self.mean_latencies;
         let late = |ask: &PendingRequest| {
             let mean = means.get(&ask.service).copied().unwrap_or(0.0);
             now + (mean / 1_000.0) as Millis > ask.deadline
         };
-        let expired = self.queue.expire(late);
+        let expired = self.queue.take_expired(late);
         let told = |ask: &PendingRequest| {
             refuse(
                 ask,
                 Reason::Deadline,
-                self.wait(now, ask.class, &ask.service),
+                self.expected_wait(now, ask.class, &ask.service),
             )
         };
         expired.iter().map(told).collect()
@@ -339,21 +342,21 @@
     }
 
     /// Returns the mean answer time of a service in whole milliseconds.
-    pub fn expected(&self, service: &str) -> Millis {
-        let mean = self.means.get(service).copied().unwrap_or(0.0);
+    pub fn expected_latency(&self, service: &str) -> Millis {
+        let mean = self.mean_latencies.get(service).copied().unwrap_or(0.0);
         (mean / 1_000.0) as Millis
     }
 
     /// Returns the expected wait of a new request in milliseconds.
-    pub fn wait(&self, now: Millis, class: Class, service: &str) -> Millis {
+    pub fn expected_wait(&self, now: Millis, class: Class, service: &str) -> Millis {
         let slots: u32 = self
             .workers
             .values()
             .filter(|w| w.accepts_work(now))
             .map(|w| w.shape.slots)
             .sum();
-        let mean = self.means.get(service).copied().unwrap_or(GUESS);
-        let ahead = self.queue.ahead(class) as f64 + 1.0;
+        let mean = self.mean_latencies.get(service).copied().unwrap_or(GUESS);
+        let ahead = self.queue.count_ahead(class) as f64 + 1.0;
         let wait = ahead * mean / f64::from(slots.max(1)) / 1_000.0;
         (wait as Millis).clamp(COME_BACK.0, COME_BACK.1)
     }
@@ -370,6 +373,6 @@
     Action::Refuse {
         ticket: ask.ticket,
         reason,
-        after: after.clamp(COME_BACK.0, COME_BACK.1),
+        retry_after: after.clamp(COME_BACK.0, COME_BACK.1),
     }
 }
--- a/src/cell/shard.rs
+++ b/src/cell/shard.rs
@@ -27,7 +27,7 @@
 
 impl TaskState {
     /// Returns the word for operators.
-    pub fn word(&self, phase: Phase) -> &'static str {
+    pub fn as_str(&self, phase: Phase) -> &'static str {
         match (self, phase) {
             (Self::Waiting, _) => "waiting",
             (Self::Held, _) => "held",
@@ -78,11 +78,11 @@
             Phase::Open => TaskState::Held,
             _ => TaskState::Ended,
         };
-        let live = versioned.row.tasks.iter().map(|t| start(t.phase)).collect();
+        let states = versioned.row.tasks.iter().map(|t| start(t.phase)).collect();
         Self {
             version: versioned.version,
             row: versioned.row,
-            states: live,
+            states,
             cancelled: false,
             last_start: now,
             dirty: false,
@@ -117,30 +117,30 @@
 
 impl Cell {
     /// Takes in the job shards of the cell as read after it was won.
-    pub fn load(&mut self, now: Millis, shards: Vec<VersionedShard>) {
+    pub fn load_shards(&mut self, now: Millis, shards: Vec<VersionedShard>) {
         // Nothing of an earlier owner can be running where there was none.
         let fresh = self.epoch == 1;
         for versioned in shards {
-            self.add(now, versioned, fresh);
+            self.add_shard(now, versioned, fresh);
         }
         self.loaded = true;
-        self.read = now;
+        self.loaded_at = now;
     }
 
     /// Takes in a job shard that was read later: new, or known already.
-    pub fn offer(&mut self, now: Millis, versioned: VersionedShard) {
+    pub fn add_new_shard(&mut self, now: Millis, versioned: VersionedShard) {
         // A read that is older than the end of a job shard must not bring it back.
-        let closed = self.closed.get(&versioned.key);
+        let closed = self.ended_shards.get(&versioned.key);
         let old = closed.is_some_and(|version| versioned.version <= *version);
         if old || self.shards.contains_key(&versioned.key) || !self.loaded {
             return;
         }
         // Another owner's mark means that it may have been started before.
         let fresh = versioned.row.epoch == 0;
-        self.add(now, versioned, fresh);
+        self.add_shard(now, versioned, fresh);
     }
 
-    pub(super) fn add(&mut self, now: Millis, versioned: VersionedShard, fresh: bool) {
+    pub(super) fn add_shard(&mut self, now: Millis, versioned: VersionedShard, fresh: bool) {
         let key = versioned.key.clone();
         let shard = JobShard::new(now, versioned, fresh);
         if !shard.is_ended() {
@@ -149,7 +149,7 @@
     }
 
     /// Returns the run of a task and its worker.
-    pub fn run(&self, live: &TaskState) -> Option<(&Worker, &Run)> {
+    pub fn find_run(&self, live: &TaskState) -> Option<(&Worker, &Run)> {
         let TaskState::Running(id) = live else {
             return None;
         };
@@ -159,7 +159,7 @@
     }
 
     /// Cancels the tasks of some jobs; what runs is stopped.
-    pub fn cancel(&mut self, jobs: &[Name]) -> Vec<Action> {
+    pub fn cancel_jobs(&mut self, jobs: &[Name]) -> Vec<Action> {
         for shard in self.shards.values_mut() {
             if !jobs.contains(&shard.row.spec.id) || shard.cancelled {
                 continue;
@@ -183,13 +183,13 @@
     /// A start that it sent may lie unread before a worker that stands still,
     /// so every listed worker must have answered, and some time ago. What it
     /// told before the job shards were read is told again by its next answer.
-    pub fn unhold(&mut self, now: Millis) {
-        let since = self.read + self.times.sync * SILENT;
+    pub fn release_held_tasks(&mut self, now: Millis) {
+        let since = self.loaded_at + self.timings.poll_interval * SILENT;
         let told = |w: &Worker| {
             w.responsive && w.valid_until >= since && now > w.responsive_since + self.margin
         };
         let settled = |w: &Worker| !w.listed || told(w);
-        if now < self.hold || !self.loaded || !self.workers.values().all(settled) {
+        if now < self.hold_until || !self.loaded || !self.workers.values().all(settled) {
             return;
         }
         for shard in self.shards.values_mut() {
@@ -209,7 +209,7 @@
     }
 
     /// Returns the job shard of a task and its place in there.
-    pub(super) fn task(&mut self, job: &Name, task: u32) -> Option<(&mut JobShard, usize)> {
+    pub(super) fn find_task(&mut self, job: &Name, task: u32) -> Option<(&mut JobShard, usize)> {
         let holds = |l: &&mut JobShard| l.row.spec.id == *job && l.task_index(task).is_some();
         let shard = self.shards.values_mut().find(holds)?;
         let index = shard.task_index(task)?;
--- a/src/cell/start.rs
+++ b/src/cell/start.rs
@@ -36,20 +36,20 @@
 
 impl Cell {
     /// Starts waiting tasks where there is room.
-    pub fn start(&mut self, now: Millis) -> Vec<Action> {
+    pub fn start_tasks(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.leaving || !self.loaded {
             return actions;
         }
         let mut passed = BTreeSet::new();
         while actions.len() < STARTS {
-            let Some(key) = self.next(&passed) else {
+            let Some(key) = self.next_shard(&passed) else {
                 break;
             };
-            match self.start_one(now, &key) {
+            match self.start_task(now, &key) {
                 Some(action) => actions.push(action),
                 None => {
-                    actions.extend(self.start_urgent(now, &key));
+                    actions.extend(self.preempt_for(now, &key));
                     passed.insert(key);
                 }
             }
@@ -59,7 +59,7 @@
 
     /// Returns the job shard whose task is to start next: urgent ones first, then
     /// the team with the least of its quota in use, then the oldest.
-    fn next(&self, passed: &BTreeSet<Name>) -> Option<Name> {
+    fn next_shard(&self, passed: &BTreeSet<Name>) -> Option<Name> {
         let ready = self
             .shards
             .iter()
@@ -69,8 +69,8 @@
             .filter(|(_, shard)| self.within_quota(shard));
         let rank = |(key, shard): &(&Name, &JobShard)| {
             let team = &shard.row.spec.team;
-            let used = self.teams.get(team).copied().unwrap_or(0);
-            let weight = self.weight(team);
+            let used = self.team_cores.get(team).copied().unwrap_or(0);
+            let weight = self.team_weight(team);
             let share = (used as f64 / weight * 1_000.0) as u64;
             (
                 !shard.row.spec.urgent,
@@ -87,23 +87,23 @@
         let Some(quota) = self.quotas.get(&spec.team) else {
             return true;
         };
-        let used = self.teams.get(&spec.team).copied().unwrap_or(0);
+        let used = self.team_cores.get(&spec.team).copied().unwrap_or(0);
         // The quota of the deployment, by this cell's share of its cores; one
         // task always may run, or a small cell could never serve a team.
-        let part = (quota.cores as f64 * self.part) as u64;
+        let part = (quota.cores as f64 * self.capacity_share) as u64;
         used == 0 || used + u64::from(spec.size.cores) <= part
     }
 
-    fn weight(&self, team: &str) -> f64 {
+    fn team_weight(&self, team: &str) -> f64 {
         let quota = self.quotas.get(team);
         quota.map_or(1.0, |q| f64::from(q.weight.max(1)))
     }
 
-    fn start_one(&mut self, now: Millis, key: &Name) -> Option<Action> {
+    fn start_task(&mut self, now: Millis, key: &Name) -> Option<Action> {
         let shard = self.shards.get(key)?;
         let index = shard.states.iter().position(|l| *l == TaskState::Waiting)?;
         let spec = shard.row.spec.clone();
-        let size = self.corrected(&spec.kind, spec.size);
+        let size = self.corrected_size(&spec.kind, spec.size);
         let shunned = shard.failed_on.get(&index).cloned();
         let saved = shard.row.tasks[index].saved;
         let task = shard.row.tasks[index].index;
@@ -114,12 +114,12 @@
             starved: now >= shard.last_start + STARVED,
             shunned,
         };
-        let (name, share) = self.place(now, wanted)?;
-        if self.runs_already(&spec.id, task) || !self.workers.get(&name)?.check_stays() {
+        let (name, share) = self.select_task_worker(now, wanted)?;
+        if self.has_run(&spec.id, task) || !self.workers.get(&name)?.check_stays() {
             return None;
         }
-        self.counter += 1;
-        let id = (self.epoch << 32) | self.counter;
+        self.run_counter += 1;
+        let id = (self.epoch << 32) | self.run_counter;
         let worker = self.workers.get_mut(&name)?;
         let run = Run {
             id,
@@ -134,7 +134,7 @@
             saved,
             progress: saved,
             phase_since: now,
-            poll_round: self.round,
+            poll_round: self.poll_round,
             urgent: spec.urgent,
         };
         worker.add_run(run.clone());
@@ -143,7 +143,7 @@
             format!("start on {name}")
         });
         let rpc = worker.rpc;
-        *self.teams.entry(spec.team.clone()).or_default() += u64::from(size.cores);
+        *self.team_cores.entry(spec.team.clone()).or_default() += u64::from(size.cores);
         if let Some(shard) = self.shards.get_mut(key) {
             shard.last_start = now;
             let before = std::mem::replace(&mut shard.states[index], TaskState::Running(id));
@@ -160,7 +160,7 @@
     }
 
     /// Returns true when a run of a task is held anywhere in the cell.
-    fn runs_already(&self, job: &Name, task: u32) -> bool {
+    fn has_run(&self, job: &Name, task: u32) -> bool {
         let twin = |r: &Run| r.task == task && r.job == *job;
         let found = self.workers.values().any(|w| w.runs.values().any(twin));
         let detail = || format!("{job} {task} would start beside a run of it");
@@ -168,13 +168,13 @@
     }
 
     /// Makes room for urgent work: the run whose stop loses least yields.
-    fn start_urgent(&mut self, now: Millis, key: &Name) -> Option<Action> {
+    fn preempt_for(&mut self, now: Millis, key: &Name) -> Option<Action> {
         let shard = self.shards.get(key)?;
         let spec = &shard.row.spec;
         if !spec.urgent {
             return None;
         }
-        let size = self.corrected(&spec.kind, spec.size);
+        let size = self.corrected_size(&spec.kind, spec.size);
         let yielding = self
             .workers
             .values()
@@ -197,7 +197,7 @@
     }
 
     /// Returns a worker for a task and the share with which it may start.
-    fn place(&mut self, now: Millis, wanted: WaitingTask) -> Option<(Name, u32)> {
+    fn select_task_worker(&mut self, now: Millis, wanted: WaitingTask) -> Option<(Name, u32)> {
         let reserve = if wanted.urgent {
             0.0
         } else {
@@ -223,8 +223,8 @@
                 candidates.get(index).copied()
             }
             Selection::RoundRobin => {
-                self.turn += 1;
-                let index = self.turn.checked_rem(count).unwrap_or(0) as usize;
+                self.next_turn += 1;
+                let index = self.next_turn.checked_rem(count).unwrap_or(0) as usize;
                 candidates.get(index).copied()
             }
             Selection::Learned => return self.least_interference(now, candidates, &wanted),
@@ -242,13 +242,13 @@
     ) -> Option<(Name, u32)> {
         let scored = workers
             .into_iter()
-            .map(|w| (self.hurt(now, w, wanted.kind), w));
+            .map(|w| (self.expected_interference(now, w, wanted.kind), w));
         let ((present, added), worker) =
             scored.min_by(|(a, _), (b, _)| (a.0 + a.1).total_cmp(&(b.0 + b.1)))?;
         if wanted.urgent {
             return Some((worker.name.clone(), WHOLE));
         }
-        let bearable = self.bearable() - 1.0;
+        let bearable = self.slowdown_limit() - 1.0;
         let hurt = |share: u32| present + added * f64::from(share) / f64::from(WHOLE);
         let share = SHARES.into_iter().find(|share| hurt(*share) <= bearable);
         let share = share.or(wanted.starved.then_some(LOWEST))?;
@@ -258,11 +258,11 @@
     /// Returns the slowdown above 1 that services see on a worker now, and
     /// what one more run of a kind would add at its whole share. Of several
     /// services the one that would be hurt most counts.
-    fn hurt(&self, now: Millis, worker: &Worker, kind: &str) -> (f64, f64) {
+    fn expected_interference(&self, now: Millis, worker: &Worker, kind: &str) -> (f64, f64) {
         let busy = worker.is_busy();
         let mut worst = (0.0, 0.0);
         let in_use = |at: &Millis| now < at + IN_USE;
-        for (service, _) in self.used.iter().filter(|(_, at)| in_use(at)) {
+        for (service, _) in self.last_requests.iter().filter(|(_, at)| in_use(at)) {
             let present: f64 = worker
                 .runs
                 .values()
@@ -280,13 +280,18 @@
     }
 
     /// Returns the slowdown of services at which batch has to yield.
-    pub fn bearable(&self) -> f64 {
+    pub fn slowdown_limit(&self) -> f64 {
         2.5 - 1.5 * self.policy.tail_weight
     }
 
     /// Raises a declared size to what runs of the kind were seen to use.
-    fn corrected(&self, kind: &str, size: Size) -> Size {
-        let factor = self.usage.get(kind).copied().unwrap_or(1.0).clamp(1.0, 4.0);
+    fn corrected_size(&self, kind: &str, size: Size) -> Size {
+        let factor = self
+            .usage_factors
+            .get(kind)
+            .copied()
+            .unwrap_or(1.0)
+            .clamp(1.0, 4.0);
         let cores = (f64::from(size.cores) * factor) as u32;
         let most = self.workers.values().map(|w| w.shape.cores).max();
         Size {
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -43,7 +43,7 @@
     /// Requests of this epoch in progress.
     pub tickets: Vec<u64>,
     /// Requests of earlier epochs in progress.
-    pub foreign: u32,
+    pub foreign_requests: u32,
     /// Runs that go on, and ended ones that are not acknowledged.
     pub runs: Vec<RunReport>,
     /// Late measurements.
@@ -87,11 +87,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timings {
     /// Lease of runs on workers.
-    pub task: Millis,
+    pub run_lease: Millis,
     /// Margin for slow sends and clock drift.
     pub margin: Millis,
     /// Between two exchanges with the same worker.
-    pub sync: Millis,
+    pub poll_interval: Millis,
 }
 
 /// State of one owned cell.
@@ -108,38 +108,38 @@
     /// What teams may use.
     pub quotas: BTreeMap<Name, Quota>,
     /// The cell's part of the deployment's cores, from 0 to 1.
-    pub part: f64,
+    pub capacity_share: f64,
     /// Workers by name.
     pub workers: BTreeMap<Name, Worker>,
     /// Job shards by key.
     pub shards: BTreeMap<Name, JobShard>,
     /// Versions of the rows of job shards that ended under this epoch.
-    pub closed: BTreeMap<Name, u64>,
+    pub ended_shards: BTreeMap<Name, u64>,
     /// Tasks evicted under this epoch.
     pub evictions: u64,
     /// Tasks finished under this epoch.
-    pub finished: u64,
+    pub finished_tasks: u64,
     /// Learned interference.
     pub interference: InterferenceEstimates,
     /// Mean answer time of each service in microseconds.
-    pub means: HashMap<Name, f64>,
+    pub mean_latencies: HashMap<Name, f64>,
     /// When a request to each service last came.
-    pub(super) used: BTreeMap<Name, Millis>,
+    pub(super) last_requests: BTreeMap<Name, Millis>,
     pub(super) slowdowns: BTreeMap<Name, f64>,
-    pub(super) usage: BTreeMap<Name, f64>,
-    pub(super) teams: BTreeMap<Name, u64>,
+    pub(super) usage_factors: BTreeMap<Name, f64>,
+    pub(super) team_cores: BTreeMap<Name, u64>,
     pub(super) queue: Queue,
     pub(super) tickets: BTreeMap<u64, Name>,
     pub(super) random: Random,
-    pub(super) turn: u64,
-    pub(super) counter: u64,
-    pub(super) round: u64,
-    pub(super) hold: Millis,
+    pub(super) next_turn: u64,
+    pub(super) run_counter: u64,
+    pub(super) poll_round: u64,
+    pub(super) hold_until: Millis,
     /// When the job shards were read: what workers told before settled nothing.
-    pub(super) read: Millis,
+    pub(super) loaded_at: Millis,
     pub(super) loaded: bool,
     pub(super) margin: Millis,
-    pub(super) times: Timings,
+    pub(super) timings: Timings,
 }
 
 impl Cell {
@@ -152,34 +152,34 @@
             leaving: false,
             policy,
             quotas: BTreeMap::new(),
-            part: 1.0,
+            capacity_share: 1.0,
             workers: BTreeMap::new(),
             shards: BTreeMap::new(),
-            closed: BTreeMap::new(),
+            ended_shards: BTreeMap::new(),
             evictions: 0,
-            finished: 0,
+            finished_tasks: 0,
             interference: InterferenceEstimates::default(),
-            means: HashMap::new(),
-            used: BTreeMap::new(),
+            mean_latencies: HashMap::new(),
+            last_requests: BTreeMap::new(),
             slowdowns: BTreeMap::new(),
-            usage: BTreeMap::new(),
-            teams: BTreeMap::new(),
+            usage_factors: BTreeMap::new(),
+            team_cores: BTreeMap::new(),
             queue: Queue::default(),
             tickets: BTreeMap::new(),
             random,
-            turn: 0,
-            counter: 0,
-            round: 0,
-            hold: now + times.task + times.margin,
-            read: now,
+            next_turn: 0,
+            run_counter: 0,
+            poll_round: 0,
+            hold_until: now + times.run_lease + times.margin,
+            loaded_at: now,
             loaded: false,
             margin: times.margin,
-            times,
+            timings: times,
         }
     }
 
     /// Sets the list of the cell's workers and those drained by operators.
-    pub fn places(&mut self, places: &[ListedWorker], drained: &BTreeSet<Name>) {
+    pub fn set_workers(&mut self, places: &[ListedWorker], drained: &BTreeSet<Name>) {
         for worker in self.workers.values_mut() {
             worker.listed = false;
         }
@@ -200,24 +200,24 @@
     }
 
     /// Returns the free slots of all workers.
-    pub fn free(&self, now: Millis) -> u32 {
+    pub fn free_slots(&self, now: Millis) -> u32 {
         let open = self.workers.values().filter(|w| w.accepts_work(now));
         open.map(Worker::free_slots).sum()
     }
 
     /// Returns the free cores of all workers in thousandths.
-    pub fn cores(&self, now: Millis) -> u64 {
+    pub fn free_cores(&self, now: Millis) -> u64 {
         let open = self.workers.values().filter(|w| w.accepts_work(now));
         open.map(|w| u64::from(w.free_cores())).sum()
     }
 
     /// Returns the number of requests that wait.
-    pub fn queued(&self) -> usize {
+    pub fn queued_requests(&self) -> usize {
         self.queue.len()
     }
 
     /// Returns true when no request waits or is in progress.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let sent = self.workers.values().any(|w| !w.requests.is_empty());
         let calling = |w: &Worker| {
             let phases = w.runs.values().map(|r| r.phase);
@@ -231,23 +231,23 @@
 
     /// Returns what is due at `now`.
     pub fn tick(&mut self, now: Millis, micros: u64) -> Vec<Action> {
-        let mut actions = self.sync(now);
-        self.lapse(now);
-        self.unhold(now);
-        actions.extend(self.expire(now));
-        actions.extend(self.pump(now, micros));
-        actions.extend(self.relieve(now));
-        actions.extend(self.start(now));
+        let mut actions = self.poll_workers(now);
+        self.end_lapsed_runs(now);
+        self.release_held_tasks(now);
+        actions.extend(self.refuse_expired(now));
+        actions.extend(self.send_queued(now, micros));
+        actions.extend(self.adjust_throttles(now));
+        actions.extend(self.start_tasks(now));
         actions
     }
 
-    fn sync(&mut self, now: Millis) -> Vec<Action> {
+    fn poll_workers(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.round += 1;
+        self.poll_round += 1;
         for worker in self.workers.values_mut() {
             let due = worker
                 .last_poll
-                .is_none_or(|at| now >= at + self.times.sync);
+                .is_none_or(|at| now >= at + self.timings.poll_interval);
             if worker.polling || !due {
                 continue;
             }
@@ -266,14 +266,14 @@
                 rpc: worker.rpc,
                 acks: std::mem::take(&mut worker.acks),
                 renew,
-                round: self.round,
+                round: self.poll_round,
             });
         }
         actions
     }
 
     /// Takes in how an exchange ended. Returns true when a higher epoch rules the worker.
-    pub fn synced(
+    pub fn finish_poll(
         &mut self,
         now: Millis,
         micros: u64,
@@ -301,11 +301,11 @@
         if !worker.responsive || now >= worker.valid_until {
             worker.responsive_since = now;
         }
-        worker.valid_until = sent + self.times.sync * SILENT;
+        worker.valid_until = sent + self.timings.poll_interval * SILENT;
         worker.responsive = true;
         worker.shape = reply.shape;
         worker.retiring = reply.leaving;
-        worker.foreign_requests = reply.foreign;
+        worker.foreign_requests = reply.foreign_requests;
         let gone: Vec<u64> = worker
             .requests
             .iter()
@@ -320,20 +320,20 @@
         let missing = absent(worker, sent, self.margin, &reply.runs);
         let mut actions = Vec::new();
         for id in missing {
-            self.vanish(now, name, id);
+            self.lose_run(now, name, id);
         }
         for report in &reply.runs {
-            actions.extend(self.settle(now, name, report));
+            actions.extend(self.apply_report(now, name, report));
         }
         if let Some(worker) = self.workers.get_mut(name) {
             worker.forget_ended_runs(sent);
         }
-        self.measure(name, &reply);
-        actions.extend(self.pump(now, micros));
+        self.record_measurements(name, &reply);
+        actions.extend(self.send_queued(now, micros));
         (false, actions)
     }
 
-    fn measure(&mut self, name: &Name, reply: &PollReply) {
+    fn record_measurements(&mut self, name: &Name, reply: &PollReply) {
         for sample in &reply.samples {
             self.interference.learn(sample);
             let slow = self.slowdowns.entry(name.clone()).or_insert(1.0);
@@ -347,7 +347,7 @@
                 continue;
             }
             let ratio = f64::from(report.usage) / f64::from(report.size.cores);
-            let factor = self.usage.entry(report.kind.clone()).or_insert(1.0);
+            let factor = self.usage_factors.entry(report.kind.clone()).or_insert(1.0);
             *factor += SMOOTH * (ratio - *factor);
         }
     }
@@ -357,13 +357,13 @@
     /// A start in doubt may lie unread before a worker that stands still, and
     /// not all workers refuse it later: it is over only when the worker has
     /// answered, or is gone from the list.
-    fn lapse(&mut self, now: Millis) {
-        let span = self.times.task + self.times.margin;
+    fn end_lapsed_runs(&mut self, now: Millis) {
+        let span = self.timings.run_lease + self.timings.margin;
         let mut lapsed: Vec<(Name, RunId)> = Vec::new();
         for worker in self.workers.values() {
             // An earlier owner may have renewed them until this one won.
             let end = self
-                .hold
+                .hold_until
                 .max(worker.lease_renewed.max(worker.renewal_sent) + span);
             if worker.responsive || now <= end {
                 continue;
@@ -373,7 +373,7 @@
             lapsed.extend(runs.map(|r| (worker.name.clone(), r.id)));
         }
         for (name, id) in lapsed {
-            self.vanish(now, &name, id);
+            self.lose_run(now, &name, id);
         }
     }
 }
--- a/src/cell/tests.rs
+++ b/src/cell/tests.rs
@@ -12,9 +12,9 @@
     accelerators: 0,
 };
 const TIMES: Timings = Timings {
-    task: 1_000,
+    run_lease: 1_000,
     margin: 200,
-    sync: 100,
+    poll_interval: 100,
 };
 
 fn place(index: usize) -> ListedWorker {
@@ -35,7 +35,7 @@
         acks: Vec::new(),
     };
     let name: Name = format!("w{worker}").into();
-    cell.synced(now, now * 1_000, &name, asked, PollOutcome::Reply(reply))
+    cell.finish_poll(now, now * 1_000, &name, asked, PollOutcome::Reply(reply))
         .1
 }
 
@@ -50,8 +50,8 @@
 fn cell(workers: usize) -> Cell {
     let mut cell = Cell::new("h/r".into(), 1, 0, Policy::default(), TIMES);
     let places: Vec<ListedWorker> = (0..workers).map(place).collect();
-    cell.places(&places, &Default::default());
-    cell.load(0, Vec::new());
+    cell.set_workers(&places, &Default::default());
+    cell.load_shards(0, Vec::new());
     for worker in 0..workers {
         answer(&mut cell, 0, worker, shaped());
     }
@@ -110,7 +110,7 @@
 #[test]
 fn a_worker_that_has_not_answered_is_full() {
     let mut cell = Cell::new("h/r".into(), 1, 0, Policy::default(), TIMES);
-    cell.places(&[place(0)], &Default::default());
+    cell.set_workers(&[place(0)], &Default::default());
     let actions = cell.admit(10, 10_000, ask(1, Class::Critical, 1_000));
     let [Action::Refuse { reason, .. }] = actions[..] else {
         panic!("{actions:?}");
@@ -129,7 +129,7 @@
         cell.admit(10, 10_000, ask(2, Class::Critical, 1_000))
             .is_empty()
     );
-    let actions = cell.ended(20, 20_000, 0, SendOutcome::Answered);
+    let actions = cell.finish_send(20, 20_000, 0, SendOutcome::Answered);
     assert!(
         matches!(actions[..], [Action::Send { ticket: 2, .. }]),
         "{actions:?}"
@@ -142,12 +142,12 @@
     for ticket in 0..2 {
         cell.admit(10, 10_000, ask(ticket, Class::Critical, 1_000));
     }
-    cell.ended(20, 20_000, 0, SendOutcome::Unknown { until: 30 });
-    assert_eq!(cell.free(25), 0);
+    cell.finish_send(20, 20_000, 0, SendOutcome::Unknown { until: 30 });
+    assert_eq!(cell.free_slots(25), 0);
     let mut reply = shaped();
     reply.tickets = vec![0, 1];
     answer(&mut cell, 300, 0, reply);
-    assert_eq!(cell.free(300), 0, "it still runs there");
+    assert_eq!(cell.free_slots(300), 0, "it still runs there");
     let mut reply = shaped();
     reply.tickets = vec![1];
     answer(&mut cell, 600, 0, reply);
@@ -155,7 +155,7 @@
     let mut reply = shaped();
     reply.tickets = vec![1];
     answer(&mut cell, 801, 0, reply);
-    assert_eq!(cell.free(801), 1);
+    assert_eq!(cell.free_slots(801), 1);
 }
 
 #[test]
@@ -189,7 +189,7 @@
     for ticket in 0..2 {
         cell.admit(10, 10_000, ask(ticket, Class::Critical, 9_000));
     }
-    cell.ended(510, 510_000, 0, SendOutcome::Answered);
+    cell.finish_send(510, 510_000, 0, SendOutcome::Answered);
     let actions = cell.admit(510, 510_000, ask(5, Class::Critical, 600));
     let late = |a: &Action| {
         matches!(
@@ -206,15 +206,15 @@
 #[test]
 fn an_evicted_task_starts_again_only_after_its_end_is_recorded() {
     let mut cell = cell(1);
-    cell.offer(0, shard("j", 1, 1_000));
+    cell.add_new_shard(0, shard("j", 1, 1_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
-    cell.started(15, &worker, run.id, CallOutcome::Done(0));
-    cell.stopped(20, 20_000, &worker, run.id, CallOutcome::Done(700));
+    cell.finish_start(15, &worker, run.id, CallOutcome::Done(0));
+    cell.finish_stop(20, 20_000, &worker, run.id, CallOutcome::Done(700));
     assert!(
         starts(&cell.tick(30, 30_000)).is_empty(),
         "not recorded yet"
     );
-    let writes = cell.flush();
+    let writes = cell.write_shards();
     let [Action::Write { key, row, .. }] = &writes[..] else {
         panic!("{writes:?}");
     };
@@ -223,7 +223,7 @@
         starts(&cell.tick(40, 40_000)).is_empty(),
         "not committed yet"
     );
-    cell.written(key, WriteOutcome::Committed);
+    cell.finish_write(key, WriteOutcome::Committed);
     let again = starts(&cell.tick(50, 50_000));
     assert_eq!(again[0].1.saved, 700, "it resumes from its checkpoint");
     assert_ne!(again[0].1.id, run.id);
@@ -233,16 +233,16 @@
 /// back without it. Returns how often it was started.
 fn lose_runs(answered: CallOutcome) -> usize {
     let mut cell = cell(2);
-    cell.offer(0, shard("j", 1, 1_000));
+    cell.add_new_shard(0, shard("j", 1, 1_000));
     let mut count = 0;
     for now in (100..60_000).step_by(100) {
         for (worker, run) in starts(&cell.tick(now, now * 1_000)) {
             count += 1;
-            cell.started(now, &worker, run.id, answered);
+            cell.finish_start(now, &worker, run.id, answered);
         }
-        for action in cell.flush() {
+        for action in cell.write_shards() {
             if let Action::Write { key, .. } = action {
-                cell.written(&key, WriteOutcome::Committed);
+                cell.finish_write(&key, WriteOutcome::Committed);
             }
         }
         for worker in 0..2 {
@@ -263,35 +263,35 @@
 #[test]
 fn a_write_in_doubt_is_settled_by_reading_the_row() {
     let mut cell = cell(1);
-    cell.offer(0, shard("j", 1, 1_000));
+    cell.add_new_shard(0, shard("j", 1, 1_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
-    cell.started(15, &worker, run.id, CallOutcome::Done(0));
-    cell.stopped(20, 20_000, &worker, run.id, CallOutcome::Done(700));
-    let writes = cell.flush();
+    cell.finish_start(15, &worker, run.id, CallOutcome::Done(0));
+    cell.finish_stop(20, 20_000, &worker, run.id, CallOutcome::Done(700));
+    let writes = cell.write_shards();
     let [Action::Write { key, row, .. }] = &writes[..] else {
         panic!("{writes:?}");
     };
-    cell.written(key, WriteOutcome::Unknown);
+    cell.finish_write(key, WriteOutcome::Unknown);
     assert!(starts(&cell.tick(40, 40_000)).is_empty());
     let found = VersionedShard {
         key: key.clone(),
         version: 2,
         row: row.clone(),
     };
-    cell.reread(key, Some(&found));
+    cell.resolve_write(key, Some(&found));
     assert_eq!(starts(&cell.tick(50, 50_000)).len(), 1);
 }
 
 #[test]
 fn a_new_owner_holds_what_it_can_not_account_for() {
     let mut cell = Cell::new("h/r".into(), 2, 0, Policy::default(), TIMES);
-    cell.places(&[place(0)], &Default::default());
+    cell.set_workers(&[place(0)], &Default::default());
     let mut known = shard("j", 1, 1_000);
     known.row.epoch = 1;
-    cell.load(0, vec![known]);
+    cell.load_shards(0, vec![known]);
     answer(&mut cell, 10, 0, shaped());
     assert!(starts(&cell.tick(20, 20_000)).is_empty());
-    let after = TIMES.task + TIMES.margin;
+    let after = TIMES.run_lease + TIMES.margin;
     answer(&mut cell, after, 0, shaped());
     answer(&mut cell, after + 250, 0, shaped());
     assert_eq!(starts(&cell.tick(after + 250, 1)).len(), 1);
@@ -300,9 +300,9 @@
 #[test]
 fn a_start_in_doubt_on_a_silent_worker_is_not_repeated() {
     let mut cell = cell(2);
-    cell.offer(0, shard("j", 1, 1_000));
+    cell.add_new_shard(0, shard("j", 1, 1_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
-    cell.started(15, &worker, run.id, CallOutcome::Lost);
+    cell.finish_start(15, &worker, run.id, CallOutcome::Lost);
     let other = if &*worker == "w0" { 1 } else { 0 };
     for now in (100..5_000).step_by(100) {
         answer(&mut cell, now, other, shaped());
@@ -313,14 +313,14 @@
 #[test]
 fn a_throttle_without_an_answer_never_lowers_what_is_counted() {
     let mut cell = cell(1);
-    cell.offer(0, shard("j", 1, 2_000));
+    cell.add_new_shard(0, shard("j", 1, 2_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
-    cell.started(15, &worker, run.id, CallOutcome::Done(0));
-    let before = cell.cores(20);
-    cell.throttled(20, 20_000, &worker, run.id, 500, CallOutcome::Lost);
-    assert_eq!(cell.cores(20), before);
-    cell.throttled(30, 30_000, &worker, run.id, 500, CallOutcome::Done(0));
-    assert!(cell.cores(30) >= before);
+    cell.finish_start(15, &worker, run.id, CallOutcome::Done(0));
+    let before = cell.free_cores(20);
+    cell.finish_throttle(20, 20_000, &worker, run.id, 500, CallOutcome::Lost);
+    assert_eq!(cell.free_cores(20), before);
+    cell.finish_throttle(30, 30_000, &worker, run.id, 500, CallOutcome::Done(0));
+    assert!(cell.free_cores(30) >= before);
 }
 
 #[test]
@@ -331,7 +331,7 @@
     answer(&mut cell, 10, 0, reply);
     let actions = cell.admit(20, 20_000, ask(1, Class::Critical, 1_000));
     assert!(matches!(actions[..], [Action::Refuse { .. }]));
-    cell.offer(20, shard("j", 1, 500));
+    cell.add_new_shard(20, shard("j", 1, 500));
     assert!(starts(&cell.tick(30, 30_000)).is_empty());
 }
 
@@ -365,18 +365,18 @@
 #[test]
 fn an_adopted_run_of_a_silent_worker_is_not_over_before_the_old_leases() {
     const BEGIN: Millis = 10_000;
-    for late in [10, TIMES.task + TIMES.margin + 10] {
+    for late in [10, TIMES.run_lease + TIMES.margin + 10] {
         adopts_and_waits(BEGIN, BEGIN + late);
     }
 }
 
 fn adopts_and_waits(begin: Millis, adopted: Millis) {
     let mut cell = Cell::new("h/r".into(), 2, begin, Policy::default(), TIMES);
-    cell.places(&[place(0)], &Default::default());
+    cell.set_workers(&[place(0)], &Default::default());
     let mut known = shard("j", 1, 1_000);
     known.row.epoch = 1;
     let key = known.key.clone();
-    cell.load(begin, vec![known]);
+    cell.load_shards(begin, vec![known]);
     let mut reply = shaped();
     reply.runs = vec![RunReport {
         id: 1 << 32,
@@ -397,9 +397,9 @@
     };
     // The earlier owner may have renewed it right before this one won, or its
     // start may have lain unread until right before the report.
-    for now in (adopted..adopted + TIMES.task + TIMES.margin).step_by(100) {
+    for now in (adopted..adopted + TIMES.run_lease + TIMES.margin).step_by(100) {
         cell.tick(now, now * 1_000);
-        cell.synced(
+        cell.finish_poll(
             now,
             now * 1_000,
             &"w0".into(),
@@ -417,14 +417,14 @@
 #[test]
 fn what_was_reported_before_the_job_shards_were_read_is_not_started_again() {
     let mut cell = Cell::new("h/r".into(), 2, 0, Policy::default(), TIMES);
-    cell.places(&[place(0)], &Default::default());
-    let late = TIMES.task + TIMES.margin + 500;
+    cell.set_workers(&[place(0)], &Default::default());
+    let late = TIMES.run_lease + TIMES.margin + 500;
     for now in (0..late).step_by(100) {
         answer(&mut cell, now, 0, shaped());
     }
     let mut known = shard("j", 1, 1_000);
     known.row.epoch = 1;
-    cell.load(late, vec![known]);
+    cell.load_shards(late, vec![known]);
     assert!(starts(&cell.tick(late, late * 1_000)).is_empty());
     answer(&mut cell, late + 10, 0, shaped());
     assert_eq!(starts(&cell.tick(late + 20, late * 1_000)).len(), 1);
--- a/src/cell/throttling.rs
+++ b/src/cell/throttling.rs
@@ -19,11 +19,11 @@
 
 impl Cell {
     /// Throttles or evicts where services are hurt, and lets go where not.
-    pub fn relieve(&mut self, now: Millis) -> Vec<Action> {
+    pub fn adjust_throttles(&mut self, now: Millis) -> Vec<Action> {
         if !self.policy.throttling {
             return Vec::new();
         }
-        let bearable = self.bearable();
+        let bearable = self.slowdown_limit();
         let mut steps = Vec::new();
         for worker in self.workers.values() {
             if !worker.responsive || now < worker.last_throttle + STEP {
@@ -70,7 +70,7 @@
     }
 
     /// Makes room for a waiting critical request that no worker can hold.
-    pub fn make_room(&mut self, now: Millis, size: Size) -> Vec<Action> {
+    pub fn free_resources(&mut self, now: Millis, size: Size) -> Vec<Action> {
         let stuck = |w: &&Worker| w.accepts_work(now) && w.free_slots() > 0 && !w.has_free(size);
         let fits = self
             .workers
@@ -126,7 +126,7 @@
     }
 
     /// Takes in how a throttle ended.
-    pub fn throttled(
+    pub fn finish_throttle(
         &mut self,
         now: Millis,
         micros: u64,
@@ -149,7 +149,7 @@
                 CallOutcome::Refused => {}
             }
         });
-        self.pump(now, micros)
+        self.send_queued(now, micros)
     }
 
     pub(super) fn evict(&mut self, now: Millis, name: &Name, id: RunId) -> Option<Action> {
--- a/src/cell/writes.rs
+++ b/src/cell/writes.rs
@@ -9,7 +9,7 @@
 
 impl Cell {
     /// Writes the rows of changed job shards.
-    pub fn flush(&mut self) -> Vec<Action> {
+    pub fn write_shards(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.loaded {
             return actions;
@@ -30,7 +30,7 @@
             });
             actions.push(Action::Write {
                 key: key.clone(),
-                expect: shard.version,
+                expected_version: shard.version,
                 row: shard.row.clone(),
             });
         }
@@ -38,22 +38,22 @@
     }
 
     /// Takes in how the write of a job shard's row ended.
-    pub fn written(&mut self, key: &Name, written: WriteOutcome) {
+    pub fn finish_write(&mut self, key: &Name, written: WriteOutcome) {
         let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
         match written {
             WriteOutcome::Committed => {
                 shard.version += 1;
-                self.recorded(key);
+                self.confirm_write(key);
             }
-            WriteOutcome::NotSent => self.unwritten(key),
+            WriteOutcome::NotSent => self.retry_write(key),
             WriteOutcome::Conflict | WriteOutcome::Unknown => shard.needs_reread = true,
         }
     }
 
     /// Takes in a job shard's row as read after a write in doubt.
-    pub fn reread(&mut self, key: &Name, row: Option<&VersionedShard>) {
+    pub fn resolve_write(&mut self, key: &Name, row: Option<&VersionedShard>) {
         let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
@@ -65,12 +65,12 @@
         let ours = versioned.row.epoch == self.epoch && versioned.row.seq == seq;
         shard.version = versioned.version;
         match ours {
-            true => self.recorded(key),
-            false => self.unwritten(key),
+            true => self.confirm_write(key),
+            false => self.retry_write(key),
         }
     }
 
-    fn recorded(&mut self, key: &Name) {
+    fn confirm_write(&mut self, key: &Name) {
         let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
@@ -92,11 +92,11 @@
             }
         }
         if ended && let Some(shard) = self.shards.remove(key) {
-            self.closed.insert(key.clone(), shard.version);
+            self.ended_shards.insert(key.clone(), shard.version);
         }
     }
 
-    fn unwritten(&mut self, key: &Name) {
+    fn retry_write(&mut self, key: &Name) {
         let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -27,7 +27,7 @@
             }
             actions.extend(cell.tick(now.millis, now.micros));
             let epoch = cell.epoch;
-            let idle = cell.idle();
+            let idle = cell.is_idle();
             for action in actions {
                 self.cell_action(now, &name, epoch, action, out);
             }
@@ -97,7 +97,7 @@
             cell::Action::Refuse {
                 ticket,
                 reason,
-                after,
+                retry_after: after,
             } => self.refused(now, ticket, reason, after, out),
             cell::Action::Start { worker, run, .. } if !self.rules(now, cell, epoch) => {
                 let reported = Reported::Started(run.id, cell::CallOutcome::Refused);
@@ -131,7 +131,7 @@
                 acks,
                 exchange,
             } => {
-                let (outranked, actions) = cell.synced(
+                let (outranked, actions) = cell.finish_poll(
                     millis,
                     micros,
                     worker,
@@ -143,10 +143,10 @@
                 }
                 actions
             }
-            Reported::Started(run, called) => cell.started(millis, worker, run, called),
-            Reported::Stopped(run, called) => cell.stopped(millis, micros, worker, run, called),
+            Reported::Started(run, called) => cell.finish_start(millis, worker, run, called),
+            Reported::Stopped(run, called) => cell.finish_stop(millis, micros, worker, run, called),
             Reported::Throttled(run, share, called) => {
-                cell.throttled(millis, micros, worker, run, share, called)
+                cell.finish_throttle(millis, micros, worker, run, share, called)
             }
         };
         for action in actions {
@@ -180,9 +180,9 @@
     pub(super) fn refresh(&mut self) {
         let total = self.places.len().max(1) as f64;
         for cell in self.cells.values_mut() {
-            cell.places(&self.places, self.config.drained());
+            cell.set_workers(&self.places, self.config.drained());
             cell.quotas = self.config.quotas().clone();
-            cell.part = cell.workers.len() as f64 / total;
+            cell.capacity_share = cell.workers.len() as f64 / total;
         }
     }
 
--- a/src/engine/flight.rs
+++ b/src/engine/flight.rs
@@ -70,7 +70,7 @@
             return verdict;
         };
         let proved = !self.sending && !self.doubtful;
-        let detail = || format!("{ticket} is denied ({}) and may run", reason.word());
+        let detail = || format!("{ticket} is denied ({}) and may run", reason.as_str());
         match invariant::check(proved, Rule::NotRun, detail) {
             true => verdict,
             false => RESENT,
--- a/src/engine/journal.rs
+++ b/src/engine/journal.rs
@@ -48,8 +48,13 @@
         };
         let epoch = cell.epoch;
         let before = shards.len();
-        for action in cell.flush() {
-            let CellAction::Write { key, expect, row } = action else {
+        for action in cell.write_shards() {
+            let CellAction::Write {
+                key,
+                expected_version: expect,
+                row,
+            } = action
+            else {
                 continue;
             };
             ops.push(Op::put(key.clone(), Expect::Version(expect), &row));
@@ -91,7 +96,7 @@
                 })
             });
             if let Some(cell) = self.cells.get_mut(name).filter(|c| c.epoch == *epoch) {
-                cell.reread(key, versioned.as_ref());
+                cell.resolve_write(key, versioned.as_ref());
             }
         }
     }
@@ -99,7 +104,7 @@
     pub(super) fn journaled(&mut self, shards: &[(Name, u64, Name)], written: WriteOutcome) {
         for (name, epoch, key) in shards {
             if let Some(cell) = self.cells.get_mut(name).filter(|c| c.epoch == *epoch) {
-                cell.written(key, written);
+                cell.finish_write(key, written);
             }
         }
     }
@@ -140,8 +145,8 @@
             })
         });
         match self.scanned.contains_key(name) {
-            true => versioned.for_each(|v| cell.offer(now.millis, v)),
-            false => cell.load(now.millis, versioned.collect()),
+            true => versioned.for_each(|v| cell.add_new_shard(now.millis, v)),
+            false => cell.load_shards(now.millis, versioned.collect()),
         }
         let first = self.scanned.insert(name.clone(), now.millis).is_none();
         if first {
@@ -184,7 +189,7 @@
                 continue;
             };
             let epoch = cell.epoch;
-            let actions = cell.cancel(jobs);
+            let actions = cell.cancel_jobs(jobs);
             for action in actions {
                 self.cell_action(now, &name, epoch, action, out);
             }
--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -38,7 +38,8 @@
     pub(super) fn unsent(&mut self, now: Now, cell: &Name, ticket: u64, out: &mut Vec<Action>) {
         if let Some(cell) = self.cells.get_mut(cell) {
             // What the freed room would let through can't be sent either.
-            let actions = cell.ended(now.millis, now.micros, ticket, SendOutcome::LeaseLapsed);
+            let actions =
+                cell.finish_send(now.millis, now.micros, ticket, SendOutcome::LeaseLapsed);
             debug_assert!(actions.is_empty());
         }
         self.arrive(ticket);
@@ -87,7 +88,7 @@
             && let Some(cell) = self.cells.get_mut(&name)
         {
             let epoch = cell.epoch;
-            for action in cell.ended(now.millis, now.micros, ticket, sent) {
+            for action in cell.finish_send(now.millis, now.micros, ticket, sent) {
                 self.cell_action(now, &name, epoch, action, out);
             }
         }
--- a/src/engine/owning.rs
+++ b/src/engine/owning.rs
@@ -145,13 +145,13 @@
         }
         let pace = self.setup.pace;
         let times = Timings {
-            task: pace.task,
+            run_lease: pace.task,
             margin: self.setup.lease_timings.margin,
-            sync: pace.sync,
+            poll_interval: pace.sync,
         };
         let policy = self.setup.policy.clone();
         let mut won = Cell::new(cell.clone(), epoch, now.millis, policy, times);
-        won.places(&self.places, self.config.drained());
+        won.set_workers(&self.places, self.config.drained());
         self.cells.insert(cell.clone(), won);
         self.refresh();
         self.scan_shards(&cell, out);
@@ -164,7 +164,7 @@
         let Some(mut old) = self.cells.remove(cell) else {
             return;
         };
-        log::info!(target: "claim", "{cell} is given up ({})", reason.word());
+        log::info!(target: "claim", "{cell} is given up ({})", reason.as_str());
         let endpoints = old.workers.values().map(|w| w.http).collect();
         let refused = old.refuse_all(reason);
         for action in refused {
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -78,9 +78,9 @@
         open.map(|cell| Load {
             cell: cell.name.clone(),
             epoch: cell.epoch,
-            free: cell.free(now),
-            queued: cell.queued() as u32,
-            cores: cell.cores(now),
+            free: cell.free_slots(now),
+            queued: cell.queued_requests() as u32,
+            cores: cell.free_cores(now),
             largest: largest(cell.workers.values().map(|w| w.shape)),
         })
         .collect()
--- a/src/engine/views.rs
+++ b/src/engine/views.rs
@@ -217,11 +217,11 @@
             continue;
         }
         for (row, live) in shard.row.tasks.iter().zip(&shard.states) {
-            let run = cell.run(live);
+            let run = cell.find_run(live);
             views.push(TaskView {
                 job: shard.row.spec.id.clone(),
                 task: row.index,
-                state: live.word(row.phase),
+                state: live.as_str(row.phase),
                 worker: run.map_or_else(|| "".into(), |(w, _)| w.name.clone()),
                 progress: run.map_or(row.saved, |(_, r)| r.progress),
                 evictions: row.evictions,
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -70,7 +70,7 @@
             };
             (reply, answer)
         }
-        (Verdict::NotRun { reason, after }, _) => not_run(reason.word(), after),
+        (Verdict::NotRun { reason, after }, _) => not_run(reason.as_str(), after),
         (Verdict::Unknown { reason }, _) => unknown(reason),
         (Verdict::Answer, None) => unknown("answer-lost"),
     }
@@ -89,7 +89,7 @@
         constants::RETRY_AFTER,
         &after.to_string(),
     );
-    if reason == Reason::Stopping.word() {
+    if reason == Reason::Stopping.as_str() {
         set(&mut reply.headers, "connection", "close");
     }
     let answer = Answer {
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -103,7 +103,7 @@
         proto::Verdict::Unknown => (Handed::Unknown, None),
         proto::Verdict::NotRun => {
             let handed = Handed::NotRun {
-                reason: Reason::of(&reply.reason),
+                reason: Reason::parse(&reply.reason),
                 after: reply.after,
                 retries: reply.retries,
             };
@@ -299,7 +299,7 @@
         }
         (Verdict::NotRun { reason, after }, _) => {
             message.set_verdict(proto::Verdict::NotRun);
-            message.reason = reason.word().into();
+            message.reason = reason.as_str().into();
             message.after = after;
         }
         (Verdict::Unknown { reason }, _) => message.reason = reason.into(),
--- a/src/entry/workers.rs
+++ b/src/entry/workers.rs
@@ -208,7 +208,7 @@
         refused: reply.refused,
         shape: shape(reply.shape.unwrap_or_default()),
         tickets: reply.tickets,
-        foreign: reply.foreign,
+        foreign_requests: reply.foreign,
         runs: reply.runs.into_iter().filter_map(report).collect(),
         samples: reply.samples.into_iter().map(sample).collect(),
         leaving: reply.leaving,
--- a/src/standin/worker/serve.rs
+++ b/src/standin/worker/serve.rs
@@ -297,7 +297,7 @@
     let mut reply = Reply::text(StatusCode::SERVICE_UNAVAILABLE, word(refusal));
     let verdict = http::HeaderValue::from_static("not-run");
     reply.headers.insert(constants::VERDICT, verdict);
-    let reason = http::HeaderValue::from_static(Reason::Refused.word());
+    let reason = http::HeaderValue::from_static(Reason::Refused.as_str());
     reply.headers.insert(constants::REASON, reason);
     reply
 }
--- a/tools/trial/src/world/ends.rs
+++ b/tools/trial/src/world/ends.rs
@@ -353,7 +353,7 @@
                     refused: runs.is_none(),
                     shape: host.shape,
                     tickets,
-                    foreign,
+                    foreign_requests: foreign,
                     samples: samples.collect(),
                     leaving: host.leaving,
                     runs: runs.unwrap_or_default(),
