--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -355,7 +355,7 @@
         if self.now > WARM {
             self.done.finished += finished;
         }
-        let (tickets, foreign) = host.tickets();
+        let (tickets, foreign_requests) = host.tickets();
         let late = host.late_samples(self.now).into_iter().map(|(_, s)| s);
         let samples = match self.oracle {
             false => late.collect(),
@@ -364,7 +364,7 @@
         let reply = PollReply {
             shape: host.shape,
             tickets,
-            foreign_requests: foreign,
+            foreign_requests,
             runs,
             samples,
             ..PollReply::default()
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -144,7 +144,7 @@
 
 impl Cell {
     /// Returns a cell that was just won; its workers are yet to be asked.
-    pub fn new(name: Name, epoch: u64, now: Millis, policy: Policy, times: Timings) -> Self {
+    pub fn new(name: Name, epoch: u64, now: Millis, policy: Policy, timings: Timings) -> Self {
         let random = Random::new(crate::utils::hash::stable(&[&name]) ^ epoch);
         Self {
             name,
@@ -170,11 +170,11 @@
             next_turn: 0,
             run_counter: 0,
             poll_round: 0,
-            hold_until: now + times.run_lease + times.margin,
+            hold_until: now + timings.run_lease + timings.margin,
             loaded_at: now,
             loaded: false,
-            margin: times.margin,
-            timings: times,
+            margin: timings.margin,
+            timings,
         }
     }
 
--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -97,8 +97,8 @@
             cell::Action::Refuse {
                 ticket,
                 reason,
-                retry_after: after,
-            } => self.refused(now, ticket, reason, after, out),
+                retry_after,
+            } => self.refused(now, ticket, reason, retry_after, out),
             cell::Action::Start { worker, run, .. } if !self.rules(now, cell, epoch) => {
                 let reported = Reported::Started(run.id, cell::CallOutcome::Refused);
                 self.worker(now, cell, epoch, &worker, reported, out);
--- a/src/engine/journal.rs
+++ b/src/engine/journal.rs
@@ -51,13 +51,17 @@
         for action in cell.write_shards() {
             let CellAction::Write {
                 key,
-                expected_version: expect,
+                expected_version,
                 row,
             } = action
             else {
                 continue;
             };
-            ops.push(Op::put(key.clone(), Expect::Version(expect), &row));
+            ops.push(Op::put(
+                key.clone(),
+                Expect::Version(expected_version),
+                &row,
+            ));
             shards.push((name.clone(), epoch, key));
         }
         if shards.len() > before {
--- a/tools/trial/src/world/ends.rs
+++ b/tools/trial/src/world/ends.rs
@@ -347,13 +347,13 @@
                 };
                 let host = &mut self.hosts[worker].worker;
                 let runs = host.sync(now, wall, &sync);
-                let (tickets, foreign) = host.tickets();
+                let (tickets, foreign_requests) = host.tickets();
                 let samples = host.late_samples(now).into_iter().map(|(_, s)| s);
                 let reply = PollReply {
                     refused: runs.is_none(),
                     shape: host.shape,
                     tickets,
-                    foreign_requests: foreign,
+                    foreign_requests,
                     samples: samples.collect(),
                     leaving: host.leaving,
                     runs: runs.unwrap_or_default(),
