--- a/src/job.rs
+++ b/src/job.rs
@@ -1,8 +1,8 @@
-//! Jobs, and the job shards in which their tasks are kept.
+//! Stored form of jobs and of the job shards that hold their tasks.
 //!
-//! A job has one row. Its tasks lie in job shards, one row each; a job shard belongs to
-//! one cell, and only the cell's owner writes it. What runs is never written:
-//! the workers know it.
+//! A job has one row, and each of its job shards has one. A job shard belongs to one cell, and only
+//! the owner of that cell writes its row. Which tasks are running is not stored: the workers report
+//! it.
 
 mod plan;
 
@@ -17,78 +17,78 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Prefix of the rows of jobs in the table.
+/// Prefix of the keys of job rows in the table.
 pub const PREFIX: &str = "job/";
-/// Prefix of the rows of job shards; the cell and the job shard's name follow.
+/// Prefix of the keys of job shard rows; `CELL/JOB.NUMBER` follows.
 pub const SHARD_PREFIX: &str = "lot/";
-/// Most tasks of one job.
+/// Largest number of tasks in a job.
 pub const TASK_LIMIT: u32 = 10_000;
-/// Most tasks of one job shard, so that its row stays small.
+/// Largest number of tasks in a job shard, which keeps its row small.
 pub const SHARD_TASK_LIMIT: u32 = 256;
 
-/// What an operator asks for.
+/// Specification of a job, as submitted by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spec {
     /// Id, chosen by the operator.
     pub id: Name,
-    /// Team it is counted for.
+    /// Team to which the job is charged.
     pub team: Name,
-    /// Kind of work; tasks of one kind hurt others alike.
+    /// Kind of work; tasks of the same kind cause the same interference.
     pub kind: Name,
     /// Number of tasks.
     pub tasks: u32,
-    /// Declared size of one task.
+    /// Declared resources of one task.
     pub size: Size,
-    /// Declared milliseconds of work of one task.
+    /// Declared duration of one task, in milliseconds.
     pub work: Millis,
-    /// True when it must start within seconds.
+    /// True if the job must start within seconds.
     pub urgent: bool,
 }
 
-/// The row of a job.
+/// Row of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRow {
-    /// What was asked for.
+    /// Specification as submitted.
     pub spec: Spec,
-    /// Keys of its job shards.
+    /// Keys of the job shards' rows.
     #[serde(rename = "lots")]
     pub shards: Vec<Name>,
-    /// True once an operator cancelled it.
+    /// True once an operator has cancelled the job.
     pub cancelled: bool,
-    /// Milliseconds since the Unix epoch of its submission.
+    /// Time of submission, in milliseconds since the Unix epoch.
     pub submitted: Millis,
 }
 
-/// How far a task is, as recorded.
+/// Recorded state of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Not ended; it may be running.
+    /// Not ended; the task may be running.
     Open,
     /// Finished.
     Done,
-    /// Given up after failures.
+    /// Given up after too many failures.
     Failed,
-    /// Cancelled before it ended.
+    /// Cancelled before the task ended.
     Cancelled,
 }
 
-/// One task in a job shard's row.
+/// A task in the row of a job shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRow {
-    /// Number within the job.
+    /// Number of the task within its job, from 0.
     pub index: u32,
-    /// How far it is.
+    /// Recorded state.
     pub phase: Phase,
-    /// Milliseconds of work kept by a checkpoint.
+    /// Work saved by the last checkpoint, in milliseconds.
     pub saved: Millis,
-    /// Times it was evicted.
+    /// Number of evictions.
     pub evictions: u32,
-    /// Runs that failed.
+    /// Number of failed runs.
     pub failures: u32,
 }
 
 impl TaskRow {
-    /// Returns the row of a task that was never run.
+    /// Returns the row of a task that has not run yet.
     pub fn open(index: u32) -> Self {
         Self {
             index,
@@ -100,29 +100,29 @@
     }
 }
 
-/// The row of a job shard.
+/// Row of a job shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobShardRow {
-    /// The job's specification.
+    /// Specification of the job.
     pub spec: Spec,
-    /// Milliseconds since the Unix epoch of the job's submission.
+    /// Time of the job's submission, in milliseconds since the Unix epoch.
     pub submitted: Millis,
-    /// Epoch of the owner that wrote it last.
+    /// Epoch of the owner that last wrote the row.
     pub epoch: u64,
-    /// Counts that owner's writes.
+    /// Number of the write among those of that owner.
     pub seq: u64,
-    /// The tasks.
+    /// Tasks of the job shard.
     pub tasks: Vec<TaskRow>,
 }
 
-/// A job shard's row with its version.
+/// Row of a job shard with its version in the table.
 #[derive(Clone, Debug)]
 pub struct VersionedShard {
     /// Key of the row.
     pub key: Name,
     /// Version of the row.
     pub version: u64,
-    /// Contents of the row.
+    /// Content of the row.
     pub row: JobShardRow,
 }
 
@@ -136,12 +136,12 @@
     format!("{SHARD_PREFIX}{cell}/{job}.{number}").into()
 }
 
-/// Returns the prefix of the keys of a cell's job shards.
+/// Returns the common prefix of the keys of a cell's job shards.
 pub fn shard_key_prefix(cell: &str) -> String {
     format!("{SHARD_PREFIX}{cell}/")
 }
 
-/// Returns the cell that a job shard's key names: `HALL/RACK`.
+/// Returns the cell in a job shard's key, such as `HALL/RACK`, or none if the key is malformed.
 pub fn shard_cell(key: &str) -> Option<&str> {
     let rest = key.strip_prefix(SHARD_PREFIX)?;
     let (cell, _) = rest.rsplit_once('/')?;
--- a/src/job/plan.rs
+++ b/src/job/plan.rs
@@ -1,4 +1,4 @@
-//! How a job is checked, spread over cells and summed up.
+//! Validates jobs, spreads their tasks over cells and summarizes their progress.
 
 use super::{JobRow, JobShardRow, Phase, SHARD_TASK_LIMIT, Spec, TASK_LIMIT, TaskRow, shard_key};
 use crate::cell::{Shape, Size};
@@ -6,26 +6,26 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Fewest tasks for which a further cell is used.
-const MIN_TASKS_PER_CELL: u32 = 8;
+/// Tasks per cell: a job of N tasks is spread over at most N / 8 cells, rounded up.
+const TASKS_PER_CELL: u32 = 8;
 
 /// A cell that can take job shards.
 #[derive(Clone, Debug)]
 pub struct CandidateCell {
     /// Name of the cell.
     pub cell: Name,
-    /// Shapes of its workers.
+    /// Shapes of the cell's workers.
     pub shapes: Vec<Shape>,
-    /// Thousandths of cores that batch tasks could have now.
+    /// Cores that batch tasks could use now, in thousandths.
     pub free_cores: u64,
 }
 
 /// Why a job was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The specification itself is wrong; one text for each finding.
+    /// The specification is invalid; one message per finding.
     Invalid(Vec<String>),
-    /// No worker could ever run one of its tasks.
+    /// No known worker is large enough for one of its tasks.
     Unsatisfiable(String),
 }
 
@@ -38,27 +38,29 @@
     }
 }
 
-/// Returns all that is wrong with a specification.
+/// Returns every fault of a specification, as one message each.
 pub fn validate(spec: &Spec) -> Vec<String> {
     let mut findings = Vec::new();
     for (field, value) in [("id", &spec.id), ("team", &spec.team), ("kind", &spec.kind)] {
         if !is_name(value) {
-            findings.push(format!("{field}: `{value}` is no name"));
+            findings.push(format!("{field}: `{value}` is not a valid name"));
         }
     }
     if spec.tasks == 0 || spec.tasks > TASK_LIMIT {
-        findings.push(format!("tasks: give 1 to {TASK_LIMIT}"));
+        findings.push(format!("tasks: must be from 1 to {TASK_LIMIT}"));
     }
     if spec.size.cores == 0 {
-        findings.push("cores: give more than 0".into());
+        findings.push("cores: must be more than 0".into());
     }
     if spec.work == 0 {
-        findings.push("work: give more than 0".into());
+        findings.push("work: must be more than 0 ms".into());
     }
     findings
 }
 
-/// Spreads a job over cells by their free cores, or tells why it can't run.
+/// Spreads the tasks of a job over cells in proportion to their free cores.
+///
+/// Returns the job's row and the rows of its job shards, or the reason why it can't run.
 pub fn spread(
     spec: &Spec,
     candidates: &[CandidateCell],
@@ -70,8 +72,8 @@
     }
     let mut eligible: Vec<&CandidateCell> = candidates
         .iter()
-        .filter(|s| {
-            s.shapes
+        .filter(|c| {
+            c.shapes
                 .iter()
                 .any(|shape| shape.has_capacity_for(spec.size))
         })
@@ -81,13 +83,13 @@
             spec.size, candidates,
         )));
     }
-    eligible.sort_by_key(|s| (std::cmp::Reverse(s.free_cores), s.cell.clone()));
+    eligible.sort_by_key(|c| (std::cmp::Reverse(c.free_cores), c.cell.clone()));
     let cell_count = spec
         .tasks
-        .div_ceil(MIN_TASKS_PER_CELL)
+        .div_ceil(TASKS_PER_CELL)
         .max(spec.tasks.div_ceil(SHARD_TASK_LIMIT)) as usize;
     let cells = &eligible[..cell_count.min(eligible.len())];
-    let total: u64 = cells.iter().map(|s| s.free_cores + 1).sum();
+    let total: u64 = cells.iter().map(|c| c.free_cores + 1).sum();
     let mut row = JobRow {
         spec: spec.clone(),
         shards: Vec::new(),
@@ -121,8 +123,9 @@
     }
 }
 
+/// Returns the reason why a task of this size fits no candidate cell.
 fn describe_misfit(size: Size, candidates: &[CandidateCell]) -> String {
-    let shapes = candidates.iter().flat_map(|s| &s.shapes);
+    let shapes = candidates.iter().flat_map(|c| &c.shapes);
     let max = shapes.fold(Size::default(), |max, shape| Size {
         cores: max.cores.max(shape.cores),
         memory: max.memory.max(shape.memory),
@@ -134,24 +137,24 @@
     format!("a task needs {size}, and the largest workers known have {max}")
 }
 
-/// A job summed up over its job shards.
+/// Progress of a job, summed over its job shards.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
     /// `open`, `done`, `failed` or `cancelled`.
     pub state: &'static str,
-    /// Tasks finished.
+    /// Number of finished tasks.
     pub done: u32,
-    /// Tasks given up.
+    /// Number of tasks that were given up.
     pub failed: u32,
-    /// Evictions of all tasks.
+    /// Number of evictions of all tasks.
     pub evictions: u32,
 }
 
-/// Sums up a job.
+/// Summarizes a job from the rows of its job shards.
 pub fn summarize(job: &JobRow, shards: &[JobShardRow]) -> Summary {
     let mut summary = Summary::default();
     let mut cancelled = 0;
-    for task in shards.iter().flat_map(|l| &l.tasks) {
+    for task in shards.iter().flat_map(|s| &s.tasks) {
         summary.evictions += task.evictions;
         match task.phase {
             Phase::Done => summary.done += 1,
--- a/src/job/tests.rs
+++ b/src/job/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how jobs are spread and refused.
+//! Tests of the validation of jobs and their spread over cells.
 
 use super::*;
 use crate::cell::Shape;
@@ -19,7 +19,7 @@
     }
 }
 
-fn candidate(cell: &str, free: u64) -> CandidateCell {
+fn candidate(cell: &str, free_cores: u64) -> CandidateCell {
     let shape = Shape {
         slots: 8,
         connections: 64,
@@ -30,12 +30,12 @@
     CandidateCell {
         cell: cell.into(),
         shapes: vec![shape],
-        free_cores: free,
+        free_cores,
     }
 }
 
 #[test]
-fn every_task_lies_in_exactly_one_job_shard() {
+fn every_task_is_in_exactly_one_job_shard() {
     let candidates = [
         candidate("h/a", 9_000),
         candidate("h/b", 1_000),
@@ -45,7 +45,7 @@
         let (row, shards) = spread(&spec(tasks, 1_000), &candidates, 5).expect("accepted");
         let mut seen: Vec<u32> = shards
             .iter()
-            .flat_map(|l| l.tasks.iter().map(|t| t.index))
+            .flat_map(|s| s.tasks.iter().map(|t| t.index))
             .collect();
         seen.sort();
         assert_eq!(seen, (0..tasks).collect::<Vec<_>>());
@@ -53,29 +53,29 @@
         assert!(
             shards
                 .iter()
-                .all(|l| l.tasks.len() as u32 <= SHARD_TASK_LIMIT)
+                .all(|s| s.tasks.len() as u32 <= SHARD_TASK_LIMIT)
         );
     }
 }
 
 #[test]
-fn a_job_that_can_never_run_is_refused_with_the_reason() {
+fn a_job_that_fits_no_worker_is_refused_with_the_reason() {
     let refusal = spread(&spec(1, 17_000), &[candidate("h/a", 0)], 0).expect_err("refused");
     let Refusal::Unsatisfiable(reason) = refusal else {
-        panic!("wrong refusal");
+        panic!("the job was refused for another reason than its size");
     };
     assert!(reason.contains("17"), "{reason}");
 }
 
 #[test]
-fn findings_of_a_specification_come_together() {
+fn all_findings_of_a_specification_are_returned() {
     let mut bad = spec(0, 0);
     bad.team = "no name".into();
     assert_eq!(validate(&bad).len(), 3);
 }
 
 #[test]
-fn the_cell_is_read_back_from_the_key_of_a_job_shard() {
+fn the_key_of_a_job_shard_contains_its_cell() {
     let key = shard_key("leon-1/r1", "job.7", 3);
     assert_eq!(shard_cell(&key), Some("leon-1/r1"));
 }
