--- a/src/sched/placement_pass.rs
+++ b/src/sched/placement_pass.rs
@@ -163,7 +163,7 @@
         count
     }
 
-    /// Places a task or its whole gang, unless a task with the same demand was found to fit nowhere.
+    /// Places a task or its whole gang, unless a task with the same demand was found not to fit.
     /// For a task that is not placed, permits are queried and a run may be preempted.
     fn try_place(&mut self, key: TaskKey, pass: &mut Pass) -> Attempt {
         let demand = self.cached_demand(key, pass);
