--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -2,7 +2,7 @@
 
 mod calls;
 mod crashes;
-mod sharing;
+mod interference;
 mod workers;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,7 +12,7 @@
 use self::calls::{Call, Due};
 pub use self::calls::{Faults, GIVEN_UP};
 pub use self::crashes::Crashes;
-pub use self::sharing::Sharing;
+pub use self::interference::Sharing;
 pub use self::workers::FakeWorker;
 use crate::cordons::Halls;
 use crate::sched::job::{JobRow, JobState, Queue};
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::sharing::Runs;
+use super::interference::Runs;
 use super::{BOUNDS, World, queue};
 use crate::sched::job::parse_task_name;
 use crate::sched::journal::SPEC_TABLE;
