--- a/src/sched/tests/admission.rs
+++ b/src/sched/tests/admission.rs
@@ -32,7 +32,7 @@
     let large = &mut world.workers.get_mut("large").expect("worker").listing;
     large.capacity.cpu = 8_000;
     large.labels.push("fast".into());
-    world.list();
+    world.send_directory();
     world.run(50);
     let wide = world.submit("wide", job(vec![step(1, 8_000)]));
     let label = world.submit("label", job(vec![labelled("fast")]));
--- a/src/sched/tests/cordon.rs
+++ b/src/sched/tests/cordon.rs
@@ -23,7 +23,7 @@
             world.workers.get_mut(&*id).expect("worker").listing.hall = "h2".into();
         }
     }
-    world.list();
+    world.send_directory();
     world.run(50);
     world
 }
@@ -83,7 +83,7 @@
     world.run(3_000);
     assert_eq!(world.running(), before);
     world.run(6_000);
-    assert_eq!(world.shown("a"), Some(JobState::Completed));
+    assert_eq!(world.job_state("a"), Some(JobState::Completed));
     let starts = world.starts.iter().filter(|s| s.0.starts_with('a'));
     assert_eq!(starts.count(), 8, "no task runs again");
 }
@@ -116,7 +116,7 @@
     let from = world.now + ORDER_DELAY;
     world.run(8_000);
     assert_eq!(started_in(&world, "h2", from), Vec::<String>::new());
-    assert_eq!(world.shown("f"), Some(JobState::Completed));
+    assert_eq!(world.job_state("f"), Some(JobState::Completed));
     assert_eq!(halls_of(&world, "l"), ["h".into()].into());
     assert_eq!(world.running().len(), 4);
 }
@@ -138,8 +138,8 @@
     world.submit("c", job(vec![best_effort]));
     world.run(4_000);
     assert_eq!(started_in(&world, "h", from), Vec::<String>::new());
-    assert_eq!(world.shown("g"), Some(JobState::Completed));
-    assert_eq!(world.shown("c"), Some(JobState::Completed));
+    assert_eq!(world.job_state("g"), Some(JobState::Completed));
+    assert_eq!(world.job_state("c"), Some(JobState::Completed));
 }
 
 /// A run was preempted to free resources in the hall before the hall was cordoned.
@@ -171,7 +171,7 @@
 fn all_halls_but_one_and_then_all_are_cordoned() {
     let mut world = two_halls(6);
     world.workers.get_mut("w5").expect("worker").listing.hall = "h3".into();
-    world.list();
+    world.send_directory();
     world.cordon(&["h", "h2", "nowhere"]);
     world.submit("a", job(vec![step(4, 1_000)]));
     world.run(500);
@@ -181,11 +181,11 @@
     let ticket = world.submit("b", job(vec![step(4, 1_000)]));
     world.run(4_000);
     assert_eq!(world.answers.get(&ticket), Some(&Answer::Accepted));
-    assert_eq!(world.shown("b"), Some(JobState::Queued));
+    assert_eq!(world.job_state("b"), Some(JobState::Queued));
     assert!(world.starts.iter().all(|s| s.3 < from));
     world.cordon(&["h"]);
     world.run(2_000);
-    assert_eq!(world.shown("b"), Some(JobState::Completed));
+    assert_eq!(world.job_state("b"), Some(JobState::Completed));
 }
 
 /// The only hall with the label that the job needs is cordoned, and may be uncordoned later.
@@ -194,7 +194,7 @@
     let mut world = two_halls(2);
     let labels = &mut world.workers.get_mut("w1").expect("worker").listing.labels;
     labels.push("fast".into());
-    world.list();
+    world.send_directory();
     world.cordon(&["h2"]);
     let fast = StepSpec {
         label: "fast".into(),
@@ -206,7 +206,7 @@
     assert!(world.starts.is_empty());
     world.cordon(&[]);
     world.run(2_500);
-    assert_eq!(world.shown("a"), Some(JobState::Completed));
+    assert_eq!(world.job_state("a"), Some(JobState::Completed));
 }
 
 #[test]
@@ -216,12 +216,12 @@
     let from = world.now;
     world.add_worker("late", 300);
     world.workers.get_mut("late").expect("worker").listing.hall = "h2".into();
-    world.list();
+    world.send_directory();
     world.run(100);
     world.submit("a", job(vec![step(8, 1_000)]));
     world.run(3_000);
     assert_eq!(started_in(&world, "h2", from), Vec::<String>::new());
-    assert_eq!(world.shown("a"), Some(JobState::Completed));
+    assert_eq!(world.job_state("a"), Some(JobState::Completed));
 }
 
 #[test]
@@ -234,7 +234,7 @@
     world.submit("old", job(vec![lasting(2, 500)]));
     world.run(500);
     world.cordon(&["h2"]);
-    world.cordons_held = true;
+    world.cordons_withheld = true;
     world.take_over(0);
     let from = world.now + ORDER_DELAY;
     let ticket = world.submit("new", job(vec![step(4, 500)]));
@@ -247,7 +247,7 @@
     assert_eq!(world.running().len(), 2, "runs go on");
     world.cordon(&["h2"]);
     world.run(3_000);
-    assert_eq!(world.shown("new"), Some(JobState::Completed));
+    assert_eq!(world.job_state("new"), Some(JobState::Completed));
     assert_eq!(started_in(&world, "h2", from), Vec::<String>::new());
 }
 
@@ -257,7 +257,7 @@
     world.submit_to(queue(), "l", job(vec![lasting(4, 1_000)]));
     world.run(500);
     world.cordon(&["h", "h2"]);
-    world.ask(JobRequest::Cancel("l".into()));
+    world.request(JobRequest::Cancel("l".into()));
     world.run(1_500);
     assert!(world.running().is_empty(), "{:?}", world.running());
 }
--- a/src/sched/tests/crashes.rs
+++ b/src/sched/tests/crashes.rs
@@ -39,9 +39,14 @@
 fn a_task_that_crashes_its_workers_is_given_up_after_two() {
     let mut world = world(CRASH_DELAY);
     world.run(40_000);
-    assert_eq!(starts(&world, "bad.0.0.0"), 2, "{:?}", world.crashes.all);
-    assert_eq!(world.shown("bad"), Some(JobState::Failed));
-    assert_eq!(world.shown("beside"), Some(JobState::Running));
+    assert_eq!(
+        starts(&world, "bad.0.0.0"),
+        2,
+        "{:?}",
+        world.crashes.victims
+    );
+    assert_eq!(world.job_state("bad"), Some(JobState::Failed));
+    assert_eq!(world.job_state("beside"), Some(JobState::Running));
     assert_eq!(world.running().len(), 12, "all tasks of the other job run");
 }
 
@@ -52,13 +57,13 @@
         world.submit(&format!("good-{number}"), job(vec![step(4, 300)]));
     }
     world.run(40_000);
-    assert_eq!(world.shown("bad"), Some(JobState::Failed));
+    assert_eq!(world.job_state("bad"), Some(JobState::Failed));
     for number in 0..6 {
         let id = format!("good-{number}");
-        assert_eq!(world.shown(&id), Some(JobState::Completed), "{id}");
+        assert_eq!(world.job_state(&id), Some(JobState::Completed), "{id}");
     }
     assert_eq!(world.running().len(), 12);
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 /// A worker may come back only after its lease has ended, or not at all. It may then just be out
@@ -67,12 +72,12 @@
 fn a_crash_counts_when_the_worker_does_not_come_back_in_time() {
     for back in [9_000, 600_000] {
         let mut world = world(CRASH_DELAY);
-        world.crashes.back = back;
+        world.crashes.restart_delay = back;
         world.run(60_000);
-        let crashes = world.crashes.under("bad.0.0.0");
+        let crashes = world.crashes.count_with("bad.0.0.0");
         assert!(crashes <= 4, "one start after the third crash: {crashes}");
         assert_eq!(
-            world.shown("bad"),
+            world.job_state("bad"),
             Some(JobState::Failed),
             "back after {back}"
         );
@@ -89,12 +94,12 @@
     for _ in 0..3 {
         world.run(20);
         let id = world.running()[0].1.clone();
-        world.workers.get_mut(&id).expect("worker").cut = true;
+        world.workers.get_mut(&id).expect("worker").disconnected = true;
         world.run(5_300);
     }
     world.run(10_000);
     assert_eq!(
-        world.shown("j"),
+        world.job_state("j"),
         Some(JobState::Completed),
         "{:?}",
         world.starts
@@ -107,9 +112,9 @@
     let mut world = world(5_000);
     world.script = |_, _| (600_000, RunOutcome::Done);
     world.run(60_000);
-    let crashes = world.crashes.under("bad.0.0.0");
+    let crashes = world.crashes.count_with("bad.0.0.0");
     assert!(crashes <= 5, "two starts after the third crash: {crashes}");
-    assert_eq!(world.shown("bad"), Some(JobState::Failed));
+    assert_eq!(world.job_state("bad"), Some(JobState::Failed));
 }
 
 #[test]
@@ -120,10 +125,10 @@
         world.take_over(0);
     }
     world.run(20_000);
-    let crashes = world.crashes.under("bad.0.0.0");
-    assert!(crashes <= 3, "{:?}", world.crashes.all);
-    assert_eq!(world.shown("bad"), Some(JobState::Failed));
-    assert_eq!(world.shown("beside"), Some(JobState::Running));
+    let crashes = world.crashes.count_with("bad.0.0.0");
+    assert!(crashes <= 3, "{:?}", world.crashes.victims);
+    assert_eq!(world.job_state("bad"), Some(JobState::Failed));
+    assert_eq!(world.job_state("beside"), Some(JobState::Running));
 }
 
 /// Each owner is replaced while the worker is away, so that no owner sees the crash.
@@ -131,15 +136,15 @@
 fn crashes_that_no_owner_has_seen_are_counted() {
     let mut world = world(CRASH_DELAY);
     let mut owners = 1;
-    while world.shown("bad") != Some(JobState::Failed) {
-        if world.crashes.under("bad.0.0.0") >= owners {
+    while world.job_state("bad") != Some(JobState::Failed) {
+        if world.crashes.count_with("bad.0.0.0") >= owners {
             world.take_over(0);
             owners += 1;
         }
         world.run(50);
         assert!(world.now < 60_000, "the task is not given up");
     }
-    let crashes = world.crashes.under("bad.0.0.0");
+    let crashes = world.crashes.count_with("bad.0.0.0");
     assert!(crashes <= 5, "two starts after the third crash: {crashes}");
 }
 
@@ -154,7 +159,7 @@
         world.crash(&worker);
     }
     world.run(8_000);
-    assert_eq!(world.shown("long"), Some(JobState::Running));
+    assert_eq!(world.job_state("long"), Some(JobState::Running));
     assert_eq!(world.running().len(), 6);
 }
 
@@ -169,11 +174,11 @@
         let worker = world.workers.get_mut(&id).expect("worker");
         worker.listing.leaving = true;
         let entry = DirectoryEntry::Listed(worker.listing.clone());
-        world.step(Event::DirectoryChanged(vec![(id.clone(), entry)]));
+        world.handle(Event::DirectoryChanged(vec![(id.clone(), entry)]));
         world.crash(&id);
         world.run(6_000);
     }
-    assert_eq!(world.shown("j"), Some(JobState::Running));
+    assert_eq!(world.job_state("j"), Some(JobState::Running));
 }
 
 /// A worker that refuses a start as unfit gets no tasks for a while, so a task that no worker can
@@ -181,16 +186,22 @@
 #[test]
 fn a_task_that_no_worker_can_read_does_not_block_the_workers() {
     let mut world = World::new(4);
-    world.workers.values_mut().for_each(|w| w.unfit = true);
+    world
+        .workers
+        .values_mut()
+        .for_each(|w| w.rejects_bad_tasks = true);
     world.submit("bad", job(vec![step(1, 500)]));
     world.run(10_000);
     assert!(world.unfit_starts <= 5, "{} starts", world.unfit_starts);
     world.submit("good", job(vec![step(8, 1_500)]));
     world.run(1_500);
-    assert_eq!(world.shown("good"), Some(JobState::Completed));
-    world.workers.values_mut().for_each(|w| w.unfit = false);
+    assert_eq!(world.job_state("good"), Some(JobState::Completed));
+    world
+        .workers
+        .values_mut()
+        .for_each(|w| w.rejects_bad_tasks = false);
     world.run(20_000);
-    assert_eq!(world.shown("bad"), Some(JobState::Completed));
+    assert_eq!(world.job_state("bad"), Some(JobState::Completed));
 }
 
 /// A worker may list a task that its job does not have, for example one of an earlier job with the
@@ -202,13 +213,13 @@
     world.submit("j", job(vec![step(1, 500)]));
     world.run(500);
     for task in ["j.0.0.7", "j.0.3.0", "j.4.0.0"] {
-        world.sneak("w0", task, 2);
+        world.start_unordered("w0", task, 2);
         world.run(100);
-        world.sneak("w0", task, 5_000);
+        world.start_unordered("w0", task, 5_000);
     }
     world.run(20_000);
     assert!(world.running().is_empty(), "{:?}", world.running());
-    assert_eq!(world.shown("j"), Some(JobState::Completed));
+    assert_eq!(world.job_state("j"), Some(JobState::Completed));
 }
 
 #[test]
@@ -222,8 +233,13 @@
     };
     world.submit("g", job(vec![gang]));
     world.run(30_000);
-    assert_eq!(world.crashes.all.len(), 2, "{:?}", world.crashes.all);
-    assert_eq!(world.shown("g"), Some(JobState::Failed));
+    assert_eq!(
+        world.crashes.victims.len(),
+        2,
+        "{:?}",
+        world.crashes.victims
+    );
+    assert_eq!(world.job_state("g"), Some(JobState::Failed));
 }
 
 /// At most a quarter of the workers is isolated for suspects, so that other tasks go on.
@@ -240,12 +256,12 @@
     }
     world.run(3_300);
     assert_eq!(
-        world.crashes.all.len(),
+        world.crashes.victims.len(),
         8,
         "each worker started one of them"
     );
     world.run(200);
-    while world.crashes.all.len() < 16 {
+    while world.crashes.victims.len() < 16 {
         world.run(10);
         assert!(
             world.workers.len() >= 6,
@@ -256,7 +272,7 @@
     world.run(5_000);
     for number in 0..8 {
         let id = format!("bad-{number}");
-        assert_eq!(world.shown(&id), Some(JobState::Failed), "{id}");
+        assert_eq!(world.job_state(&id), Some(JobState::Failed), "{id}");
     }
 }
 
@@ -285,14 +301,14 @@
         }
         match new_owner {
             true => world.take_over(0),
-            false => world.list(),
+            false => world.send_directory(),
         }
     }
     world.run(30_000);
     for wave in 0..12 {
         let id = format!("j{wave}");
-        assert_eq!(world.shown(&id), Some(JobState::Completed), "{id}");
+        assert_eq!(world.job_state(&id), Some(JobState::Completed), "{id}");
     }
     assert_eq!(world.running().len(), 6);
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
--- a/src/sched/tests/directory.rs
+++ b/src/sched/tests/directory.rs
@@ -11,7 +11,7 @@
     worker.listing.leaving = true;
     worker.listing.min_stay = min_stay;
     let listing = worker.listing.clone();
-    world.step(Event::DirectoryChanged(vec![(
+    world.handle(Event::DirectoryChanged(vec![(
         id.into(),
         DirectoryEntry::Listed(listing),
     )]));
@@ -42,7 +42,7 @@
     world.run(1_500);
     assert_eq!(world.running().len(), 4);
     world.add_worker("w2", 200);
-    world.list();
+    world.send_directory();
     world.run(200);
     leave(&mut world, "w0", 30_000);
     for _ in 0..4_000 {
@@ -60,7 +60,7 @@
     world.run(200);
     let lost = world.running().iter().filter(|(_, w)| &**w == "w0").count();
     assert!(lost > 0);
-    world.workers.get_mut("w0").expect("worker").cut = true;
+    world.workers.get_mut("w0").expect("worker").disconnected = true;
     world.run(12_000);
     let here = world.running().iter().filter(|(_, w)| &**w == "w1").count();
     assert_eq!(here, 2, "unanswered polls must not extend leases");
@@ -69,7 +69,7 @@
         lost as u64,
         "each run counts once"
     );
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 #[test]
@@ -81,9 +81,9 @@
     world.store_down = true;
     world.run(3_000);
     world.store_down = false;
-    world.step(Event::Directory(Vec::new()));
+    world.handle(Event::Directory(Vec::new()));
     world.run(1_000);
-    world.list();
+    world.send_directory();
     world.run(5_000);
     assert_eq!(world.starts.len(), 2, "no task was moved");
 }
@@ -97,13 +97,13 @@
     world.workers.remove("w0");
     world.add_worker("w9", 100);
     let listing = world.workers["w9"].listing.clone();
-    world.step(Event::DirectoryChanged(vec![(
+    world.handle(Event::DirectoryChanged(vec![(
         "w9".into(),
         DirectoryEntry::Listed(listing),
     )]));
     world.run(300);
     assert_eq!(world.running().len(), 2);
-    assert_eq!(world.shown("j1"), Some(JobState::Running));
+    assert_eq!(world.job_state("j1"), Some(JobState::Running));
 }
 
 #[test]
@@ -112,7 +112,7 @@
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j0", job(vec![lasting(1, 1_000)]));
     world.run(6_000);
-    world.step(Event::DirectoryChanged(vec![(
+    world.handle(Event::DirectoryChanged(vec![(
         "w0".into(),
         DirectoryEntry::Removed,
     )]));
@@ -123,7 +123,7 @@
         !world.starts.iter().any(|s| s.0.starts_with("j1")),
         "an unlisted worker may end soon"
     );
-    world.list();
+    world.send_directory();
     world.run(300);
     assert!(world.starts.len() > begun);
     assert!(world.starts.iter().any(|s| s.0.starts_with("j1")));
@@ -136,7 +136,7 @@
     world.submit("j0", job(vec![lasting(2, 1_000)]));
     world.run(300);
     let begun = world.starts.len();
-    world.step(Event::DirectoryChanged(vec![(
+    world.handle(Event::DirectoryChanged(vec![(
         "w0".into(),
         DirectoryEntry::Unusable,
     )]));
@@ -148,8 +148,8 @@
     world.run(12_000);
     let held = world.running();
     assert!(held.iter().any(|(_, w)| &**w == "w0"), "its run goes on");
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
-    world.list();
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
+    world.send_directory();
     let begun = world.starts.len();
     world.submit("j2", job(vec![step(2, 1_000)]));
     world.run(500);
@@ -159,7 +159,7 @@
 #[test]
 fn an_unusable_entry_without_a_known_worker_is_ignored() {
     let mut world = World::new(1);
-    world.step(Event::DirectoryChanged(vec![(
+    world.handle(Event::DirectoryChanged(vec![(
         "w7".into(),
         DirectoryEntry::Unusable,
     )]));
@@ -175,8 +175,8 @@
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j1", job(vec![lasting(2, 1_000)]));
     world.run(200);
-    world.workers.get_mut("w0").expect("worker").cut = true;
-    world.step(Event::DirectoryChanged(vec![(
+    world.workers.get_mut("w0").expect("worker").disconnected = true;
+    world.handle(Event::DirectoryChanged(vec![(
         "w0".into(),
         DirectoryEntry::Unusable,
     )]));
@@ -184,7 +184,7 @@
     let here = world.running().iter().filter(|(_, w)| &**w == "w1").count();
     assert_eq!(here, 2);
     assert_eq!(world.owner.sizes().1, 1);
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 #[test]
@@ -198,14 +198,14 @@
         world.run(1);
     }
     let next = world.owner.next_pass;
-    world.list();
+    world.send_directory();
     assert_eq!(
         world.owner.next_pass, next,
         "waiting tasks are not examined"
     );
     let mut grown = world.workers["w0"].listing.clone();
     grown.capacity.cpu *= 2;
-    world.step(Event::DirectoryChanged(vec![(
+    world.handle(Event::DirectoryChanged(vec![(
         "w0".into(),
         DirectoryEntry::Listed(grown),
     )]));
--- a/src/sched/tests/gang.rs
+++ b/src/sched/tests/gang.rs
@@ -20,7 +20,7 @@
     world.run(1_000);
     assert!(world.starts.is_empty(), "{:?}", world.starts);
     world.add_worker("w2", 102);
-    world.list();
+    world.send_directory();
     world.run(200);
     assert_eq!(world.starts.len(), 5);
 }
@@ -51,9 +51,9 @@
     assert_eq!(world.running().len(), 4);
     // The members on the worker end, and their completions are never reported.
     world.run(600);
-    world.workers.get_mut("w1").expect("worker").cut = true;
+    world.workers.get_mut("w1").expect("worker").disconnected = true;
     world.run(12_000);
-    assert_eq!(world.shown("gang"), Some(JobState::Completed));
+    assert_eq!(world.job_state("gang"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), 4, "no member runs again");
 }
 
@@ -64,11 +64,14 @@
         (true, 1) => (500, RunOutcome::Failed),
         _ => (5_000, RunOutcome::Done),
     };
-    world.workers.values_mut().for_each(|w| w.saves = true);
+    world
+        .workers
+        .values_mut()
+        .for_each(|w| w.reports_checkpoints = true);
     world.submit("gang", job(vec![gang(4)]));
     world.run(4_000);
     assert_eq!(world.running().len(), 4);
-    let checkpoints: Vec<_> = world.resumed.values().collect();
+    let checkpoints: Vec<_> = world.resumed_from.values().collect();
     assert_eq!(checkpoints.len(), 4);
     assert!(!checkpoints[0].is_empty());
     assert!(
@@ -86,7 +89,7 @@
     };
     world.submit("gang", job(vec![gang(4)]));
     world.run(12_000);
-    assert_eq!(world.shown("gang"), Some(JobState::Failed));
+    assert_eq!(world.job_state("gang"), Some(JobState::Failed));
     let last = world.starts.iter().map(|s| s.1).max();
     assert_eq!(last, Some(3), "one run for each allowed failure");
 }
--- a/src/sched/tests/history.rs
+++ b/src/sched/tests/history.rs
@@ -1,6 +1,6 @@
 //! Tests of the history of finished jobs: archiving, takeovers, parked requests and expiry.
 
-use super::world::{BOUNDS, World, job, lasting, queue, step};
+use super::world::{SETTINGS, World, job, lasting, queue, step};
 use crate::sched::history::{HistoryPage, HistoryRow};
 use crate::sched::job::{Job, JobState, Outcome};
 use crate::sched::journal::{HISTORY_TABLE, JOB_TABLE, SPEC_TABLE};
@@ -37,13 +37,13 @@
         "none of the {FINISHED_JOBS} finished jobs is loaded as open"
     );
     world.run(500);
-    assert_eq!(world.shown("over-007"), Some(JobState::Completed));
+    assert_eq!(world.job_state("over-007"), Some(JobState::Completed));
     let again = world.submit("over-007", job(vec![step(1, 1_000)]));
-    let cancel = world.ask(JobRequest::Cancel("over-008".into()));
+    let cancel = world.request(JobRequest::Cancel("over-008".into()));
     world.run(500);
     assert_eq!(world.answers[&again], Answer::Accepted);
     assert_eq!(world.answers[&cancel], Answer::Cancelled);
-    assert_eq!(world.shown("over-008"), Some(JobState::Completed));
+    assert_eq!(world.job_state("over-008"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), started, "no finished job runs again");
 }
 
@@ -52,13 +52,13 @@
     let mut world = World::new(4);
     run_jobs(&mut world, 5);
     let started = world.starts.len();
-    world.history_held = true;
+    world.history_withheld = true;
     world.take_over(INHERITED);
     world.run(100);
-    let over = world.ask(JobRequest::Show("over-001".into()));
-    let nobody = world.ask(JobRequest::Show("nobody".into()));
-    let cancel = world.ask(JobRequest::Cancel("nobody".into()));
-    let count = world.ask(JobRequest::Count("q".into()));
+    let over = world.request(JobRequest::Show("over-001".into()));
+    let nobody = world.request(JobRequest::Show("nobody".into()));
+    let cancel = world.request(JobRequest::Cancel("nobody".into()));
+    let count = world.request(JobRequest::Count("q".into()));
     let again = world.submit("over-001", job(vec![step(1, 1_000)]));
     let new = world.submit("new", job(vec![step(1, 1_000)]));
     let twice = world.submit("new", job(vec![step(1, 1_000)]));
@@ -71,7 +71,7 @@
         );
     }
     assert_eq!(world.starts.len(), started);
-    world.history_held = false;
+    world.history_withheld = false;
     world.run(1_000);
     for ticket in [again, new, twice] {
         assert_eq!(world.answers[&ticket], Answer::Accepted);
@@ -80,16 +80,16 @@
     for ticket in [nobody, cancel] {
         assert_eq!(world.answers[&ticket], Answer::Unknown);
     }
-    assert_eq!(world.shown("new"), Some(JobState::Completed));
+    assert_eq!(world.job_state("new"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), started + 1, "only the new job runs");
-    let nobody = world.ask(JobRequest::Show("nobody".into()));
+    let nobody = world.request(JobRequest::Show("nobody".into()));
     assert_eq!(world.answers[&nobody], Answer::Unknown);
 }
 
 #[test]
 fn parked_jobs_are_refused_when_the_store_becomes_unreachable() {
     let mut world = World::new(2);
-    world.history_held = true;
+    world.history_withheld = true;
     world.take_over(INHERITED);
     world.run(100);
     let ticket = world.submit("j1", job(vec![step(1, 1_000)]));
@@ -97,7 +97,7 @@
     world.run(3_000);
     assert!(matches!(world.answers[&ticket], Answer::Refused(_)));
     world.store_down = false;
-    world.history_held = false;
+    world.history_withheld = false;
     world.run(3_000);
     assert!(world.starts.is_empty(), "a refused job never runs");
 }
@@ -110,13 +110,13 @@
 fn an_owner_that_may_have_been_replaced_answers_unknown_for_no_job() {
     let mut world = World::new(2);
     world.run(1_000);
-    let at_once = world.ask(JobRequest::Show("nobody".into()));
+    let at_once = world.request(JobRequest::Show("nobody".into()));
     assert_eq!(world.answers[&at_once], Answer::Unknown);
     world.store_down = true;
     world.run(600);
     let tickets = [
-        world.ask(JobRequest::Show("taken-elsewhere".into())),
-        world.ask(JobRequest::Cancel("taken-elsewhere".into())),
+        world.request(JobRequest::Show("taken-elsewhere".into())),
+        world.request(JobRequest::Cancel("taken-elsewhere".into())),
     ];
     let answers = |world: &World| tickets.map(|ticket| world.answers.get(&ticket).cloned());
     assert_eq!(answers(&world), [None, None]);
@@ -126,7 +126,7 @@
     }
     world.store_down = false;
     world.run(3_000);
-    let again = world.ask(JobRequest::Show("nobody".into()));
+    let again = world.request(JobRequest::Show("nobody".into()));
     assert_eq!(
         world.answers[&again],
         Answer::Unknown,
@@ -142,7 +142,7 @@
     for span in (0..400).step_by(10) {
         world.store_down = true;
         world.run(span);
-        let ticket = world.ask(JobRequest::Show("nobody".into()));
+        let ticket = world.request(JobRequest::Show("nobody".into()));
         let at_once = world.answers.contains_key(&ticket);
         world.store_down = false;
         world.run(1_500);
@@ -159,7 +159,7 @@
     world.store_down = true;
     let now = world.clock();
     world.owner.resign(now);
-    let ticket = world.ask(JobRequest::Show("taken-elsewhere".into()));
+    let ticket = world.request(JobRequest::Show("taken-elsewhere".into()));
     world.run(300);
     assert_eq!(
         world.answers.get(&ticket),
@@ -171,14 +171,14 @@
 #[test]
 fn the_number_of_parked_jobs_is_limited() {
     let mut world = World::new(2);
-    world.history_held = true;
+    world.history_withheld = true;
     world.take_over(INHERITED);
     world.run(100);
     let submit = |n: u32| world.submit(&format!("j{n}"), job(vec![step(1, 1_000)]));
     let tickets: Vec<u64> = (0..300).map(submit).collect();
     let refused = |t: &&u64| matches!(world.answers.get(*t), Some(Answer::Refused(_)));
     assert_eq!(tickets.iter().filter(refused).count(), 100);
-    world.history_held = false;
+    world.history_withheld = false;
     world.run(60_000);
     assert_eq!(world.starts.len(), 200, "all parked jobs run");
 }
@@ -189,9 +189,9 @@
     world.submit("j1", job(vec![lasting(4, 1_000)]));
     world.run(500);
     assert_eq!(world.running().len(), 4);
-    world.workers.get_mut("w0").expect("worker").cut = true;
-    world.workers.get_mut("w1").expect("worker").cut = true;
-    let ticket = world.ask(JobRequest::Cancel("j1".into()));
+    world.workers.get_mut("w0").expect("worker").disconnected = true;
+    world.workers.get_mut("w1").expect("worker").disconnected = true;
+    let ticket = world.request(JobRequest::Cancel("j1".into()));
     world.run(300);
     assert_eq!(world.answers[&ticket], Answer::Cancelled);
     assert_eq!(world.ids(JOB_TABLE), ["j1".into()]);
@@ -200,12 +200,15 @@
         "its runs have not ended"
     );
     world.take_over(INHERITED);
-    world.workers.values_mut().for_each(|w| w.cut = false);
+    world
+        .workers
+        .values_mut()
+        .for_each(|w| w.disconnected = false);
     world.run(1_500);
     assert!(world.running().is_empty(), "the next owner stops the runs");
     assert_eq!(world.ids(HISTORY_TABLE), ["j1".into()]);
     assert!(world.ids(JOB_TABLE).is_empty() && world.ids(SPEC_TABLE).is_empty());
-    assert_eq!(world.shown("j1"), Some(JobState::Cancelled));
+    assert_eq!(world.job_state("j1"), Some(JobState::Cancelled));
     assert_eq!(world.starts.len(), 4);
 }
 
@@ -216,18 +219,18 @@
     assert_eq!(world.ids(HISTORY_TABLE).len(), FINISHED_JOBS);
     world.take_over(INHERITED);
     world.run(1_000);
-    world.bounds.retention = 1_000;
-    world.owner.change_settings(world.bounds);
+    world.settings.retention = 1_000;
+    world.owner.change_settings(world.settings);
     world.run(3_000);
     assert!(world.ids(HISTORY_TABLE).is_empty(), "{}", world.rows.len());
-    let shown = world.ask(JobRequest::Show("over-001".into()));
+    let shown = world.request(JobRequest::Show("over-001".into()));
     assert_eq!(world.answers[&shown], Answer::Unknown);
 }
 
 #[test]
 fn an_older_page_does_not_restore_a_removed_job() {
     let mut world = World::new(1);
-    world.history_held = true;
+    world.history_withheld = true;
     world.take_over(INHERITED);
     let old = HistoryRow {
         outcome: Outcome::Completed,
@@ -241,21 +244,21 @@
             last,
         })
     };
-    world.step(page(false));
-    assert_eq!(world.shown("old"), Some(JobState::Completed));
-    world.run(BOUNDS.retention + 2_000);
-    world.step(page(true));
-    let shown = world.ask(JobRequest::Show("old".into()));
+    world.handle(page(false));
+    assert_eq!(world.job_state("old"), Some(JobState::Completed));
+    world.run(SETTINGS.retention + 2_000);
+    world.handle(page(true));
+    let shown = world.request(JobRequest::Show("old".into()));
     assert_eq!(world.answers[&shown], Answer::Unknown);
 }
 
 #[test]
 fn a_job_with_an_unreadable_row_is_in_doubt() {
     let mut world = World::new(1);
-    world.history_held = true;
+    world.history_withheld = true;
     world.take_over(INHERITED);
     let ticket = world.submit("torn", job(vec![step(1, 1_000)]));
-    world.step(Event::History(HistoryPage {
+    world.handle(Event::History(HistoryPage {
         unreadable: vec!["torn".into()],
         last: true,
         ..HistoryPage::default()
@@ -269,7 +272,7 @@
 fn a_reported_run_of_a_finished_job_is_stopped() {
     let mut world = World::new(1);
     run_jobs(&mut world, 1);
-    world.sneak("w0", "over-000.0.0.0", 60_000);
+    world.start_unordered("w0", "over-000.0.0.0", 60_000);
     world.run(1_500);
     assert!(world.running().is_empty());
 }
@@ -289,9 +292,9 @@
         }
     }
     world.take_over(INHERITED);
-    assert_eq!(world.shown("old-7"), Some(JobState::Failed));
+    assert_eq!(world.job_state("old-7"), Some(JobState::Failed));
     world.run(2_000);
     assert!(world.ids(JOB_TABLE).is_empty() && world.ids(SPEC_TABLE).is_empty());
     assert_eq!(world.ids(HISTORY_TABLE).len(), 50);
-    assert_eq!(world.shown("old-7"), Some(JobState::Failed));
+    assert_eq!(world.job_state("old-7"), Some(JobState::Failed));
 }
--- a/src/sched/tests/incarnation.rs
+++ b/src/sched/tests/incarnation.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
-use super::world::{FakeWorker, GIVEN_UP, World, job, lasting, listing, step};
+use super::world::{CALL_TIMEOUT, FakeWorker, World, job, lasting, listing, step};
 use crate::sched::job::JobState;
 use crate::sched::message::{DirectoryEntry, Event, Reply, Report, RunOutcome};
 use crate::sched::spec::{Resources, StepSpec};
@@ -17,14 +17,14 @@
     let mut world = World::new(1);
     world.submit("before", job(vec![step(4, 1_000)]));
     world.run(3_000);
-    assert_eq!(world.shown("before"), Some(JobState::Completed));
+    assert_eq!(world.job_state("before"), Some(JobState::Completed));
     world.restart("w0");
-    world.list();
+    world.send_directory();
     world.run(500);
     world.submit("after", job(vec![step(4, 1_000)]));
     world.run(6_000);
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
-    assert_eq!(world.shown("after"), Some(JobState::Completed));
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
+    assert_eq!(world.job_state("after"), Some(JobState::Completed));
     let starts = world.starts.iter().filter(|s| s.0.starts_with("after"));
     assert_eq!(starts.count(), 4);
 }
@@ -38,7 +38,7 @@
         let mut world = World::new(0);
         world.add_worker("w0", 100);
         let before = world.workers["w0"].listing.clone();
-        world.list();
+        world.send_directory();
         world.run(500);
         world.workers.remove("w0");
         let next = Listing {
@@ -47,17 +47,17 @@
         };
         world.workers.insert("w1".into(), FakeWorker::new(next));
         world.add_worker("w2", 102);
-        world.list();
+        world.send_directory();
         world.run(500);
         world.submit("j", job(vec![step(8, 1_000)]));
         world.run(100);
         assert_eq!(world.running().len(), 8);
         let entry = DirectoryEntry::Listed(before);
-        world.step(Event::DirectoryChanged(vec![("w0".into(), entry)]));
+        world.handle(Event::DirectoryChanged(vec![("w0".into(), entry)]));
         world.run(5_000);
-        assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+        assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
         assert_eq!(world.starts.len(), 8);
-        assert_eq!(world.shown("j"), Some(JobState::Completed));
+        assert_eq!(world.job_state("j"), Some(JobState::Completed));
     }
 }
 
@@ -69,10 +69,10 @@
     };
     world.submit(id, job(vec![step(count, 1_000)]));
     world.run(8_000);
-    assert_eq!(world.shown(id), Some(JobState::Completed), "{id}");
+    assert_eq!(world.job_state(id), Some(JobState::Completed), "{id}");
     let starts = world.starts.iter().filter(|s| s.0.starts_with(id));
     assert_eq!(starts.count(), count as usize, "{id}");
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 #[test]
@@ -82,7 +82,7 @@
     world.restart("w0");
     world.run(1);
     world.restart("w0");
-    world.list();
+    world.send_directory();
     assert_runs_once(&mut world, "after", 4);
 }
 
@@ -91,7 +91,7 @@
     let mut world = World::new(1);
     assert_runs_once(&mut world, "before", 4);
     world.restart_as("w0", |l| l.address.set_port(7_000));
-    world.list();
+    world.send_directory();
     assert_runs_once(&mut world, "after", 4);
 }
 
@@ -105,10 +105,10 @@
     world.restart_as("w0", |l| l.capacity.cpu = 1_000);
     world.run(2_000);
     assert!(world.running().is_empty(), "the capacity is not known yet");
-    world.list();
+    world.send_directory();
     world.run(8_000);
-    assert!(world.excesses.is_empty(), "{:?}", world.excesses);
-    assert_eq!(world.shown("before"), Some(JobState::Completed));
+    assert!(world.overcommits.is_empty(), "{:?}", world.overcommits);
+    assert_eq!(world.job_state("before"), Some(JobState::Completed));
 }
 
 #[test]
@@ -116,17 +116,17 @@
     let mut world = World::new(1);
     let worker = world.workers.get_mut("w0").expect("worker");
     (worker.listing.leaving, worker.listing.min_stay) = (true, 4_000);
-    world.list();
+    world.send_directory();
     world.run(500);
     world.restart_as("w0", |l| l.leaving = false);
-    world.list();
+    world.send_directory();
     assert_runs_once(&mut world, "after", 4);
 }
 
 /// Adds a worker, and shrinks the first one so that a task of one core does not fit.
 fn move_capacity_to_another_worker(world: &mut World) {
     world.add_worker("w1", 7_100);
-    world.list();
+    world.send_directory();
     let small = Resources {
         cpu: 100,
         ..world.workers["w0"].listing.capacity
@@ -142,25 +142,25 @@
     let mut world = World::new(1);
     world.script = |_, _| (300, RunOutcome::Done);
     world.run(500);
-    world.workers.get_mut("w0").expect("worker").cut = true;
+    world.workers.get_mut("w0").expect("worker").disconnected = true;
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(200);
-    let (_, late) = world.ordered["w0"].clone();
+    let (_, late) = world.last_starts["w0"].clone();
     assert_eq!((&*late.task, late.run), ("j1.0.0.0", 1));
     move_capacity_to_another_worker(&mut world);
-    world.workers.get_mut("w0").expect("worker").cut = false;
+    world.workers.get_mut("w0").expect("worker").disconnected = false;
     world.run(3_000);
     assert_eq!(
-        world.shown("j1"),
+        world.job_state("j1"),
         Some(JobState::Completed),
         "the task runs on the other worker"
     );
     world.restart("w0");
-    world.list();
+    world.send_directory();
     world.run(1_000);
-    world.carry_out(&late);
+    world.deliver_start(&late);
     world.run(2_000);
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 /// A start and the stop after it are delayed. The lease of the silent worker ends, and the task
@@ -173,24 +173,24 @@
         false => (1_000_000, RunOutcome::Done),
     };
     world.run(500);
-    world.workers.get_mut("w0").expect("worker").cut = true;
+    world.workers.get_mut("w0").expect("worker").disconnected = true;
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(200);
-    let (_, late) = world.ordered["w0"].clone();
+    let (_, late) = world.last_starts["w0"].clone();
     move_capacity_to_another_worker(&mut world);
     world.run(6_000);
     assert_eq!(
-        world.shown("j1"),
+        world.job_state("j1"),
         Some(JobState::Completed),
         "it runs elsewhere"
     );
-    world.workers.get_mut("w0").expect("worker").cut = false;
+    world.workers.get_mut("w0").expect("worker").disconnected = false;
     // More tasks than the other worker can hold, so that this one gets a lease again.
     world.submit("j2", job(vec![lasting(41, 100)]));
     world.run(1_500);
-    world.carry_out(&late);
+    world.deliver_start(&late);
     world.run(2_000);
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 /// After its clock was set back, a restarted worker reports an earlier start. That is accepted
@@ -200,18 +200,18 @@
     let mut world = World::new(2);
     world.script = |_, _| (600_000, RunOutcome::Done);
     world.restart("w0");
-    world.list();
+    world.send_directory();
     world.run(500);
     world.submit("lasting", job(vec![lasting(4, 1_000)]));
     world.run(500);
     world.restart_as("w0", |l| l.boot = Some(1));
-    world.list();
+    world.send_directory();
     for _ in 0..150 {
         world.run(100);
-        assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+        assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
     }
     assert_eq!(world.running().len(), 4);
-    world.workers.get_mut("w1").expect("worker").cut = true;
+    world.workers.get_mut("w1").expect("worker").disconnected = true;
     world.run(8_000);
     assert!(world.running().iter().any(|(_, w)| &**w == "w0"));
 }
@@ -225,10 +225,10 @@
     for id in ["w0", "w1"] {
         world.restart(id);
     }
-    world.list();
+    world.send_directory();
     world.run(500);
     assert_eq!(world.running().len(), 9);
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 #[test]
@@ -246,10 +246,10 @@
         world.restart(id);
         world.run(2);
     }
-    world.list();
+    world.send_directory();
     world.run(6_000);
-    assert_eq!(world.shown("g"), Some(JobState::Completed));
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert_eq!(world.job_state("g"), Some(JobState::Completed));
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 /// While the store is away, the listing stays that of the earlier incarnation. The worker is
@@ -259,7 +259,7 @@
     let mut world = World::new(1);
     world.restart("w0");
     world.run(100);
-    assert!(world.holds["w0"].wait > 0);
+    assert!(world.last_polls["w0"].wait > 0);
 }
 
 /// One member of a gang has begun on a restarted worker, and the start of another has no answer.
@@ -272,15 +272,15 @@
             gang: true,
             ..step(6, 1_000)
         };
-        world.faults.lost = lost;
+        world.faults.lost_replies = lost;
         world.submit("g", job(vec![gang]));
         world.run(100);
         world.restart("w0");
-        world.list();
-        world.faults.lost = 0.0;
+        world.send_directory();
+        world.faults.lost_replies = 0.0;
         world.run(12_000);
-        assert_eq!(world.shown("g"), Some(JobState::Completed), "{lost}");
-        assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+        assert_eq!(world.job_state("g"), Some(JobState::Completed), "{lost}");
+        assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
         assert!(world.running().is_empty());
     }
 }
@@ -355,7 +355,7 @@
         let before = &world.workers["w0"];
         let (old_listing, old_report) = (before.listing.clone(), before.report(world.now));
         world.restart("w0");
-        world.workers.get_mut("w0").expect("worker").cut = true;
+        world.workers.get_mut("w0").expect("worker").disconnected = true;
         let mut restart = Self {
             world,
             old_listing,
@@ -370,19 +370,19 @@
         match step {
             Step::OldListing => {
                 let entry = DirectoryEntry::Listed(self.old_listing.clone());
-                world.step(Event::DirectoryChanged(vec![("w0".into(), entry)]));
+                world.handle(Event::DirectoryChanged(vec![("w0".into(), entry)]));
             }
-            Step::NewListing => world.list(),
+            Step::NewListing => world.send_directory(),
             Step::OldReport => {
-                let poll = world.holds["w0"].clone();
-                world.step(Event::Polled(poll, Reply::Ok(self.old_report.clone())));
+                let poll = world.last_polls["w0"].clone();
+                world.handle(Event::Polled(poll, Reply::Ok(self.old_report.clone())));
             }
-            Step::Reachable => world.workers.get_mut("w0").expect("worker").cut = false,
+            Step::Reachable => world.workers.get_mut("w0").expect("worker").disconnected = false,
             Step::LateStart => {
-                let ordered = world.ordered.get("w0").cloned();
-                let in_flight = |(sent, _): &(u64, _)| world.now < sent + GIVEN_UP;
+                let ordered = world.last_starts.get("w0").cloned();
+                let in_flight = |(sent, _): &(u64, _)| world.now < sent + CALL_TIMEOUT;
                 if let Some((_, start)) = ordered.filter(in_flight) {
-                    world.carry_out(&start);
+                    world.deliver_start(&start);
                 }
             }
             Step::Pause => world.run(500),
@@ -395,15 +395,15 @@
     /// Returns the faults that are found some time after the last step.
     fn faults(mut self) -> Vec<String> {
         let world = &mut self.world;
-        world.workers.get_mut("w0").expect("worker").cut = false;
-        world.list();
+        world.workers.get_mut("w0").expect("worker").disconnected = false;
+        world.send_directory();
         world.run(500);
         world.submit("after", job(vec![step(4, 500)]));
         world.run(12_000);
-        let mut faults = std::mem::take(&mut world.doubles);
-        faults.append(&mut world.excesses);
+        let mut faults = std::mem::take(&mut world.duplicates);
+        faults.append(&mut world.overcommits);
         for id in ["before", "done", "failing", "after"] {
-            let shown = world.shown(id);
+            let shown = world.job_state(id);
             if shown != Some(JobState::Completed) {
                 faults.push(format!("{id} is {shown:?}"));
             }
--- a/src/sched/tests/jobs.rs
+++ b/src/sched/tests/jobs.rs
@@ -18,9 +18,9 @@
     assert_eq!(world.starts.len(), 3, "the second step waits");
     world.run(200);
     assert_eq!(world.starts.len(), 5);
-    assert_eq!(world.shown("j1"), Some(JobState::Running));
+    assert_eq!(world.job_state("j1"), Some(JobState::Running));
     world.run(1_200);
-    assert_eq!(world.shown("j1"), Some(JobState::Completed));
+    assert_eq!(world.job_state("j1"), Some(JobState::Completed));
 }
 
 #[test]
@@ -66,7 +66,7 @@
 fn a_commit_whose_answer_is_lost_is_resolved_and_answered() {
     let mut world = World::new(2);
     world.faults = Faults {
-        commit: 0.6,
+        lost_commit_replies: 0.6,
         ..Faults::default()
     };
     let ticket = world.submit("j1", job(vec![step(2, 1_000)]));
@@ -74,8 +74,8 @@
     assert_eq!(world.answers[&ticket], Answer::Accepted);
     world.faults = Faults::default();
     world.run(6_000);
-    assert_eq!(world.shown("j1"), Some(JobState::Completed));
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert_eq!(world.job_state("j1"), Some(JobState::Completed));
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 #[test]
@@ -84,11 +84,11 @@
     world.submit("j1", job(vec![step(4, 1_000)]));
     world.run(200);
     assert_eq!(world.running().len(), 4);
-    let ticket = world.ask(JobRequest::Cancel("j1".into()));
+    let ticket = world.request(JobRequest::Cancel("j1".into()));
     world.run(300);
     assert_eq!(world.answers[&ticket], Answer::Cancelled);
     assert!(world.running().is_empty());
-    assert_eq!(world.shown("j1"), Some(JobState::Cancelled));
+    assert_eq!(world.job_state("j1"), Some(JobState::Cancelled));
     world.run(3_000);
     assert_eq!(world.starts.len(), 4);
 }
@@ -100,7 +100,7 @@
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(3_000);
     assert_eq!(world.starts.len(), 3, "one run for each allowed failure");
-    assert_eq!(world.shown("j1"), Some(JobState::Failed));
+    assert_eq!(world.job_state("j1"), Some(JobState::Failed));
 }
 
 #[test]
@@ -118,7 +118,7 @@
     };
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(1_000);
-    assert_eq!(world.shown("j1"), Some(JobState::Completed));
+    assert_eq!(world.job_state("j1"), Some(JobState::Completed));
     assert_ne!(world.starts[0].2, world.starts[1].2);
 }
 
@@ -126,15 +126,15 @@
 fn a_start_without_an_answer_is_stopped_before_the_next() {
     let mut world = World::new(3);
     world.faults = Faults {
-        late: 1.0,
+        delayed_calls: 1.0,
         ..Faults::default()
     };
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(300);
     world.faults = Faults::default();
     world.run(20_000);
-    assert_eq!(world.shown("j1"), Some(JobState::Completed));
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert_eq!(world.job_state("j1"), Some(JobState::Completed));
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 #[test]
@@ -175,11 +175,11 @@
     // The placement is stored, and the owner ends before the start.
     world.take_over(0);
     world.run(300);
-    let count = world.ask(JobRequest::Count("q".into()));
+    let count = world.request(JobRequest::Count("q".into()));
     assert_eq!(world.answers[&count], Answer::Waiting(1));
-    assert_eq!(world.shown("j1"), Some(JobState::Queued));
+    assert_eq!(world.job_state("j1"), Some(JobState::Queued));
     world.workers.get_mut("w0").expect("worker").full = false;
     world.run(1_200);
-    let count = world.ask(JobRequest::Count("q".into()));
+    let count = world.request(JobRequest::Count("q".into()));
     assert_eq!(world.answers[&count], Answer::Waiting(0));
 }
--- a/src/sched/tests/order.rs
+++ b/src/sched/tests/order.rs
@@ -50,7 +50,7 @@
     listing.labels.push("nowhere".into());
     listing.leaving = true;
     listing.min_stay = 60_000;
-    world.list();
+    world.send_directory();
     world.submit("first", job(vec![best_effort("nowhere")]));
     world.submit("second", job(vec![best_effort("")]));
     world.run(300);
@@ -91,7 +91,7 @@
     assert_eq!(world.running().len(), 16, "lasting tasks fill all workers");
     world.submit("ends", job(vec![step(1, 1_000)]));
     world.run(1_000);
-    assert_eq!(world.shown("ends"), Some(JobState::Completed));
+    assert_eq!(world.job_state("ends"), Some(JobState::Completed));
     world.run(3_000);
     assert_eq!(world.running().len(), 16, "all lasting tasks run again");
 }
@@ -157,10 +157,10 @@
     world.run(4_000);
     world.submit_with_priority("better", job(vec![step(1, 1_000)]), 0);
     world.run(1_500);
-    assert_eq!(world.shown("better"), Some(JobState::Completed));
+    assert_eq!(world.job_state("better"), Some(JobState::Completed));
     world.submit_with_priority("equal", job(vec![step(1, 1_000)]), 2);
     world.run(1_500);
-    assert_eq!(world.shown("equal"), Some(JobState::Queued));
+    assert_eq!(world.job_state("equal"), Some(JobState::Queued));
 }
 
 #[test]
@@ -227,7 +227,7 @@
     world.run(2_500);
     let done = |world: &mut World, name: &str, count: u32| {
         let ids = (0..count).map(|n| format!("{name}{n}"));
-        ids.filter(|id| world.shown(id) == Some(JobState::Completed))
+        ids.filter(|id| world.job_state(id) == Some(JobState::Completed))
             .count()
     };
     let small = done(&mut world, "small", 12);
--- a/src/sched/tests/overload.rs
+++ b/src/sched/tests/overload.rs
@@ -132,6 +132,6 @@
     world.submit("sound", job(vec![step(4, 500)]));
     world.run(6_000);
     for id in ["huge", "sound"] {
-        assert_eq!(world.shown(id), Some(JobState::Completed), "{id}");
+        assert_eq!(world.job_state(id), Some(JobState::Completed), "{id}");
     }
 }
--- a/src/sched/tests/permits.rs
+++ b/src/sched/tests/permits.rs
@@ -12,8 +12,11 @@
 
 fn world(workers: u16, good: &[&str]) -> World {
     let mut world = World::new(workers);
-    world.workers.values_mut().for_each(|w| w.advised = true);
-    world.good = good.iter().map(|id| (*id).into()).collect();
+    world
+        .workers
+        .values_mut()
+        .for_each(|w| w.requires_permit = true);
+    world.permitted = good.iter().map(|id| (*id).into()).collect();
     world
 }
 
@@ -25,9 +28,13 @@
     assert_eq!(world.starts.len(), 4);
     let good = ["w2", "w5"];
     assert!(world.starts.iter().all(|s| good.contains(&&*s.2)));
-    assert_eq!(world.questions, [6], "one query for all tasks of a step");
+    assert_eq!(
+        world.advice_requests,
+        [6],
+        "one query for all tasks of a step"
+    );
     world.run(1_500);
-    assert_eq!(world.shown("j1"), Some(JobState::Completed));
+    assert_eq!(world.job_state("j1"), Some(JobState::Completed));
 }
 
 #[test]
@@ -35,8 +42,8 @@
     let mut world = World::new(2);
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(1_500);
-    assert_eq!(world.shown("j1"), Some(JobState::Completed));
-    assert!(world.questions.is_empty());
+    assert_eq!(world.job_state("j1"), Some(JobState::Completed));
+    assert!(world.advice_requests.is_empty());
 }
 
 #[test]
@@ -45,9 +52,13 @@
     world.submit_to(advised(), "j1", job(vec![step(12, 1_000)]));
     // Four tasks run at a time for a second each, so the last start after the first permits expire.
     world.run(4_500);
-    assert_eq!(world.shown("j1"), Some(JobState::Completed));
+    assert_eq!(world.job_state("j1"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), 12);
-    assert!(world.questions.len() >= 2, "{:?}", world.questions);
+    assert!(
+        world.advice_requests.len() >= 2,
+        "{:?}",
+        world.advice_requests
+    );
     assert!(world.starts.iter().all(|s| &*s.2 == "w1"));
 }
 
@@ -56,11 +67,11 @@
     let mut world = world(70, &["w69"]);
     world.submit_to(advised(), "j1", job(vec![step(1, 1_000)]));
     world.run(2_000);
-    assert_eq!(world.shown("j1"), Some(JobState::Completed));
+    assert_eq!(world.job_state("j1"), Some(JobState::Completed));
     assert!(
-        world.questions.iter().all(|n| *n <= 30),
+        world.advice_requests.iter().all(|n| *n <= 30),
         "{:?}",
-        world.questions
+        world.advice_requests
     );
 }
 
@@ -73,7 +84,10 @@
     assert_eq!(world.running().len(), 4, "w0 is full");
     world.submit_to(advised(), "waits", job(vec![step(1, 1_000)]));
     world.run(300);
-    world.workers.values_mut().for_each(|w| w.advised = false);
+    world
+        .workers
+        .values_mut()
+        .for_each(|w| w.requires_permit = false);
     world.submit("plain", job(vec![step(1, 1_000)]));
     world.run(300);
     let plain = world.starts.iter().find(|s| s.0.starts_with("plain"));
--- a/src/sched/tests/predecessors.rs
+++ b/src/sched/tests/predecessors.rs
@@ -1,6 +1,6 @@
 //! Tests of what a new owner concludes from its predecessor's row.
 
-use super::world::{BOUNDS, owner_row};
+use super::world::{SETTINGS, owner_row};
 use crate::sched::journal::OwnerRow;
 use crate::sched::predecessors::{PredecessorState, owners_to_notify};
 use crate::sched::worker::max_lease_duration;
@@ -44,17 +44,17 @@
 
 #[test]
 fn lease_end_covers_leases_of_earlier_owners() {
-    let (now, lease) = (7_000, max_lease_duration(BOUNDS.lease_length));
-    let end = |state: PredecessorState| state.lease_end(&BOUNDS, now) - now;
+    let (now, lease) = (7_000, max_lease_duration(SETTINGS.lease_length));
+    let end = |state: PredecessorState| state.lease_end(&SETTINGS, now) - now;
     assert_eq!(end(PredecessorState::Absent), 0);
     assert_eq!(end(PredecessorState::Ended), lease);
     assert_eq!(
         end(PredecessorState::MayServe),
-        BOUNDS.max_unconfirmed + lease
+        SETTINGS.max_unconfirmed + lease
     );
     assert_eq!(
         end(PredecessorState::EarlierMayServe),
-        BOUNDS.max_unconfirmed + lease
+        SETTINGS.max_unconfirmed + lease
     );
 }
 
--- a/src/sched/tests/random.rs
+++ b/src/sched/tests/random.rs
@@ -89,13 +89,13 @@
         return None;
     }
     match random.below(6) {
-        0 => drop(world.ask(JobRequest::Cancel(job.id.as_str().into()))),
+        0 => drop(world.request(JobRequest::Cancel(job.id.as_str().into()))),
         1 | 2 => drop(world.submit(&job.id, job.spec.clone())),
         _ => {}
     }
     let query = Query {
         accepted: world.answers.get(&job.ticket) == Some(&Answer::Accepted),
-        ticket: world.ask(JobRequest::Show(job.id.as_str().into())),
+        ticket: world.request(JobRequest::Show(job.id.as_str().into())),
         id: job.id.clone(),
         at: world.now,
         final_state: job.final_state,
@@ -130,17 +130,17 @@
     match random.below(8) {
         0 | 1 => {
             if let Some(worker) = worker.and_then(|id| world.workers.get_mut(&id)) {
-                worker.cut = !worker.cut;
+                worker.disconnected = !worker.disconnected;
             }
         }
         2 => world.store_down = !world.store_down,
         3 => world.take_over(14_500),
-        4 => world.list(),
+        4 => world.send_directory(),
         _ => {
             world.faults = Faults {
-                lost: 0.2 * random.unit(),
-                late: 0.2 * random.unit(),
-                commit: 0.3 * random.unit(),
+                lost_replies: 0.2 * random.unit(),
+                delayed_calls: 0.2 * random.unit(),
+                lost_commit_replies: 0.3 * random.unit(),
                 ..Faults::default()
             }
         }
@@ -154,7 +154,7 @@
         (0, Some(id)) => world.restart(&id),
         (1, Some(id)) => {
             world.restart(&id);
-            world.list();
+            world.send_directory();
         }
         _ => {}
     }
@@ -192,8 +192,8 @@
 
 /// Returns the errors in the use of workers: exceeded resources and too many crashes.
 fn worker_errors(world: &World) -> Vec<String> {
-    let mut errors = world.excesses.clone();
-    let crashes = world.crashes.under(CRASHING_TASK);
+    let mut errors = world.overcommits.clone();
+    let crashes = world.crashes.count_with(CRASHING_TASK);
     if crashes > MAX_CRASHES {
         errors.push(format!(
             "{crashes} workers crashed under {CRASHING_TASK}, at most {MAX_CRASHES} may"
@@ -220,8 +220,8 @@
     let mut random = Random::new(seed);
     let mut world = World::new(4);
     world.seed(seed ^ 1);
-    world.bounds.retention = RETENTION;
-    world.owner.change_settings(world.bounds);
+    world.settings.retention = RETENTION;
+    world.owner.change_settings(world.settings);
     if machines {
         world.crashes.by_task.insert(CRASHING_TASK.into(), 10);
     }
@@ -259,15 +259,18 @@
     }
     world.faults = Faults::default();
     world.store_down = false;
-    world.workers.values_mut().for_each(|w| w.cut = false);
+    world
+        .workers
+        .values_mut()
+        .for_each(|w| w.disconnected = false);
     if machines {
         world.run(CALM_TIME / 4);
         restore_capacity(&mut world);
     }
-    world.list();
+    world.send_directory();
     world.run(CALM_TIME);
     let mut errors: Vec<String> = queries.iter().filter_map(|q| q.error(&world)).collect();
-    errors.append(&mut world.doubles);
+    errors.append(&mut world.duplicates);
     errors.extend(worker_errors(&world));
     errors.extend(
         world
--- a/src/sched/tests/resizing.rs
+++ b/src/sched/tests/resizing.rs
@@ -31,11 +31,11 @@
     world.submit("b", job(vec![step(4, 500)]));
     world.run(2_000);
     assert_eq!(world.running().len(), 8, "running tasks continue");
-    assert_eq!(world.shown("b"), Some(JobState::Queued));
+    assert_eq!(world.job_state("b"), Some(JobState::Queued));
     world.resize("w0", capacity(6_000));
     world.run(500);
     assert_eq!(world.running().len(), 12);
-    assert!(world.excesses.is_empty(), "{:?}", world.excesses);
+    assert!(world.overcommits.is_empty(), "{:?}", world.overcommits);
 }
 
 /// The placement is being committed when the worker's capacity shrinks.
@@ -47,7 +47,7 @@
     world.resize("w0", capacity(1_000));
     world.run(2_000);
     assert_eq!(world.running().len(), 2);
-    assert!(world.excesses.is_empty(), "{:?}", world.excesses);
+    assert!(world.overcommits.is_empty(), "{:?}", world.overcommits);
 }
 
 #[test]
@@ -56,16 +56,16 @@
     world.submit("a", job(vec![step(4, 1_000)]));
     world.run(500);
     // Stops are answered, but without a report the tasks may still be running.
-    world.ask(JobRequest::Cancel("a".into()));
+    world.request(JobRequest::Cancel("a".into()));
     world.run(5);
-    world.workers.get_mut("w0").expect("worker").cut = true;
+    world.workers.get_mut("w0").expect("worker").disconnected = true;
     world.submit("b", job(vec![step(4, 1_000)]));
     world.run(2_500);
     assert!(!world.starts.iter().any(|s| s.0.starts_with('b')));
-    world.workers.get_mut("w0").expect("worker").cut = false;
+    world.workers.get_mut("w0").expect("worker").disconnected = false;
     world.run(6_000);
     assert_eq!(world.running().len(), 4);
-    assert!(world.excesses.is_empty(), "{:?}", world.excesses);
+    assert!(world.overcommits.is_empty(), "{:?}", world.overcommits);
 }
 
 /// A job that fits no worker is accepted if it has fit one before, as workers that have shrunk
@@ -99,5 +99,5 @@
     world.resize("w0", capacity(4_000));
     world.run(3_000);
     assert_eq!(world.running().len(), 6);
-    assert!(world.excesses.is_empty(), "{:?}", world.excesses);
+    assert!(world.overcommits.is_empty(), "{:?}", world.overcommits);
 }
--- a/src/sched/tests/suspension.rs
+++ b/src/sched/tests/suspension.rs
@@ -1,6 +1,6 @@
 //! Tests of a box whose machine is suspended: its timers stop while time goes on.
 
-use super::world::{BOUNDS, World, job, lasting, step};
+use super::world::{SETTINGS, World, job, lasting, step};
 use crate::sched::job::JobState;
 use crate::sched::message::{Action, Event, RunOutcome};
 use crate::sched::owner::Now;
@@ -35,22 +35,22 @@
     world.run(5_900);
     assert!(world.running().is_empty(), "all leases have ended");
     world.run(13_000);
-    assert_eq!(world.shown("a"), Some(JobState::Completed));
+    assert_eq!(world.job_state("a"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), 18);
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 #[test]
 fn the_lease_of_an_unreachable_worker_ends_by_real_time() {
     let mut world = world();
-    world.workers.get_mut("w0").expect("worker").cut = true;
+    world.workers.get_mut("w0").expect("worker").disconnected = true;
     world.run(1_000);
     world.suspend(3_000);
     world.run(20_000);
-    world.workers.get_mut("w0").expect("worker").cut = false;
+    world.workers.get_mut("w0").expect("worker").disconnected = false;
     world.run(20_000);
-    assert_eq!(world.shown("a"), Some(JobState::Completed));
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert_eq!(world.job_state("a"), Some(JobState::Completed));
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 /// An owner without a confirmation must not extend leases, as its successor relies on that. The
@@ -58,7 +58,7 @@
 #[test]
 fn an_owner_that_resumes_on_an_old_confirmation_extends_and_starts_nothing() {
     let mut world = world();
-    let later = world.now + BOUNDS.max_unconfirmed + 100;
+    let later = world.now + SETTINGS.max_unconfirmed + 100;
     let woken = Now {
         steady: later,
         wall: later,
--- a/src/sched/tests/swaps.rs
+++ b/src/sched/tests/swaps.rs
@@ -77,7 +77,7 @@
         4,
         "all serving tasks run again: {running:?}"
     );
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 #[test]
--- a/src/sched/tests/takeover.rs
+++ b/src/sched/tests/takeover.rs
@@ -16,7 +16,7 @@
     world.run(500);
     world.take_over(INHERITED);
     world.run(3_500);
-    assert_eq!(world.shown("j1"), Some(JobState::Completed));
+    assert_eq!(world.job_state("j1"), Some(JobState::Completed));
     assert_eq!(world.starts.len(), 4);
 }
 
@@ -35,8 +35,8 @@
     // The next owner keeps the active runs and starts the remaining tasks.
     world.take_over(INHERITED);
     world.run(20_000);
-    assert_eq!(world.shown("before"), Some(JobState::Completed));
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert_eq!(world.job_state("before"), Some(JobState::Completed));
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 #[test]
@@ -64,13 +64,13 @@
     world.script = |_, _| (30_000, RunOutcome::Done);
     world.submit("j1", job(vec![step(2, 1_000)]));
     world.run(500);
-    world.workers.get_mut("w0").expect("worker").cut = true;
+    world.workers.get_mut("w0").expect("worker").disconnected = true;
     world.take_over(INHERITED);
     world.run(INHERITED - 500);
     assert_eq!(world.starts.len(), 2);
     world.run(2_500);
     assert_eq!(world.starts.len(), 3, "the leases have expired");
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 #[test]
@@ -79,7 +79,7 @@
     world.script = |_, _| (30_000, RunOutcome::Done);
     world.submit("j1", job(vec![step(2, 1_000)]));
     world.run(500);
-    world.workers.get_mut("w0").expect("worker").cut = true;
+    world.workers.get_mut("w0").expect("worker").disconnected = true;
     world.take_over(INHERITED);
     let now = crate::sched::owner::Now {
         steady: world.now,
@@ -88,7 +88,7 @@
     world.owner.predecessor_ended(now);
     world.run(7_000);
     assert_eq!(world.starts.len(), 3);
-    assert!(world.doubles.is_empty(), "{:?}", world.doubles);
+    assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
 #[test]
@@ -100,16 +100,16 @@
     }
     world.take_over(INHERITED);
     world.run(2_500);
-    assert_eq!(world.shown("j1"), Some(JobState::Completed));
+    assert_eq!(world.job_state("j1"), Some(JobState::Completed));
 }
 
 #[test]
 fn a_job_with_unreadable_rows_is_in_doubt_and_never_accepted_again() {
     let mut world = World::new(1);
     world.owner.mark_unreadable(vec!["torn".into()]);
-    let shown = world.ask(JobRequest::Show("torn".into()));
+    let shown = world.request(JobRequest::Show("torn".into()));
     let again = world.submit("torn", job(vec![step(1, 1_000)]));
-    let cancel = world.ask(JobRequest::Cancel("torn".into()));
+    let cancel = world.request(JobRequest::Cancel("torn".into()));
     world.run(500);
     for ticket in [shown, again, cancel] {
         assert_eq!(world.answers[&ticket], Answer::InDoubt);
--- a/src/sched/tests/throttling.rs
+++ b/src/sched/tests/throttling.rs
@@ -1,7 +1,7 @@
 //! Throttling of best-effort tasks: how long serving tasks beside them exceed their targets.
 
 use super::random::seeds;
-use super::world::{Sharing, World, job, lasting, step};
+use super::world::{InterferenceModel, World, job, lasting, step};
 use crate::sched::job::parse_task_name;
 use crate::sched::message::{ActiveRun, RunOutcome};
 use crate::sched::spec::StepSpec;
@@ -16,21 +16,21 @@
 const LARGE_SERVICE: u64 = 490;
 
 /// Interference between tasks, as far as a test does not set it.
-const INTERFERING: Sharing = Sharing {
-    own: 0.7,
+const INTERFERING: InterferenceModel = InterferenceModel {
+    base_load: 0.7,
     factor: 0.5,
-    swing: 0.0,
+    amplitude: 0.0,
     period: 8_000,
-    workers: LARGE_SERVICE,
+    simulated_workers: LARGE_SERVICE,
 };
 
 /// Returns a world in which only one worker has the label that the tasks below require.
-fn shared_world(sharing: Sharing) -> World {
+fn shared_world(interference: InterferenceModel) -> World {
     let mut world = World::new(2);
     let worker = world.workers.get_mut("w0").expect("worker");
     worker.listing.labels.push(LABEL.into());
-    world.list();
-    world.sharing = sharing;
+    world.send_directory();
+    world.interference = interference;
     world.script = |task, _| match task.starts_with("serving") {
         true => (1_000_000, RunOutcome::Done),
         false => (best_effort_time(task), RunOutcome::Done),
@@ -76,16 +76,19 @@
 
 #[test]
 fn consecutive_short_best_effort_tasks_keep_no_serving_task_over_its_target() {
-    for (own, factor, swing) in [(0.7, 0.5, 0.0), (0.6, 1.0, 1.0), (0.76, 0.3, 1.0)] {
-        let mut world = shared_world(Sharing {
-            own,
+    for (base_load, factor, amplitude) in [(0.7, 0.5, 0.0), (0.6, 1.0, 1.0), (0.76, 0.3, 1.0)] {
+        let mut world = shared_world(InterferenceModel {
+            base_load,
             factor,
-            swing,
+            amplitude,
             ..INTERFERING
         });
         run_beside_stream(&mut world);
-        let over = world.longest_over;
-        assert!(over < MAX_BREACH, "{own} {factor} {swing}: {over} ms");
+        let over = world.longest_breach;
+        assert!(
+            over < MAX_BREACH,
+            "{base_load} {factor} {amplitude}: {over} ms"
+        );
     }
 }
 
@@ -93,20 +96,21 @@
 fn a_breach_ends_in_time_although_throttle_orders_are_lost() {
     // Four best-effort tasks are halted, and the order of each is lost up to three times.
     for lost in [0, 4, 8, 12] {
-        for (own, factor, swing) in [(0.76, 0.3, 1.0), (0.74, 0.2, 0.5), (0.75, 0.1, 0.0)] {
-            let mut world = shared_world(Sharing {
-                own,
+        for (base_load, factor, amplitude) in [(0.76, 0.3, 1.0), (0.74, 0.2, 0.5), (0.75, 0.1, 0.0)]
+        {
+            let mut world = shared_world(InterferenceModel {
+                base_load,
                 factor,
-                swing,
+                amplitude,
                 ..INTERFERING
             });
-            world.faults.throttles_lost = lost;
+            world.faults.lost_throttles = lost;
             world.script = |_, _| (1_000_000, RunOutcome::Done);
             run_beside_stream(&mut world);
-            let over = world.longest_over;
+            let over = world.longest_breach;
             assert!(
                 over < MAX_BREACH,
-                "{own} {factor} {swing}, {lost} lost: {over} ms"
+                "{base_load} {factor} {amplitude}, {lost} lost: {over} ms"
             );
         }
     }
@@ -116,21 +120,21 @@
 fn a_worker_over_target_is_polled_as_often_as_in_a_small_service() {
     let mut world = World::new(300);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
-    let wait = |world: &World| world.holds["w0"].wait;
+    let wait = |world: &World| world.last_polls["w0"].wait;
     let label = |world: &mut World| {
         let worker = world.workers.get_mut("w0").expect("worker");
         worker.listing.labels.push(LABEL.into());
     };
     label(&mut world);
-    world.list();
+    world.send_directory();
     world.submit("serving", job(vec![serving(1)]));
     world.run(100);
     world.submit("filler", job(vec![best_effort(1)]));
     world.run(2_500);
     assert!(wait(&world) > 590, "{} ms", wait(&world));
-    world.sharing = Sharing {
-        own: 0.75,
-        workers: 0,
+    world.interference = InterferenceModel {
+        base_load: 0.75,
+        simulated_workers: 0,
         ..INTERFERING
     };
     let mut least = wait(&world);
@@ -146,19 +150,23 @@
     let mut world = shared_world(INTERFERING);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     // The first orders take effect seconds later, after the orders that followed them.
-    world.faults.throttles_late = (8, 5_000);
+    world.faults.delayed_throttles = (8, 5_000);
     world.submit("serving", job(vec![serving(2)]));
     world.run(3_000);
     world.submit("stream", job(vec![best_effort(4)]));
     world.run(4_000);
-    world.sharing.own = 0.2;
+    world.interference.base_load = 0.2;
     world.run(8_000);
     let speeds = world.speeds_of("stream");
     assert_eq!(speeds, [100; 4], "all tasks run at full speed");
-    world.sharing.own = 0.78;
-    world.faults.throttles_late = (4, 3_000);
+    world.interference.base_load = 0.78;
+    world.faults.delayed_throttles = (4, 3_000);
     world.run(25_000);
-    assert!(world.longest_over < MAX_BREACH, "{} ms", world.longest_over);
+    assert!(
+        world.longest_breach < MAX_BREACH,
+        "{} ms",
+        world.longest_breach
+    );
 }
 
 #[test]
@@ -168,15 +176,15 @@
     world.submit("serving", job(vec![serving(2)]));
     world.run(3_000);
     world.submit("stream", job(vec![best_effort(4)]));
-    world.sharing.own = 0.79;
+    world.interference.base_load = 0.79;
     world.run(6_000);
     assert!(world.speeds_of("stream").contains(&0));
     // The tails fall while the worker is cut off and no owner sees its reports.
     let cut = |world: &mut World, cut| {
-        world.workers.get_mut("w0").expect("worker").cut = cut;
+        world.workers.get_mut("w0").expect("worker").disconnected = cut;
     };
     cut(&mut world, true);
-    world.sharing.own = 0.2;
+    world.interference.base_load = 0.2;
     world.run(1_000);
     cut(&mut world, false);
     world.take_over(14_500);
@@ -203,13 +211,13 @@
 
 /// Returns a world in which the owner receives no reports except those of the test.
 fn silent_world() -> World {
-    let mut world = shared_world(Sharing::default());
+    let mut world = shared_world(InterferenceModel::default());
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("serving", job(vec![serving(1)]));
     world.run(100);
     world.submit("filler", job(vec![best_effort(1)]));
     world.run(2_500);
-    world.workers.get_mut("w0").expect("worker").cut = true;
+    world.workers.get_mut("w0").expect("worker").disconnected = true;
     world.ordered_speeds.clear();
     world
 }
@@ -237,20 +245,20 @@
 /// best-effort tasks caused, in milliseconds.
 fn random_run(seed: u64) -> Millis {
     let mut random = Random::new(seed);
-    let mut world = shared_world(Sharing {
-        own: 0.5 + 0.28 * random.unit(),
+    let mut world = shared_world(InterferenceModel {
+        base_load: 0.5 + 0.28 * random.unit(),
         factor: 0.1 + 0.9 * random.unit(),
-        swing: random.unit(),
+        amplitude: random.unit(),
         period: 2_000 + random.below(10_000),
-        workers: 200 + random.below(800),
+        simulated_workers: 200 + random.below(800),
     });
     world.seed(seed);
-    world.faults.throttles_lost = random.below(9) as u32;
+    world.faults.lost_throttles = random.below(9) as u32;
     if random.chance(0.5) {
         world.script = |_, _| (1_000_000, RunOutcome::Done);
     }
     run_beside_stream(&mut world);
-    world.longest_over
+    world.longest_breach
 }
 
 #[test]
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -9,10 +9,10 @@
 
 use bytes::Bytes;
 
-use self::calls::{Call, Due};
-pub use self::calls::{Faults, GIVEN_UP};
+pub use self::calls::{CALL_TIMEOUT, Faults};
+use self::calls::{Call, Scheduled};
 pub use self::crashes::Crashes;
-pub use self::interference::Sharing;
+pub use self::interference::InterferenceModel;
 pub use self::workers::FakeWorker;
 use crate::cordons::Halls;
 use crate::sched::job::{JobRow, JobState, Queue};
@@ -29,7 +29,7 @@
 use crate::utils::clock::Millis;
 use crate::utils::random::Random;
 
-pub const BOUNDS: OwnerSettings = OwnerSettings {
+pub const SETTINGS: OwnerSettings = OwnerSettings {
     lease_length: 4_000,
     max_unconfirmed: 10_000,
     drain_time: 2_000,
@@ -50,10 +50,10 @@
     /// Halls that are cordoned.
     pub cordoned: Halls,
     /// The next owner is not told which are.
-    pub cordons_held: bool,
+    pub cordons_withheld: bool,
     /// Nothing of the jobs that are over is read.
-    pub history_held: bool,
-    pub bounds: OwnerSettings,
+    pub history_withheld: bool,
+    pub settings: OwnerSettings,
     /// How long each run takes and how it ends, by task name and run.
     pub script: fn(&str, u32) -> (Millis, RunOutcome),
     /// What crashes workers, and those that have crashed.
@@ -61,42 +61,42 @@
     /// Starts that workers carried out: task, run, worker, time.
     pub starts: Vec<(String, u32, Name, Millis)>,
     /// Workers that may run the steps of advised queues.
-    pub good: BTreeSet<Name>,
-    /// Numbers of workers in each question to the advisor.
-    pub questions: Vec<usize>,
+    pub permitted: BTreeSet<Name>,
+    /// Numbers of workers in each request to the advisor.
+    pub advice_requests: Vec<usize>,
     /// The checkpoint that the last start of each task brought.
-    pub resumed: BTreeMap<String, Name>,
+    pub resumed_from: BTreeMap<String, Name>,
     /// Breaches of the rules that a task runs once at a time, and not again
     /// after an end that was acknowledged.
-    pub doubles: Vec<String>,
+    pub duplicates: Vec<String>,
     /// Starts that brought a worker over its room.
-    pub excesses: Vec<String>,
+    pub overcommits: Vec<String>,
     /// Starts that were turned away as unfit.
     pub unfit_starts: u32,
     /// Speeds that were ordered, in percent.
     pub ordered_speeds: Vec<u32>,
     /// How tasks press on each other.
-    pub sharing: Sharing,
+    pub interference: InterferenceModel,
     /// The longest that a serving task was over its target by what fills beside it.
-    pub longest_over: Millis,
+    pub longest_breach: Millis,
     /// Tasks of which an end with its work done was acknowledged under a lease.
-    noted: BTreeSet<String>,
+    acknowledged: BTreeSet<String>,
     /// Failed runs that were acknowledged under a lease, by task.
-    failed: BTreeMap<String, u32>,
+    acknowledged_failures: BTreeMap<String, u32>,
     /// The exchange that was sent last, by worker.
-    pub holds: BTreeMap<Name, Poll>,
+    pub last_polls: BTreeMap<Name, Poll>,
     /// The start that was sent last, and when, by worker.
-    pub ordered: BTreeMap<Name, (Millis, Start)>,
+    pub last_starts: BTreeMap<Name, (Millis, Start)>,
     pub rows: BTreeMap<(&'static str, Name), Bytes>,
     pub version: u64,
     pub owner_version: u64,
     /// Until when the machine of the box is suspended.
-    suspended: Millis,
+    suspended_until: Millis,
     epoch: u64,
     random: Random,
-    due: BTreeMap<(Millis, u64), Due>,
+    scheduled: BTreeMap<(Millis, u64), Scheduled>,
     serial: u64,
-    ticket: u64,
+    last_ticket: u64,
 }
 
 pub fn queue() -> Queue {
@@ -192,48 +192,48 @@
         };
         let mut world = Self {
             now,
-            owner: Owner::new(BOUNDS, journal, Vec::new(), now, at),
+            owner: Owner::new(SETTINGS, journal, Vec::new(), now, at),
             workers: BTreeMap::new(),
             answers: BTreeMap::new(),
             faults: Faults::default(),
             store_down: false,
             cordoned: Halls::new(),
-            cordons_held: false,
-            history_held: false,
-            bounds: BOUNDS,
+            cordons_withheld: false,
+            history_withheld: false,
+            settings: SETTINGS,
             script: |_, _| (1_000, RunOutcome::Done),
             crashes: Crashes::default(),
             starts: Vec::new(),
-            good: BTreeSet::new(),
-            questions: Vec::new(),
-            resumed: BTreeMap::new(),
-            doubles: Vec::new(),
-            excesses: Vec::new(),
+            permitted: BTreeSet::new(),
+            advice_requests: Vec::new(),
+            resumed_from: BTreeMap::new(),
+            duplicates: Vec::new(),
+            overcommits: Vec::new(),
             unfit_starts: 0,
             ordered_speeds: Vec::new(),
-            sharing: Sharing::default(),
-            longest_over: 0,
-            noted: BTreeSet::new(),
-            failed: BTreeMap::new(),
-            holds: BTreeMap::new(),
-            ordered: BTreeMap::new(),
+            interference: InterferenceModel::default(),
+            longest_breach: 0,
+            acknowledged: BTreeSet::new(),
+            acknowledged_failures: BTreeMap::new(),
+            last_polls: BTreeMap::new(),
+            last_starts: BTreeMap::new(),
             rows: BTreeMap::new(),
             version: 1,
             owner_version: 1,
-            suspended: 0,
+            suspended_until: 0,
             epoch: 1,
             random: Random::new(7),
-            due: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             serial: 0,
-            ticket: 0,
+            last_ticket: 0,
         };
         world.put_owner(&owner_row(1));
         for number in 0..workers {
             world.add_worker(&format!("w{number}"), 100 + number);
         }
         world.read_history(world.epoch, None);
-        world.step(Event::Cordoned(world.cordoned.clone()));
-        world.list();
+        world.handle(Event::Cordoned(world.cordoned.clone()));
+        world.send_directory();
         world.run(50);
         world
     }
@@ -253,25 +253,25 @@
     }
 
     /// Tells the owner the whole directory.
-    pub fn list(&mut self) {
+    pub fn send_directory(&mut self) {
         let listings = self.workers.values().map(|w| w.listing.clone());
         let entries = listings.map(|l| (l.id.clone(), DirectoryEntry::Listed(l)));
-        self.tell(Event::Directory(entries.collect()));
+        self.notify(Event::Directory(entries.collect()));
     }
 
-    /// Tells the owner news of the directory; a box that is suspended takes them in later,
+    /// Tells the owner event of the directory; a box that is suspended takes them in later,
     /// in their order.
-    fn tell(&mut self, news: Event) {
-        match self.now < self.suspended {
-            true => self.later(0, Due::Event(self.epoch, news)),
-            false => self.step(news),
+    fn notify(&mut self, event: Event) {
+        match self.now < self.suspended_until {
+            true => self.schedule(0, Scheduled::Event(self.epoch, event)),
+            false => self.handle(event),
         }
     }
 
-    pub fn ask(&mut self, ask: JobRequest) -> u64 {
-        self.ticket += 1;
-        self.step(Event::Request(self.ticket, ask));
-        self.ticket
+    pub fn request(&mut self, request: JobRequest) -> u64 {
+        self.last_ticket += 1;
+        self.handle(Event::Request(self.last_ticket, request));
+        self.last_ticket
     }
 
     pub fn submit(&mut self, id: &str, spec: JobSpec) -> u64 {
@@ -287,15 +287,15 @@
     }
 
     pub fn submit_to(&mut self, queue: Queue, id: &str, spec: JobSpec) -> u64 {
-        self.ask(JobRequest::Submit {
+        self.request(JobRequest::Submit {
             id: id.into(),
             spec: Box::new(spec),
             queue,
         })
     }
 
-    pub fn shown(&mut self, id: &str) -> Option<JobState> {
-        let ticket = self.ask(JobRequest::Show(id.into()));
+    pub fn job_state(&mut self, id: &str) -> Option<JobState> {
+        let ticket = self.request(JobRequest::Show(id.into()));
         match self.answers.get(&ticket) {
             Some(Answer::State(shown)) => Some(*shown),
             _ => None,
@@ -314,7 +314,7 @@
 
     /// Puts another owner in the place of this one, as a takeover does.
     pub fn take_over(&mut self, inherited: Millis) {
-        self.suspended = 0;
+        self.suspended_until = 0;
         self.epoch += 1;
         self.version += 1;
         self.owner_version = self.version;
@@ -325,19 +325,19 @@
             wall: self.now,
         };
         let journal = Journal::new(row, self.owner_version, self.now);
-        let kept = self.kept();
-        self.owner = Owner::new(self.bounds, journal, kept, self.now + inherited, at);
+        let kept = self.stored_jobs();
+        self.owner = Owner::new(self.settings, journal, kept, self.now + inherited, at);
         self.read_history(self.epoch, None);
-        if !self.cordons_held {
-            self.step(Event::Cordoned(self.cordoned.clone()));
+        if !self.cordons_withheld {
+            self.handle(Event::Cordoned(self.cordoned.clone()));
         }
-        self.list();
+        self.send_directory();
     }
 
     /// Tells the owner that these halls are cordoned, and no others.
     pub fn cordon(&mut self, halls: &[&str]) {
         self.cordoned = halls.iter().map(|h| (*h).into()).collect();
-        self.tell(Event::Cordoned(self.cordoned.clone()));
+        self.notify(Event::Cordoned(self.cordoned.clone()));
     }
 
     /// Returns the ids of the rows in a table.
@@ -346,7 +346,7 @@
         rows.map(|(_, id)| id.clone()).collect()
     }
 
-    fn kept(&self) -> Vec<StoredJob> {
+    fn stored_jobs(&self) -> Vec<StoredJob> {
         let jobs = self
             .rows
             .iter()
@@ -368,20 +368,26 @@
         let end = self.now + span;
         while self.now < end {
             self.now += 1;
-            self.work();
-            self.measure();
-            self.crash_due();
-            while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 <= self.now) {
+            self.end_due_runs();
+            self.measure_workers();
+            self.apply_due_crashes();
+            while let Some(entry) = self
+                .scheduled
+                .first_entry()
+                .filter(|e| e.key().0 <= self.now)
+            {
                 match entry.remove() {
-                    Due::Call(call, answered) => self.arrive(call, answered),
-                    Due::Kept(call, life) => self.carry_out_kept(call, life),
-                    Due::Event(epoch, event) if epoch == self.epoch => self.step(event),
-                    Due::Event(..) => {}
-                    Due::History(epoch, from) => self.read_history(epoch, from),
+                    Scheduled::Call(call, answered) => self.deliver(call, answered),
+                    Scheduled::Delayed(call, incarnation) => {
+                        self.deliver_delayed(call, incarnation)
+                    }
+                    Scheduled::Event(epoch, event) if epoch == self.epoch => self.handle(event),
+                    Scheduled::Event(..) => {}
+                    Scheduled::History(epoch, from) => self.read_history(epoch, from),
                 }
             }
-            if self.now.is_multiple_of(5) && self.now >= self.suspended {
-                self.step(Event::Tick);
+            if self.now.is_multiple_of(5) && self.now >= self.suspended_until {
+                self.handle(Event::Tick);
             }
         }
     }
@@ -394,25 +400,26 @@
         }
     }
 
-    pub fn step(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         for action in self.owner.handle_event(event, self.clock()) {
             let call = match action {
                 Action::Reply(ticket, answer) => {
                     self.answers.insert(ticket, answer);
                     continue;
                 }
-                Action::Poll(hold) => {
-                    self.holds.insert(hold.incarnation.id.clone(), hold.clone());
-                    Call::Hold(hold)
+                Action::Poll(poll) => {
+                    self.last_polls
+                        .insert(poll.incarnation.id.clone(), poll.clone());
+                    Call::Poll(poll)
                 }
                 Action::Start(start) => {
                     let sent = (self.now, start.clone());
-                    self.ordered.insert(start.incarnation.id.clone(), sent);
+                    self.last_starts.insert(start.incarnation.id.clone(), sent);
                     Call::Start(start)
                 }
                 Action::Stop(stop) => Call::Stop(stop),
-                Action::RequestAdvice(question) => {
-                    self.answer_advice(question);
+                Action::RequestAdvice(request) => {
+                    self.answer_advice(request);
                     continue;
                 }
                 Action::Throttle(throttle) => {
--- a/src/sched/tests/world/interference.rs
+++ b/src/sched/tests/world/interference.rs
@@ -1,4 +1,4 @@
-//! How tasks on one fake worker share it: fillers raise the tails of serving tasks, change
+//! How tasks on one fake worker share it: best_effort raise the tails of serving tasks, change
 //! their speed some time after an order, and are measured over half a second.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -14,54 +14,55 @@
 /// Milliseconds from an order until the speed changes.
 const THROTTLE_LAG: Millis = 100;
 /// Milliseconds over which gauges are measured.
-const SPAN: Millis = 500;
+const MEASUREMENT_WINDOW: Millis = 500;
 /// Milliseconds between two measurements.
-const STEP: Millis = 10;
+const MEASUREMENT_INTERVAL: Millis = 10;
 /// Tail of an idle server as a part of the target.
-const IDLE: f64 = 0.2;
+const IDLE_TAIL: f64 = 0.2;
 /// Workers that are asked as often as may be.
-const FEW: u64 = 200;
+const FULL_RATE_WORKERS: u64 = 200;
 /// Longest that an exchange waits, in milliseconds.
-const WAIT: Millis = 1_000;
+const MAX_POLL_WAIT: Millis = 1_000;
 /// Highest busy share that a tail tells of.
-const BUSIEST: f64 = 0.98;
+const MAX_UTILIZATION: f64 = 0.98;
 
 /// How tasks press on each other; nothing does unless it is set.
 #[derive(Clone, Copy, Default)]
-pub struct Sharing {
+pub struct InterferenceModel {
     /// Busy share of its server that each serving task has by itself.
-    pub own: f64,
+    pub base_load: f64,
     /// Part of a server that a filler takes for each processor share of its worker.
     pub factor: f64,
     /// Part of `factor` by which that swings around it.
-    pub swing: f64,
+    pub amplitude: f64,
     /// Milliseconds of a swing.
     pub period: Millis,
     /// Workers as many as that are told to the owner by how seldom each reports; 0 for those
     /// that there are. Exchanges wait as long as they may then.
-    pub workers: u64,
+    pub simulated_workers: u64,
 }
 
-impl Sharing {
+impl InterferenceModel {
     /// Returns how long an exchange with one of so many workers waits, where it may wait so
-    /// long with one of few; one over its target is asked as often in any case.
-    pub(super) fn wait(self, few: Millis, over: bool) -> Millis {
+    /// long with one of wait; one over its target is asked as often in any case.
+    pub(super) fn poll_wait(self, wait: Millis, over: bool) -> Millis {
         match over {
-            true => few,
-            false => (few * self.workers.max(FEW) / FEW).min(WAIT),
+            true => wait,
+            false => (wait * self.simulated_workers.max(FULL_RATE_WORKERS) / FULL_RATE_WORKERS)
+                .min(MAX_POLL_WAIT),
         }
     }
 
     /// Returns the factor at a time.
     fn factor_at(self, now: Millis) -> f64 {
-        let turn = now as f64 / self.period.max(1) as f64;
-        self.factor * (1.0 + self.swing * (turn * std::f64::consts::TAU).sin())
+        let phase = now as f64 / self.period.max(1) as f64;
+        self.factor * (1.0 + self.amplitude * (phase * std::f64::consts::TAU).sin())
     }
 }
 
 /// A run, as far as others beside it matter.
 #[derive(Clone, Debug)]
-pub struct Shared {
+pub struct RunLoad {
     step: StepSpec,
     /// Speed in percent.
     pub speed: u32,
@@ -70,17 +71,17 @@
     /// Measurements of the last half second: tail, or processors in use.
     measured: VecDeque<(Millis, f64)>,
     /// Since when it has been over its target by what fills beside it.
-    over: Option<Millis>,
+    breach_since: Option<Millis>,
 }
 
-impl Shared {
+impl RunLoad {
     fn new(step: StepSpec) -> Self {
         Self {
             step,
             speed: 100,
             changes: VecDeque::new(),
             measured: VecDeque::new(),
-            over: None,
+            breach_since: None,
         }
     }
 
@@ -88,7 +89,11 @@
         while let Some((_, speed)) = self.changes.pop_front_if(|(at, _)| *at <= now) {
             self.speed = speed;
         }
-        while self.measured.front().is_some_and(|(at, _)| at + SPAN < now) {
+        while self
+            .measured
+            .front()
+            .is_some_and(|(at, _)| at + MEASUREMENT_WINDOW < now)
+        {
             self.measured.pop_front();
         }
     }
@@ -101,42 +106,42 @@
 }
 
 /// The runs of a worker by task.
-pub type Runs = BTreeMap<String, Shared>;
+pub type Loads = BTreeMap<String, RunLoad>;
 
 impl FakeWorker {
     /// Returns true when a report would show a serving task over its target.
-    pub(super) fn shows_over(&self) -> bool {
-        let serving = self.shared.values().filter(|s| s.step.latency_target > 0);
+    pub(super) fn reports_breach(&self) -> bool {
+        let serving = self.loads.values().filter(|s| s.step.latency_target > 0);
         let mut over = serving.filter(|s| s.gauge() > s.step.latency_target);
         over.next().is_some()
     }
 
     /// Measures what runs there, and returns the longest time that a serving task has been
     /// over its target by what fills beside it.
-    fn measure(&mut self, sharing: Sharing, now: Millis) -> Millis {
+    fn measure(&mut self, model: InterferenceModel, now: Millis) -> Millis {
         let capacity = self.listing.capacity.cpu.max(1) as f64;
         let running = &self.running;
-        self.shared.retain(|task, _| running.contains_key(task));
-        self.shared.values_mut().for_each(|s| s.advance(now));
-        let used = |s: &Shared| s.step.resources.cpu as f64 * f64::from(s.speed) / 100.0;
-        let fillers = self.shared.values().filter(|s| s.step.best_effort);
-        let share: f64 = fillers.map(|s| used(s) / capacity).sum();
-        let pressed = sharing.factor_at(now) * share;
-        let tail = |busy: f64, target: f64| IDLE * target / (1.0 - busy.min(BUSIEST));
+        self.loads.retain(|task, _| running.contains_key(task));
+        self.loads.values_mut().for_each(|s| s.advance(now));
+        let used = |s: &RunLoad| s.step.resources.cpu as f64 * f64::from(s.speed) / 100.0;
+        let best_effort = self.loads.values().filter(|s| s.step.best_effort);
+        let share: f64 = best_effort.map(|s| used(s) / capacity).sum();
+        let interference = model.factor_at(now) * share;
+        let tail = |busy: f64, target: f64| IDLE_TAIL * target / (1.0 - busy.min(MAX_UTILIZATION));
         let mut longest = 0;
-        for shared in self.shared.values_mut() {
-            let target = shared.step.latency_target as f64;
-            let value = match shared.step.best_effort {
-                true => used(shared),
-                false => tail(sharing.own + pressed, target),
+        for load in self.loads.values_mut() {
+            let target = load.step.latency_target as f64;
+            let value = match load.step.best_effort {
+                true => used(load),
+                false => tail(model.base_load + interference, target),
             };
-            shared.measured.push_back((now, value));
-            let harmed = shared.step.latency_target > 0
-                && pressed > 0.0
+            load.measured.push_back((now, value));
+            let in_breach = load.step.latency_target > 0
+                && interference > 0.0
                 && value > target
-                && tail(sharing.own, target) <= target;
-            shared.over = harmed.then(|| shared.over.unwrap_or(now));
-            longest = longest.max(shared.over.map_or(0, |since| now - since));
+                && tail(model.base_load, target) <= target;
+            load.breach_since = in_breach.then(|| load.breach_since.unwrap_or(now));
+            longest = longest.max(load.breach_since.map_or(0, |since| now - since));
         }
         longest
     }
@@ -144,20 +149,20 @@
 
 impl World {
     /// Takes in that a worker has begun a task.
-    pub(super) fn share(&mut self, id: &Name, task: &str) {
+    pub(super) fn track_load(&mut self, id: &Name, task: &str) {
         let Some(step) = self.step_of(task) else {
             return;
         };
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.shared.insert(task.into(), Shared::new(step));
+            worker.loads.insert(task.into(), RunLoad::new(step));
         }
     }
 
     /// Returns the speeds at which tasks of a job run.
     pub fn speeds_of(&self, id: &str) -> Vec<u32> {
-        let all = self.workers.values().flat_map(|w| &w.shared);
+        let all = self.workers.values().flat_map(|w| &w.loads);
         let own = all.filter(|(task, _)| task.starts_with(id));
-        own.map(|(_, shared)| shared.speed).collect()
+        own.map(|(_, load)| load.speed).collect()
     }
 
     fn step_of(&self, task: &str) -> Option<StepSpec> {
@@ -168,14 +173,14 @@
     }
 
     /// Measures all workers.
-    pub(super) fn measure(&mut self) {
-        let (sharing, now) = (self.sharing, self.now);
-        if sharing.factor == 0.0 || !now.is_multiple_of(STEP) {
+    pub(super) fn measure_workers(&mut self) {
+        let (model, now) = (self.interference, self.now);
+        if model.factor == 0.0 || !now.is_multiple_of(MEASUREMENT_INTERVAL) {
             return;
         }
         for worker in self.workers.values_mut() {
-            let over = worker.measure(sharing, now);
-            self.longest_over = self.longest_over.max(over);
+            let over = worker.measure(model, now);
+            self.longest_breach = self.longest_breach.max(over);
         }
     }
 
@@ -189,20 +194,19 @@
             return Reply::Refused(Refusal::Fenced);
         }
         worker.epoch = throttle.epoch;
-        let word = worker.word(now);
+        let ack = worker.ack(now);
         let run = worker.running.get(&throttle.task).map(|r| r.run);
-        let shared = worker.shared.get_mut(&throttle.task);
-        let Some(shared) = shared.filter(|_| run == Some(throttle.run)) else {
-            return Reply::Ok(word);
+        let load = worker.loads.get_mut(&throttle.task);
+        let Some(load) = load.filter(|_| run == Some(throttle.run)) else {
+            return Reply::Ok(ack);
         };
-        shared
-            .changes
+        load.changes
             .push_back((now + THROTTLE_LAG, throttle.percent));
-        Reply::Ok(word)
+        Reply::Ok(ack)
     }
 
     /// Returns what the owner is told of a change of speed.
-    pub(super) fn throttled(throttle: Throttle, reply: Reply<OrderAck>) -> Event {
+    pub(super) fn throttle_event(throttle: Throttle, reply: Reply<OrderAck>) -> Event {
         Event::Throttled(
             throttle.key,
             throttle.run,
