--- a/src/engine.rs
+++ b/src/engine.rs
@@ -5,15 +5,15 @@
 //! bring back how they ended. Randomised runs drive the same code.
 
 mod cells;
-mod configs;
-mod flight;
-mod flights;
-mod journal;
+mod config_sync;
+mod in_flight;
+mod job_shards;
 mod outcomes;
-mod owning;
+mod ownership;
 mod peers;
+mod requests;
 mod state;
-mod storing;
+mod table_calls;
 mod views;
 
 use std::net::SocketAddr;
--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -1,7 +1,7 @@
 //! Running the owned cells: the workers listed for them, their ticks and what they
 //! ask for.
 
-use super::flight::RESENT;
+use super::in_flight::RESENT;
 use super::state::Engine;
 use super::{Action, Now, Reported};
 use crate::cell::{self, ListedWorker, Reason};
--- a/src/engine/configs.rs
+++ b/src/engine/config_sync.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::state::Engine;
-use super::storing::{Purpose, rows};
+use super::table_calls::{Purpose, rows};
 use super::{Action, Now};
 use crate::config::{self, ChangeRow, Config, EntryRow, Head, change_key};
 use crate::table::{Call, Outcome, decode};
--- a/src/engine/journal.rs
+++ b/src/engine/job_shards.rs
@@ -1,8 +1,8 @@
 //! Job shards: how they are read, written in groups and cancelled.
 
-use super::owning::cell_key;
+use super::ownership::cell_key;
 use super::state::Engine;
-use super::storing::{Purpose, rows};
+use super::table_calls::{Purpose, rows};
 use super::{Action, Now};
 use crate::cell::Action as CellAction;
 use crate::job::{self, JobRow, VersionedShard};
--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -1,7 +1,7 @@
 //! What the sends of requests came to: another try or an answer.
 
-use super::flight::{Origin, RESENT, Stage};
-use super::flights::COME_BACK;
+use super::in_flight::{Origin, RESENT, Stage};
+use super::requests::COME_BACK;
 use super::state::Engine;
 use super::{Action, Handed, Now, Verdict};
 use crate::cell::{Reason, SendOutcome};
--- a/src/engine/owning.rs
+++ b/src/engine/ownership.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::state::{Engine, incarnation};
-use super::storing::Purpose;
+use super::table_calls::Purpose;
 use super::{Action, Now};
 use crate::cell::{Cell, Reason, Timings};
 use crate::claim::{self, Claims, DEDUP_PREFIX, Host};
--- a/src/engine/flights.rs
+++ b/src/engine/requests.rs
@@ -1,7 +1,7 @@
 //! Requests on their way through this box.
 
-use super::flight::{Flight, Origin, RESENT, Stage};
-use super::owning::dedup_shard_name;
+use super::in_flight::{Flight, Origin, RESENT, Stage};
+use super::ownership::dedup_shard_name;
 use super::state::Engine;
 use super::{Action, Now, Verdict};
 use crate::cell::{PendingRequest, Reason};
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::flight::Flight;
-use super::flights::BUDGET;
-use super::storing::Purpose;
+use super::in_flight::Flight;
+use super::requests::BUDGET;
+use super::table_calls::Purpose;
 use super::{Action, Event, Now, Setup};
 use crate::cell::{Cell, ListedWorker};
 use crate::claim::Claims;
