--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -1,4 +1,4 @@
-//! Fake workers and a fake store around an owner, in virtual time.
+//! Simulates a cell in virtual time: an owner with fake workers and a fake store.
 
 mod calls;
 mod crashes;
@@ -38,59 +38,59 @@
     mechanisms: Mechanisms::ON,
 };
 
-/// An owner with its fake workers and store.
+/// A simulated cell: an owner with its fake workers and store.
 pub struct World {
     pub now: Millis,
     pub owner: Owner,
     pub workers: BTreeMap<Name, FakeWorker>,
     pub answers: BTreeMap<u64, Answer>,
     pub faults: Faults,
-    /// The store answers nothing and does nothing.
+    /// True while the store neither executes nor answers a call.
     pub store_down: bool,
-    /// Halls that are cordoned.
+    /// Cordoned halls.
     pub cordoned: Halls,
-    /// The next owner is not told which are.
+    /// True when the next owner gets no list of cordoned halls.
     pub cordons_withheld: bool,
-    /// Nothing of the jobs that are over is read.
+    /// True while no page of the finished jobs can be read.
     pub history_withheld: bool,
     pub settings: OwnerSettings,
-    /// How long each run takes and how it ends, by task name and run.
+    /// Returns duration and outcome of a run by task name and run number.
     pub script: fn(&str, u32) -> (Millis, RunOutcome),
-    /// What crashes workers, and those that have crashed.
+    /// Tasks that crash their workers, and the crashes so far.
     pub crashes: Crashes,
-    /// Starts that workers carried out: task, run, worker, time.
+    /// Starts that workers executed: task, run, worker, time.
     pub starts: Vec<(String, u32, Name, Millis)>,
-    /// Workers that may run the steps of advised queues.
+    /// Workers for which the advisor issues permits.
     pub permitted: BTreeSet<Name>,
-    /// Numbers of workers in each request to the advisor.
+    /// Number of workers in each request to the advisor.
     pub advice_requests: Vec<usize>,
-    /// The checkpoint that the last start of each task brought.
+    /// Checkpoint that the last start of each task was given, by task.
     pub resumed_from: BTreeMap<String, Name>,
-    /// Breaches of the rules that a task runs once at a time, and not again
-    /// after an end that was acknowledged.
+    /// Violations of two rules: a task runs in one place at a time, and not again after an
+    /// acknowledged end.
     pub duplicates: Vec<String>,
-    /// Starts that brought a worker over its room.
+    /// Starts that exceeded the capacity of their worker.
     pub overcommits: Vec<String>,
-    /// Starts that were turned away as unfit.
+    /// Number of starts refused as `Refusal::Unfit`.
     pub unfit_starts: u32,
-    /// Speeds that were ordered, in percent.
+    /// Speeds that the owner ordered, in percent of full speed.
     pub ordered_speeds: Vec<u32>,
-    /// How tasks press on each other.
+    /// How tasks on one worker slow each other down.
     pub interference: InterferenceModel,
-    /// The longest that a serving task was over its target by what fills beside it.
+    /// Longest time that interference kept a serving task over its latency target.
     pub longest_breach: Millis,
-    /// Tasks of which an end with its work done was acknowledged under a lease.
+    /// Tasks whose successful end under a lease was acknowledged.
     acknowledged: BTreeSet<String>,
-    /// Failed runs that were acknowledged under a lease, by task.
+    /// Number of failed runs under a lease that were acknowledged, by task.
     acknowledged_failures: BTreeMap<String, u32>,
-    /// The exchange that was sent last, by worker.
+    /// Last poll that was sent, by worker.
     pub last_polls: BTreeMap<Name, Poll>,
-    /// The start that was sent last, and when, by worker.
+    /// Last start that was sent and its time, by worker.
     pub last_starts: BTreeMap<Name, (Millis, Start)>,
     pub rows: BTreeMap<(&'static str, Name), Bytes>,
     pub version: u64,
     pub owner_version: u64,
-    /// Until when the machine of the box is suspended.
+    /// Time until which the owner's machine is suspended.
     suspended_until: Millis,
     epoch: u64,
     random: Random,
@@ -132,7 +132,7 @@
     }
 }
 
-/// Returns a lasting task that serves users under a target of 100 ms.
+/// Returns a step of one serving task with a latency target of 100 ms.
 pub fn serving() -> StepSpec {
     StepSpec {
         latency_target: 100,
@@ -182,7 +182,7 @@
 }
 
 impl World {
-    /// Returns a world with an owner and so many workers, listed and heard of.
+    /// Returns an owner with `workers` workers that are listed and have answered a poll.
     pub fn new(workers: u16) -> Self {
         let now = 1_000;
         let journal = Journal::new(owner_row(1), 1, now);
@@ -252,15 +252,15 @@
         self.workers.insert(id.into(), worker);
     }
 
-    /// Tells the owner the whole directory.
+    /// Sends the owner the complete directory.
     pub fn send_directory(&mut self) {
         let listings = self.workers.values().map(|w| w.listing.clone());
         let entries = listings.map(|l| (l.id.clone(), DirectoryEntry::Listed(l)));
         self.notify(Event::Directory(entries.collect()));
     }
 
-    /// Tells the owner event of the directory; a box that is suspended takes them in later,
-    /// in their order.
+    /// Delivers an event to the owner. While its machine is suspended, events are queued and
+    /// delivered in order when it resumes.
     fn notify(&mut self, event: Event) {
         match self.now < self.suspended_until {
             true => self.schedule(0, Scheduled::Event(self.epoch, event)),
@@ -268,6 +268,7 @@
         }
     }
 
+    /// Sends a job request to the owner and returns the ticket of its answer in `answers`.
     pub fn request(&mut self, request: JobRequest) -> u64 {
         self.last_ticket += 1;
         self.handle(Event::Request(self.last_ticket, request));
@@ -302,7 +303,7 @@
         }
     }
 
-    /// Returns the runs that are on workers now, by task.
+    /// Returns each running task with its worker.
     pub fn running(&self) -> Vec<(String, Name)> {
         let on = |w: &FakeWorker| {
             let id = w.listing.id.clone();
@@ -312,7 +313,8 @@
         self.workers.values().flat_map(on).collect()
     }
 
-    /// Puts another owner in the place of this one, as a takeover does.
+    /// Replaces the owner as a takeover does; its predecessor's orders may still be executed for
+    /// `inherited` ms.
     pub fn take_over(&mut self, inherited: Millis) {
         self.suspended_until = 0;
         self.epoch += 1;
@@ -334,13 +336,13 @@
         self.send_directory();
     }
 
-    /// Tells the owner that these halls are cordoned, and no others.
+    /// Cordons exactly these halls and notifies the owner.
     pub fn cordon(&mut self, halls: &[&str]) {
         self.cordoned = halls.iter().map(|h| (*h).into()).collect();
         self.notify(Event::Cordoned(self.cordoned.clone()));
     }
 
-    /// Returns the ids of the rows in a table.
+    /// Returns the keys of the rows in a table.
     pub fn ids(&self, table: &str) -> Vec<Name> {
         let rows = self.rows.keys().filter(|(t, _)| *t == table);
         rows.map(|(_, id)| id.clone()).collect()
@@ -363,7 +365,7 @@
         .collect()
     }
 
-    /// Lets so many milliseconds pass.
+    /// Advances virtual time by `span` ms.
     pub fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end {
@@ -392,7 +394,7 @@
         }
     }
 
-    /// Returns both clocks, which show the same time here.
+    /// Returns the steady and the wall clock, which show the same time here.
     pub fn clock(&self) -> Now {
         Now {
             steady: self.now,
@@ -400,6 +402,7 @@
         }
     }
 
+    /// Has the owner handle an event and carries out its actions.
     pub fn handle(&mut self, event: Event) {
         for action in self.owner.handle_event(event, self.clock()) {
             let call = match action {
--- a/src/sched/tests/world/calls.rs
+++ b/src/sched/tests/world/calls.rs
@@ -1,5 +1,4 @@
-//! The calls between the owner, its fake workers and the fake store, which may
-//! get lost or come late.
+//! Simulates calls between the owner, its fake workers and the fake store, with losses and delays.
 
 use std::net::SocketAddr;
 
@@ -12,39 +11,42 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds that a call takes each way.
+/// Milliseconds that a request or a reply takes.
 const ONE_WAY_DELAY: Millis = 1;
-/// Milliseconds after which a call without an answer is given up.
+/// Milliseconds after which the owner gives up a call without a reply.
 pub const CALL_TIMEOUT: Millis = 700;
 
-/// Milliseconds that the advisor takes, and for which its word holds.
+/// Milliseconds that the advisor takes to answer.
 const ADVICE_DELAY: Millis = 40;
+/// Milliseconds for which permits are valid.
 const ADVICE_VALIDITY: Millis = 1_500;
 
-/// Entries that the store takes in one commit, the condition among them.
+/// Most entries that the store accepts in one commit, including the condition.
 const MAX_COMMIT_ENTRIES: usize = 100;
-/// Rows in a page of the jobs that are over, the milliseconds that one may take, and
-/// those until one that failed is read again.
+/// Rows in a page of finished jobs.
 const HISTORY_PAGE_ROWS: usize = 5;
+/// Upper bound of the random milliseconds added to the read of a page.
 const MAX_HISTORY_DELAY: Millis = 6;
+/// Milliseconds until a failed read of a page is retried.
 const HISTORY_RETRY_DELAY: Millis = 50;
 
-/// How likely faults are, from 0 to 1.
+/// Probabilities of faults, from 0 to 1, and counts of faulty throttle orders.
 #[derive(Clone, Copy, Default)]
 pub struct Faults {
-    /// An order is carried out and its answer is lost.
+    /// Probability that a call to a worker is executed and its reply is lost.
     pub lost_replies: f64,
-    /// An order is carried out seconds later, without an answer.
+    /// Probability that a call to a worker is executed seconds later, without a reply.
     pub delayed_calls: f64,
-    /// A commit is done and its answer is lost.
+    /// Probability that a commit is executed and its reply is lost.
     pub lost_commit_replies: f64,
-    /// So many of the next changes of speed are lost.
+    /// Number of the next throttle orders that are lost.
     pub lost_throttles: u32,
-    /// So many of those after them are carried out this much later, without an answer.
+    /// Number of the throttle orders after those that are executed late, without a reply, and
+    /// their delay in milliseconds.
     pub delayed_throttles: (u32, Millis),
 }
 
-/// A call on its way.
+/// A call in flight.
 pub enum Call {
     Poll(Poll),
     Start(Start),
@@ -53,15 +55,15 @@
     Commit(u64, u64, Vec<Write>),
 }
 
-/// What happens at a later time.
+/// Something that happens at a later time.
 pub enum Scheduled {
-    /// A call arrives; false when its answer is lost.
+    /// A call arrives; false when its reply is lost.
     Call(Call, bool),
-    /// A worker carries out what it has kept, unless it has started again since this time.
+    /// A delayed call is executed if the worker still runs the incarnation started at this time.
     Delayed(Call, Option<Millis>),
-    /// The owner of an epoch is told something.
+    /// The owner of this epoch receives an event.
     Event(u64, Event),
-    /// A page of the jobs that are over is read for the owner of an epoch.
+    /// The next page of finished jobs, after this key, is read for the owner of this epoch.
     History(u64, Option<Name>),
 }
 
@@ -101,7 +103,7 @@
         self.schedule(ONE_WAY_DELAY, Scheduled::Call(call, !lost));
     }
 
-    /// Returns when the worker started that a call reaches.
+    /// Returns the start time of the present incarnation of the called worker.
     fn incarnation_of(&self, call: &Call) -> Option<Millis> {
         let id = match call {
             Call::Poll(poll) => &poll.incarnation.id,
@@ -113,14 +115,14 @@
         self.workers.get(id).map(|w| w.started_at)
     }
 
-    /// A worker carries out what it has kept, if it still is the same life.
+    /// Executes a delayed call if the worker still runs the same incarnation.
     pub(super) fn deliver_delayed(&mut self, call: Call, incarnation: Option<Millis>) {
         if self.incarnation_of(&call) == incarnation {
             self.deliver(call, false);
         }
     }
 
-    /// A call reaches its worker or the store.
+    /// Executes a call that has reached its worker or the store, and schedules its reply.
     pub(super) fn deliver(&mut self, call: Call, answered: bool) {
         let event = match call {
             Call::Commit(number, version, writes) => {
@@ -137,8 +139,8 @@
             }
             Call::Poll(poll) if self.interference.simulated_workers > 0 && poll.wait > 0 => {
                 let worker = self.workers.get(&poll.incarnation.id);
-                let over = worker.is_some_and(FakeWorker::reports_breach);
-                let wait = self.interference.poll_wait(poll.wait, over);
+                let in_breach = worker.is_some_and(FakeWorker::reports_breach);
+                let wait = self.interference.poll_wait(poll.wait, in_breach);
                 let due = Call::Poll(Poll { wait: 0, ..poll });
                 return self.schedule(wait, Scheduled::Call(due, answered));
             }
@@ -167,32 +169,32 @@
                 Event::Stopped(stop.key, stop.run, stop.incarnation, reply)
             }
         };
-        let silent = timed_out(&event);
+        let lost = timed_out(&event);
         if answered {
-            let after = if silent { CALL_TIMEOUT } else { ONE_WAY_DELAY };
+            let after = if lost { CALL_TIMEOUT } else { ONE_WAY_DELAY };
             self.schedule(after, Scheduled::Event(self.epoch, event));
         }
     }
 
-    /// Answers a request to the advisor: workers in `good` may run each step.
+    /// Answers a request to the advisor: workers in `permitted` may run any step.
     pub(super) fn answer_advice(&mut self, request: AdviceRequest) {
         self.advice_requests.push(request.workers.len());
-        let ticket = |id: &Name| (id.clone(), self.permit_for(id));
-        let named = request
+        let permit = |id: &Name| (id.clone(), self.permit_for(id));
+        let permitted = request
             .workers
             .iter()
             .filter(|w| self.permitted.contains(*w));
-        let good = named.map(ticket).collect();
+        let issued = permitted.map(permit).collect();
         let valid = ADVICE_VALIDITY;
         let done = Reply::Ok(Advice {
-            permits: good,
+            permits: issued,
             valid_for: valid,
         });
         let event = Event::Advised(request.step, request.workers, done);
         self.schedule(ADVICE_DELAY, Scheduled::Event(self.epoch, event));
     }
 
-    /// Returns the ticket of a worker that holds now.
+    /// Returns a permit for a worker, valid from now.
     pub(super) fn permit_for(&self, worker: &str) -> Name {
         format!("{worker} until {}", self.now + ADVICE_VALIDITY).into()
     }
@@ -201,51 +203,51 @@
         self.serial += 1;
         let mut at = self.now + after;
         if !matches!(due, Scheduled::Call(..) | Scheduled::Delayed(..)) {
-            // Nothing is taken in by a box that is suspended.
+            // A suspended box receives nothing.
             at = at.max(self.suspended_until);
         }
         self.scheduled.insert((at, self.serial), due);
     }
 
-    /// Suspends the machine of the box. What was sent arrives, and answers wait; timers
-    /// stand meanwhile. One that is suspended stays so as long as it was to.
+    /// Suspends the owner's machine. Calls that were sent still arrive, replies wait, and timers
+    /// stop. Has no effect on a machine that is already suspended.
     pub fn suspend(&mut self, span: Millis) {
         if self.now < self.suspended_until {
             return;
         }
         self.suspended_until = self.now + span;
-        let wakes = self.suspended_until;
+        let resumed = self.suspended_until;
         let shifted = std::mem::take(&mut self.scheduled).into_iter();
         let shift = |((at, serial), due): ((Millis, u64), Scheduled)| {
             let at = match &due {
                 Scheduled::Call(..) | Scheduled::Delayed(..) => at,
                 Scheduled::Event(_, event) if timed_out(event) => at + span,
-                Scheduled::Event(..) | Scheduled::History(..) => at.max(wakes),
+                Scheduled::Event(..) | Scheduled::History(..) => at.max(resumed),
             };
             ((at, serial), due)
         };
         self.scheduled = shifted.map(shift).collect();
     }
 
-    /// Carries an order to a worker at an address out, unless it is cut off or gone;
-    /// another one at its address refuses it.
+    /// Executes an order at a worker's address. The reply is lost when the worker is disconnected
+    /// or gone; another worker at that address refuses the order.
     fn dispatch<T>(
         &mut self,
         id: &str,
         address: SocketAddr,
         order: impl FnOnce(&mut Self) -> Reply<T>,
     ) -> Reply<T> {
-        let there = |w: &&FakeWorker| w.listing.address == address && !w.disconnected;
-        let there = self.workers.values().find(there);
-        match there.map(|w| &*w.listing.id == id) {
+        let reachable = |w: &&FakeWorker| w.listing.address == address && !w.disconnected;
+        let found = self.workers.values().find(reachable);
+        match found.map(|w| &*w.listing.id == id) {
             Some(true) => order(self),
             Some(false) => Reply::Refused(Refusal::Replaced),
             None => Reply::Lost,
         }
     }
 
-    /// Reads a page of the jobs that are over after an id, as the daemon does; it is
-    /// told some time later, and then the next one is read.
+    /// Reads the page of finished jobs after an id as the daemon does. The owner receives it some
+    /// time later, when the next page is read.
     pub(super) fn read_history(&mut self, epoch: u64, from: Option<Name>) {
         if epoch != self.epoch {
             return;
@@ -294,7 +296,7 @@
     }
 }
 
-/// Returns true for what a timer of the box tells.
+/// Returns true for events that the owner's timeouts cause.
 fn timed_out(event: &Event) -> bool {
     matches!(
         event,
@@ -306,6 +308,7 @@
     )
 }
 
+/// Returns the event that reports a call as lost.
 fn lost_reply(call: &Call) -> Event {
     match call {
         Call::Poll(poll) => Event::Polled(poll.clone(), Reply::Lost),
--- a/src/sched/tests/world/crashes.rs
+++ b/src/sched/tests/world/crashes.rs
@@ -1,5 +1,5 @@
-//! Workers that crash: by a task, or by themselves. Another life of a crashed worker is
-//! back at the same address some time later.
+//! Simulates crashes of workers, with or without a task as the cause. A new incarnation starts at
+//! the same address some time later.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,23 +8,23 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds of silence after which the entry of a worker goes.
+/// Milliseconds after a crash when the worker's directory entry is removed.
 const UNLIST_DELAY: Millis = 3_300;
-/// Milliseconds until another life is back, unless a test says otherwise.
+/// Default time from a crash until the next incarnation is listed, in milliseconds.
 const RESTART_DELAY: Millis = 3_400;
 
 /// Tasks that ran on a worker when it crashed.
 type Victims = Vec<String>;
 
-/// What crashes workers, and what has become of them.
+/// Tasks that crash workers, and the crashes so far.
 pub struct Crashes {
-    /// Milliseconds after its start at which a task crashes its worker, by task.
+    /// Milliseconds after its start when a task crashes its worker, by task.
     pub by_task: BTreeMap<String, Millis>,
-    /// Milliseconds until another life is back.
+    /// Milliseconds from a crash until the next incarnation is listed.
     pub restart_delay: Millis,
-    /// All crashes so far.
+    /// Tasks that ran on the worker, for each crash so far.
     pub victims: Vec<Victims>,
-    /// Entries that change, in the order of their times.
+    /// Changes of directory entries to come, ordered by time.
     directory_changes: VecDeque<(Millis, Name, DirectoryEntry)>,
 }
 
@@ -40,13 +40,13 @@
 }
 
 impl Crashes {
-    /// Returns how many workers have crashed under a task.
+    /// Returns the number of crashes of workers that ran a task.
     pub fn count_with(&self, task: &str) -> usize {
         let under = |tasks: &&Victims| tasks.iter().any(|t| t == task);
         self.victims.iter().filter(under).count()
     }
 
-    /// Has an entry change at a time.
+    /// Schedules a change of a directory entry.
     fn schedule_change(&mut self, at: Millis, id: Name, entry: DirectoryEntry) {
         self.directory_changes.push_back((at, id, entry));
         self.directory_changes
@@ -56,7 +56,7 @@
 }
 
 impl World {
-    /// Has a worker crash, with all that it runs; another life comes back later.
+    /// Crashes a worker with all its runs, and schedules its next incarnation.
     pub fn crash(&mut self, id: &str) {
         let worker = self.workers.remove(id).expect("worker");
         self.crashes.victims.push(worker.tasks().cloned().collect());
@@ -73,7 +73,7 @@
         self.crashes.schedule_change(back, next.id, entry);
     }
 
-    /// Crashes the workers whose tasks do so now, and brings back those whose time has come.
+    /// Crashes workers whose tasks are due to crash them, and applies due changes of entries.
     pub(super) fn apply_due_crashes(&mut self) {
         let now = self.now;
         let by_task = &self.crashes.by_task;
--- a/src/sched/tests/world/interference.rs
+++ b/src/sched/tests/world/interference.rs
@@ -1,5 +1,5 @@
-//! How tasks on one fake worker share it: best_effort raise the tails of serving tasks, change
-//! their speed some time after an order, and are measured over half a second.
+//! Simulates interference on a fake worker: best-effort tasks raise the tail latency of serving
+//! tasks, change speed some time after an order, and are measured over half a second.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,66 +11,67 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds from an order until the speed changes.
+/// Milliseconds from a throttle order until the speed changes.
 const THROTTLE_LAG: Millis = 100;
-/// Milliseconds over which gauges are measured.
+/// Milliseconds of measurements that a gauge averages.
 const MEASUREMENT_WINDOW: Millis = 500;
 /// Milliseconds between two measurements.
 const MEASUREMENT_INTERVAL: Millis = 10;
-/// Tail of an idle server as a part of the target.
+/// Tail latency of an idle server as a share of the target.
 const IDLE_TAIL: f64 = 0.2;
-/// Workers that are asked as often as may be.
+/// Largest number of workers that are still polled at the full rate.
 const FULL_RATE_WORKERS: u64 = 200;
-/// Longest that an exchange waits, in milliseconds.
+/// Longest wait of a poll, in milliseconds.
 const MAX_POLL_WAIT: Millis = 1_000;
-/// Highest busy share that a tail tells of.
+/// Highest utilization of a server in the model; keeps tail latency finite.
 const MAX_UTILIZATION: f64 = 0.98;
 
-/// How tasks press on each other; nothing does unless it is set.
+/// How much tasks on a worker interfere; the default is no interference.
 #[derive(Clone, Copy, Default)]
 pub struct InterferenceModel {
-    /// Busy share of its server that each serving task has by itself.
+    /// Utilization of a server by its serving task alone.
     pub base_load: f64,
-    /// Part of a server that a filler takes for each processor share of its worker.
+    /// Utilization that a best-effort task adds to each server when it uses all processors of
+    /// its worker.
     pub factor: f64,
-    /// Part of `factor` by which that swings around it.
+    /// Amplitude of the oscillation of `factor`, as a share of it.
     pub amplitude: f64,
-    /// Milliseconds of a swing.
+    /// Period of the oscillation in milliseconds.
     pub period: Millis,
-    /// Workers as many as that are told to the owner by how seldom each reports; 0 for those
-    /// that there are. Exchanges wait as long as they may then.
+    /// Number of workers to simulate by the rate of polls: with more workers, each is polled less
+    /// often. 0 turns this off, and polls do not wait.
     pub simulated_workers: u64,
 }
 
 impl InterferenceModel {
-    /// Returns how long an exchange with one of so many workers waits, where it may wait so
-    /// long with one of wait; one over its target is asked as often in any case.
-    pub(super) fn poll_wait(self, wait: Millis, over: bool) -> Millis {
-        match over {
+    /// Returns how long a poll waits, given its wait at the full rate. Workers with a breach of a
+    /// latency target are always polled at the full rate.
+    pub(super) fn poll_wait(self, wait: Millis, in_breach: bool) -> Millis {
+        match in_breach {
             true => wait,
             false => (wait * self.simulated_workers.max(FULL_RATE_WORKERS) / FULL_RATE_WORKERS)
                 .min(MAX_POLL_WAIT),
         }
     }
 
-    /// Returns the factor at a time.
+    /// Returns the oscillating factor at a time.
     fn factor_at(self, now: Millis) -> f64 {
         let phase = now as f64 / self.period.max(1) as f64;
         self.factor * (1.0 + self.amplitude * (phase * std::f64::consts::TAU).sin())
     }
 }
 
-/// A run, as far as others beside it matter.
+/// The load that a run puts on its worker, and its measurements.
 #[derive(Clone, Debug)]
 pub struct RunLoad {
     step: StepSpec,
     /// Speed in percent.
     pub speed: u32,
-    /// Changes of the speed to come.
+    /// Changes of the speed that have been ordered, by time.
     changes: VecDeque<(Millis, u32)>,
-    /// Measurements of the last half second: tail, or processors in use.
+    /// Measurements of the last half second: tail latency, or processors in use.
     measured: VecDeque<(Millis, f64)>,
-    /// Since when it has been over its target by what fills beside it.
+    /// Start of the present breach of the latency target, if interference causes one.
     breach_since: Option<Millis>,
 }
 
@@ -98,26 +99,26 @@
         }
     }
 
-    /// Returns what a report tells of it.
+    /// Returns the average of the measurements, as a report contains it.
     pub fn gauge(&self) -> u64 {
         let sum: f64 = self.measured.iter().map(|(_, value)| value).sum();
         (sum / self.measured.len().max(1) as f64).round() as u64
     }
 }
 
-/// The runs of a worker by task.
+/// The loads on a worker by task.
 pub type Loads = BTreeMap<String, RunLoad>;
 
 impl FakeWorker {
-    /// Returns true when a report would show a serving task over its target.
+    /// Returns true when a report would show a serving task over its latency target.
     pub(super) fn reports_breach(&self) -> bool {
         let serving = self.loads.values().filter(|s| s.step.latency_target > 0);
         let mut over = serving.filter(|s| s.gauge() > s.step.latency_target);
         over.next().is_some()
     }
 
-    /// Measures what runs there, and returns the longest time that a serving task has been
-    /// over its target by what fills beside it.
+    /// Measures all runs, and returns the duration of the longest present breach of a latency
+    /// target that interference causes.
     fn measure(&mut self, model: InterferenceModel, now: Millis) -> Millis {
         let capacity = self.listing.capacity.cpu.max(1) as f64;
         let running = &self.running;
@@ -148,7 +149,7 @@
 }
 
 impl World {
-    /// Takes in that a worker has begun a task.
+    /// Starts to measure a task that a worker has started.
     pub(super) fn track_load(&mut self, id: &Name, task: &str) {
         let Some(step) = self.step_of(task) else {
             return;
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Returns the speeds at which tasks of a job run.
+    /// Returns the speeds of a job's tasks, in percent.
     pub fn speeds_of(&self, id: &str) -> Vec<u32> {
         let all = self.workers.values().flat_map(|w| &w.loads);
         let own = all.filter(|(task, _)| task.starts_with(id));
@@ -172,7 +173,7 @@
         spec.steps.get(step as usize).cloned()
     }
 
-    /// Measures all workers.
+    /// Measures the loads of all workers.
     pub(super) fn measure_workers(&mut self) {
         let (model, now) = (self.interference, self.now);
         if model.factor == 0.0 || !now.is_multiple_of(MEASUREMENT_INTERVAL) {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// A change of speed reaches its worker.
+    /// Executes a throttle order on its worker.
     pub(super) fn throttle(&mut self, throttle: &Throttle) -> Reply<OrderAck> {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&throttle.incarnation.id) else {
@@ -205,7 +206,7 @@
         Reply::Ok(ack)
     }
 
-    /// Returns what the owner is told of a change of speed.
+    /// Returns the event that tells the owner the outcome of a throttle order.
     pub(super) fn throttle_event(throttle: Throttle, reply: Reply<OrderAck>) -> Event {
         Event::Throttled(
             throttle.key,
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -1,4 +1,4 @@
-//! Fake workers that keep the platform's rules, and watch that the owner does.
+//! Fake workers that follow the platform's rules and check that the owner does.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,8 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds that a start may have been on its way when its worker's room shrank.
+/// Longest time in milliseconds that a start can have been in flight when its worker's capacity
+/// shrank.
 const IN_FLIGHT: Millis = 2;
 
 #[derive(Clone, Debug)]
@@ -26,40 +27,40 @@
     outcome: RunOutcome,
 }
 
-/// A worker that keeps the platform's rules.
+/// A worker that follows the platform's rules.
 #[derive(Clone, Debug)]
 pub struct FakeWorker {
     pub listing: Listing,
-    /// Takes no calls, and goes on with what it runs.
+    /// True while no call reaches the worker; its runs continue.
     pub disconnected: bool,
-    /// Refuses starts for want of room.
+    /// Refuses starts as `Refusal::Full`.
     pub full: bool,
-    /// Takes starts with a ticket only.
+    /// Refuses starts without a permit.
     pub requires_permit: bool,
-    /// Lists a checkpoint of its own for each run.
+    /// Reports a checkpoint for each run.
     pub reports_checkpoints: bool,
-    /// Turns starts away as it does what it can't read.
+    /// Refuses tasks whose name starts with "bad", as a worker refuses a start it cannot decode.
     pub rejects_bad_tasks: bool,
-    /// When the owner heard last that its room had shrunk.
+    /// When the owner was last told that the capacity had shrunk.
     pub shrunk_at: Millis,
-    /// When it started: its clock stood at 0 then.
+    /// When this incarnation started; its clock counts from here.
     pub(super) started_at: Millis,
     pub(super) epoch: u64,
     lease_end: Millis,
     pub(super) running: BTreeMap<String, Run>,
-    /// The same, as far as they press on each other.
+    /// Load and measurements of the same runs.
     pub(super) loads: Loads,
     closed_runs: BTreeMap<String, u32>,
     unacknowledged: Vec<EndedRun>,
-    /// When runs ended by their work or failed, by number of their end.
+    /// Runs that were done or failed, with the time, by number of their completion.
     end_times: BTreeMap<u64, (String, RunOutcome, Millis)>,
-    /// When its lease had lapsed last.
+    /// Last time without a valid lease.
     lapsed_at: Millis,
     next_end: u64,
 }
 
 impl FakeWorker {
-    /// Returns a worker that runs nothing and was told nothing.
+    /// Returns a worker without runs that has received no order.
     pub fn new(listing: Listing) -> Self {
         Self {
             listing,
@@ -82,19 +83,19 @@
         }
     }
 
-    /// Returns the names of the tasks that it runs.
+    /// Returns the names of the running tasks.
     pub fn tasks(&self) -> impl Iterator<Item = &String> {
         self.running.keys()
     }
 
-    /// Returns the tasks that it runs, and when each began.
+    /// Returns the running tasks with their start times.
     pub(super) fn start_times(&self) -> impl Iterator<Item = (&String, Millis)> {
         self.running
             .iter()
             .map(|(task, run)| (task, run.started_at))
     }
 
-    /// Returns a worker that has just started, its clock with it.
+    /// Returns a worker whose incarnation and clock start now.
     pub fn restarted(listing: Listing, now: Millis) -> Self {
         Self {
             started_at: now,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Returns what it tells with an answer.
+    /// Returns the acknowledgement of an order.
     pub(super) fn ack(&self, now: Millis) -> OrderAck {
         OrderAck {
             clock: now - self.started_at,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Extends its lease to a time on its own clock, as far as leases go.
+    /// Extends the lease to `end` on the worker's clock, at most by the length of a lease.
     fn extend_lease(&mut self, end: Millis, now: Millis) {
         let end = (self.started_at + end).min(now + SETTINGS.lease_length);
         self.lease_end = self.lease_end.max(end);
@@ -123,16 +124,16 @@
         }
     }
 
-    /// Returns true when a start with this ticket may be taken.
-    fn accepts_permit(&self, ticket: &str, now: Millis) -> bool {
-        let until = ticket.strip_prefix(&format!("{} until ", self.listing.id));
+    /// Returns true when a start with this permit is acceptable.
+    fn accepts_permit(&self, permit: &str, now: Millis) -> bool {
+        let until = permit.strip_prefix(&format!("{} until ", self.listing.id));
         let until = until.and_then(|until| until.parse::<Millis>().ok());
         let ended = until.is_some_and(|until| until <= now);
-        let missing = self.requires_permit && ticket.is_empty();
+        let missing = self.requires_permit && permit.is_empty();
         !ended && !missing
     }
 
-    /// Returns what it tells of itself.
+    /// Returns the report that answers a poll.
     pub fn report(&self, now: Millis) -> Report {
         let running = self.running.iter().map(|(task, run)| ActiveRun {
             task: task.as_str().into(),
@@ -153,8 +154,8 @@
         let Some(run) = self.running.remove(task) else {
             return;
         };
-        let barred = self.closed_runs.entry(task.into()).or_insert(0);
-        *barred = run.run.max(*barred);
+        let closed = self.closed_runs.entry(task.into()).or_insert(0);
+        *closed = run.run.max(*closed);
         if matches!(outcome, RunOutcome::Done | RunOutcome::Failed) {
             self.end_times
                 .insert(self.next_end, (task.into(), outcome, now));
@@ -185,14 +186,14 @@
             .unacknowledged
             .retain(|e| e.number > poll.acknowledged);
         let later = worker.end_times.split_off(&(poll.acknowledged + 1));
-        let noted = std::mem::replace(&mut worker.end_times, later);
+        let acknowledged = std::mem::replace(&mut worker.end_times, later);
         let lapsed = worker.lapsed_at;
         let report = worker.report(now);
-        self.record_acknowledged(noted, lapsed);
+        self.record_acknowledged(acknowledged, lapsed);
         Reply::Ok(report)
     }
 
-    /// Notes ends that were acknowledged, but for those before a lease had lapsed.
+    /// Records acknowledged ends, except those from before the lease last lapsed.
     fn record_acknowledged(
         &mut self,
         ends: BTreeMap<u64, (String, RunOutcome, Millis)>,
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Has a start carried out by whichever life is there, without an answer.
+    /// Executes a start on the worker's present incarnation and drops the reply.
     pub fn deliver_start(&mut self, start: &Start) {
         let _ = self.start(start);
     }
@@ -237,7 +238,7 @@
         if !worker.accepts_permit(&start.permit, now) {
             return Reply::Refused(Refusal::NoPermit);
         }
-        // A lease is that of all that runs there: it may have been extended since.
+        // The lease covers all runs of the worker, so a later order may have extended it already.
         worker.extend_lease(start.lease, now);
         if worker.lease_end <= now {
             return Reply::Refused(Refusal::Late);
@@ -246,8 +247,8 @@
         if present.is_some_and(|r| r.run == start.run) {
             return Reply::Ok(worker.ack(now));
         }
-        let barred = worker.closed_runs.get(&start.task);
-        if barred.is_some_and(|r| start.run <= *r) {
+        let closed = worker.closed_runs.get(&start.task);
+        if closed.is_some_and(|r| start.run <= *r) {
             return Reply::Refused(Refusal::Old);
         }
         let ack = worker.ack(now);
@@ -268,7 +269,7 @@
         Reply::Ok(ack)
     }
 
-    /// Has a worker run a task that the owner did not start.
+    /// Makes a worker run a task that the owner did not start.
     pub fn start_unordered(&mut self, worker: &str, task: &str, span: Millis) {
         let now = self.now;
         let worker = self.workers.get_mut(worker).expect("worker");
@@ -282,13 +283,13 @@
         worker.running.insert(task.into(), run);
     }
 
-    /// Has a worker start again under its id, with nothing of before; its entry is told
-    /// later, with `list`.
+    /// Restarts a worker under its id without its former state. The owner learns of the new
+    /// directory entry from `send_directory`.
     pub fn restart(&mut self, id: &str) {
         self.restart_as(id, |_| ());
     }
 
-    /// The same, where something else about it has changed.
+    /// Restarts a worker like `restart`, with a changed directory entry.
     pub fn restart_as(&mut self, id: &str, change: impl FnOnce(&mut Listing)) {
         let worker = self.workers.get_mut(id).expect("worker");
         let mut listing = worker.listing.clone();
@@ -297,31 +298,31 @@
         *worker = FakeWorker::restarted(listing, self.now);
     }
 
-    /// Gives a worker another room, which its entry tells.
+    /// Changes the capacity of a worker and of its directory entry.
     pub fn resize(&mut self, id: &str, resources: Resources) {
-        let told = self.now.max(self.suspended_until);
+        let told_at = self.now.max(self.suspended_until);
         let worker = self.workers.get_mut(id).expect("worker");
         if !worker.listing.capacity.within(resources) {
-            worker.shrunk_at = told;
+            worker.shrunk_at = told_at;
         }
         worker.listing.capacity = resources;
         let entry = DirectoryEntry::Listed(worker.listing.clone());
         self.notify(Event::DirectoryChanged(vec![(id.into(), entry)]));
     }
 
-    /// Notes when a start brings its worker over its room, though the owner knew of it.
+    /// Records a start that exceeds a capacity of its worker that the owner knew of.
     fn check_capacity(&mut self, start: &Start) {
         let worker = &self.workers[&start.incarnation.id];
         let sizes = worker.tasks().filter_map(|task| self.resources_of(task));
         let used = sizes.fold(Resources::default(), Resources::plus);
-        let told = self.now > worker.shrunk_at + IN_FLIGHT;
-        if told && !used.within(worker.listing.capacity) {
+        let known = self.now > worker.shrunk_at + IN_FLIGHT;
+        if known && !used.within(worker.listing.capacity) {
             let text = format!("{} on {} at {}", start.task, start.incarnation.id, self.now);
             self.overcommits.push(text);
         }
     }
 
-    /// Returns the room that a task takes, by what the store holds of its job.
+    /// Returns the resources that a task reserves, by its job's stored specification.
     fn resources_of(&self, task: &str) -> Option<Resources> {
         let (id, _, step, _) = parse_task_name(task)?;
         let row = self.rows.get(&(SPEC_TABLE, id.into()))?;
@@ -329,8 +330,7 @@
         Some(spec.steps[step as usize].reserved())
     }
 
-    /// Notes when a task that was just started runs in several places, or
-    /// again after its end was acknowledged.
+    /// Records a start of a task that also runs elsewhere, or whose end was acknowledged.
     fn check_duplicates(&mut self, start: &Start) {
         if self.acknowledged.contains(&start.task) {
             let text = format!("{} again as run {} at {}", start.task, start.run, self.now);
@@ -360,8 +360,8 @@
         if stop.epoch < worker.epoch {
             return Reply::Refused(Refusal::Fenced);
         }
-        let barred = worker.closed_runs.entry(stop.task.clone()).or_insert(0);
-        *barred = stop.run.max(*barred);
+        let closed = worker.closed_runs.entry(stop.task.clone()).or_insert(0);
+        *closed = stop.run.max(*closed);
         if worker
             .running
             .get(&stop.task)
@@ -372,7 +372,7 @@
         Reply::Ok(worker.ack(now))
     }
 
-    /// Ends runs whose time has come, and everything under a lapsed lease.
+    /// Ends runs that have taken their time, and all runs under a lapsed lease.
     pub(super) fn end_due_runs(&mut self) {
         let now = self.now;
         for worker in self.workers.values_mut() {
@@ -380,7 +380,7 @@
             if lapsed {
                 worker.lapsed_at = now;
             }
-            let ends: Vec<(String, RunOutcome)> = worker
+            let due: Vec<(String, RunOutcome)> = worker
                 .running
                 .iter()
                 .filter(|(_, r)| lapsed || r.ends_at <= now)
@@ -395,7 +395,7 @@
                     )
                 })
                 .collect();
-            for (task, outcome) in ends {
+            for (task, outcome) in due {
                 worker.end_run(&task, outcome, now);
             }
         }
