--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -313,8 +313,7 @@
         self.workers.values().flat_map(on).collect()
     }
 
-    /// Replaces the owner as a takeover does; its predecessor's orders may still be executed for
-    /// `inherited` ms.
+    /// Replaces the owner as a takeover does; leases from earlier owners end within `inherited` ms.
     pub fn take_over(&mut self, inherited: Millis) {
         self.suspended_until = 0;
         self.epoch += 1;
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -50,11 +50,12 @@
     pub(super) running: BTreeMap<String, Run>,
     /// Load and measurements of the same runs.
     pub(super) loads: Loads,
+    /// Highest run of each task that ended or was stopped here; starts up to it are refused.
     closed_runs: BTreeMap<String, u32>,
     unacknowledged: Vec<EndedRun>,
     /// Runs that were done or failed, with the time, by number of their completion.
     end_times: BTreeMap<u64, (String, RunOutcome, Millis)>,
-    /// Last time without a valid lease.
+    /// Last time when the lease was expired.
     lapsed_at: Millis,
     next_end: u64,
 }
