--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -59,7 +59,7 @@
     /// Returns true when this box may act for a cell under an epoch.
     fn rules(&self, now: Now, cell: &Name, epoch: u64) -> bool {
         let owned = self.claims.mine().get(cell);
-        let rules = self.lease.acts(now.millis) && owned.is_some_and(|m| m.epoch == epoch);
+        let rules = self.lease.may_act(now.millis) && owned.is_some_and(|m| m.epoch == epoch);
         let detail = || format!("{} acts for {cell} under epoch {epoch}", self.id());
         invariant::check(rules, Rule::Owner, detail)
     }
@@ -75,7 +75,7 @@
     ) {
         match action {
             // A lapsed lease ends sends here, and once more right before the socket.
-            cell::Action::Send { ticket, .. } if !self.lease.acts(now.millis) => {
+            cell::Action::Send { ticket, .. } if !self.lease.may_act(now.millis) => {
                 self.unsent(now, cell, ticket, out);
             }
             cell::Action::Send { ticket, http, .. } => {
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -36,10 +36,10 @@
                     let op = Op::put(key, Expect::Version(expect), &row);
                     self.store(Purpose::Renew(row.beat), Call::Commit(vec![op]), out);
                 }
-                lease::Action::Declare { owner, version } => {
-                    log::warn!(target: "lease", "{owner} is taken to be dead");
-                    let op = Op::delete(box_key(&owner), Expect::Version(version));
-                    self.store(Purpose::Declare(owner), Call::Commit(vec![op]), out);
+                lease::Action::DeclareDead { id, version } => {
+                    log::warn!(target: "lease", "{id} is taken to be dead");
+                    let op = Op::delete(box_key(&id), Expect::Version(version));
+                    self.store(Purpose::Declare(id), Call::Commit(vec![op]), out);
                 }
                 lease::Action::Deposed => self.reborn(now, out),
             }
@@ -55,7 +55,7 @@
         }
         self.dedup_shards.clear();
         self.setup.boot += 1;
-        let mut me = self.lease.me().clone();
+        let mut me = self.lease.own_row().clone();
         me.id = incarnation(&self.setup.name, self.setup.boot);
         me.beat = 0;
         me.successors = Vec::new();
@@ -70,14 +70,14 @@
     }
 
     pub(super) fn claim(&mut self, now: Now, out: &mut Vec<Action>) {
-        if !self.lease.registered() {
+        if !self.lease.is_registered() {
             return;
         }
         let (cells, hosts) = (self.cell_names(), self.hosts(now.millis));
         self.claims.observe(now.millis, cells, hosts);
         let lease = &self.lease;
         let me = lease.id().clone();
-        let gone = |owner: &Name| *owner != me && lease.other(owner).is_none();
+        let gone = |owner: &Name| *owner != me && lease.other_box(owner).is_none();
         let interval = self.setup.pace.poll;
         let actions = self.claims.tick(now.millis, interval, gone);
         for action in actions {
@@ -94,11 +94,11 @@
     }
 
     fn hosts(&self, now: Millis) -> Vec<Host> {
-        let stays = |b: &&BoxRow| self.lease.fresh(&b.id, now) && !self.leavers.contains(&b.id);
-        let others = self.lease.others().filter(stays);
+        let stays = |b: &&BoxRow| self.lease.is_fresh(&b.id, now) && !self.leavers.contains(&b.id);
+        let others = self.lease.other_boxes().filter(stays);
         let mut hosts: Vec<Host> = others.map(host).collect();
         if self.stopping.is_none() {
-            hosts.push(host(self.lease.me()));
+            hosts.push(host(self.lease.own_row()));
         }
         hosts
     }
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -16,7 +16,7 @@
         let interval = self.setup.pace.heartbeat;
         let others: Vec<(Name, _)> = self
             .lease
-            .others()
+            .other_boxes()
             .filter_map(|b| b.rpc.parse().ok().map(|rpc| (b.id.clone(), rpc)))
             .collect();
         // A cell that has moved is told at once.
@@ -71,7 +71,7 @@
 
     /// Returns the load of the own cells that take requests.
     fn loads(&self, now: Millis) -> Vec<Load> {
-        if !self.lease.acts(now) {
+        if !self.lease.may_act(now) {
             return Vec::new();
         }
         let open = self.cells.values().filter(|c| !c.leaving);
@@ -101,7 +101,7 @@
         out: &mut Vec<Action>,
     ) {
         let asked = greeting.ask.as_ref() == Some(self.id());
-        let promised = asked && self.lease.asked(now.millis, &greeting.from);
+        let promised = asked && self.lease.grant_promise(now.millis, &greeting.from);
         self.learn(now, &greeting, out);
         out.push(Action::Regreet {
             ticket,
@@ -124,7 +124,7 @@
         // A restarted box at the same address is another incarnation, and its
         // word does not count for the one that was asked.
         if promised && greeting.from == *to {
-            self.lease.promised_by(to, sent);
+            self.lease.record_promise(to, sent);
         }
         self.learn(now, &greeting, out);
     }
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -102,7 +102,7 @@
         };
         let id = flight.meta.id.clone();
         let shard = dedup_shard_name(stable(&[&id]) % DEDUP_SHARDS);
-        let acts = self.lease.acts(now.millis);
+        let acts = self.lease.may_act(now.millis);
         if let Some(dedup) = self.dedup_shards.get_mut(&shard).filter(|_| acts) {
             let leaving = self.claims.mine().get(&shard).is_none_or(|m| m.leaving);
             if leaving {
@@ -115,7 +115,7 @@
         let asked_me = flight.origin == Origin::ForDedup;
         let owner = self.claims.owner(&shard).map(|(owner, _)| owner.clone());
         let peer = owner
-            .and_then(|o| self.lease.other(&o))
+            .and_then(|o| self.lease.other_box(&o))
             .map(|b| b.rpc.parse());
         match peer {
             Some(Ok(rpc)) if !asked_me => {
@@ -210,7 +210,7 @@
                 .dedup_shards
                 .get(shard)
                 .is_some_and(|s| s.epoch == *epoch);
-            if !kept || !self.lease.acts(now.millis) {
+            if !kept || !self.lease.may_act(now.millis) {
                 return self.not_run(now, ticket, Reason::Lapsed, COME_BACK, out);
             }
         }
@@ -250,7 +250,7 @@
             return;
         };
         flight.stage = Stage::Local(name.clone());
-        if !self.lease.acts(now.millis) {
+        if !self.lease.may_act(now.millis) {
             return self.refused(now, ticket, Reason::Lapsed, COME_BACK, out);
         }
         let Some(size) = self.config.size(&flight.meta.service) else {
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -116,17 +116,17 @@
 
     /// Returns the time until which sends to workers may leave.
     pub fn until(&self) -> Millis {
-        self.lease.until()
+        self.lease.acts_until()
     }
 
     /// Returns true while the box may act for its cells.
     pub fn acts(&self, now: Millis) -> bool {
-        self.lease.acts(now)
+        self.lease.may_act(now)
     }
 
     /// Returns true while the box acts past its lease by promises.
     pub fn extended(&self, now: Millis) -> bool {
-        self.lease.extended(now)
+        self.lease.acts_by_promises(now)
     }
 
     /// Returns the owned cells with their epochs.
@@ -196,7 +196,7 @@
         self.greet(now, out);
         self.claim(now, out);
         self.seek_owners(now, out);
-        if self.lease.acts(now.millis) {
+        if self.lease.may_act(now.millis) {
             self.run_cells(now, out);
         } else {
             self.rest(now, out);
--- a/src/engine/table_calls.rs
+++ b/src/engine/table_calls.rs
@@ -57,14 +57,19 @@
         match purpose {
             Purpose::Boxes => {
                 let rows = rows(&outcome).map(|r| boxes(r));
-                let actions = self.lease.read(now.millis, sent, rows);
+                let actions = self.lease.apply_read(now.millis, sent, rows);
                 self.lease_actions(now, actions, out);
             }
             Purpose::Renew(beat) => {
-                let actions = self.lease.renewed(now.millis, beat, written(&outcome));
+                let actions = self
+                    .lease
+                    .finish_renewal(now.millis, beat, written(&outcome));
                 self.lease_actions(now, actions, out);
             }
-            Purpose::Declare(owner) => self.lease.declared(now.millis, &owner, written(&outcome)),
+            Purpose::Declare(owner) => {
+                self.lease
+                    .finish_declaration(now.millis, &owner, written(&outcome))
+            }
             Purpose::Cells => {
                 let rows = rows(&outcome).map(|r| cells(r));
                 let actions = self.claims.read(sent, rows);
--- a/src/engine/views.rs
+++ b/src/engine/views.rs
@@ -146,8 +146,8 @@
             ready: self.ready(),
             config: self.config.version(),
             cells: self.claims.mine().len(),
-            boxes: self.lease.others().count() + 1,
-            lease: self.lease.acts(now),
+            boxes: self.lease.other_boxes().count() + 1,
+            lease: self.lease.may_act(now),
             store: now.saturating_sub(self.answered),
         }
     }
@@ -158,7 +158,7 @@
             let owners = cells.filter_map(|c| self.claims.owner(c));
             owners.filter(|(owner, _)| *owner == id).count()
         };
-        let rows = self.lease.others().chain([self.lease.me()]);
+        let rows = self.lease.other_boxes().chain([self.lease.own_row()]);
         let mut views: Vec<BoxView> = rows
             .map(|row| BoxView {
                 id: row.id.clone(),
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,11 +1,10 @@
-//! The lease of a box, and the promises that carry it through an outage.
+//! Lease of a box, and the promises that extend it while the table is unavailable.
 //!
-//! Each running box (an incarnation) has one row in the table. It renews the
-//! row by compare-and-set and may act for its cells until the lease counted
-//! from the *sending* of the last confirmed renewal ends. The row lists a few
-//! successors; past the end of the lease the box may still act while every
-//! listed successor has promised, within the promise time, not to take over.
-//! Only a listed successor declares a box dead, by deleting its row.
+//! Each incarnation of a box has one row in the table, which it renews by compare-and-set. It may
+//! act for its cells until its lease ends, which counts from the *sending* of the last confirmed
+//! renewal. The row lists a few successors. After the end of the lease the box may still act while
+//! an unexpired promise not to take over is held from every listed successor. Only a listed
+//! successor declares a box dead, by deleting its row; after the longest outage any box may.
 
 mod state;
 
@@ -19,22 +18,22 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Prefix of the rows of boxes in the table.
+/// Prefix of the keys of box rows in the table.
 pub const PREFIX: &str = "box/";
-/// Number of successors that a box lists.
-pub const SUCCESSORS: usize = 2;
+/// Number of successors in the row of a box.
+pub const SUCCESSOR_COUNT: usize = 2;
 
-/// Times of leases and promises, in milliseconds.
+/// Durations of leases and promises, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTimings {
-    /// Time that a renewal is good for, from its sending.
+    /// Duration of a lease, from the sending of its renewal.
     pub length: Millis,
-    /// Time that others wait beyond the lease, for slow sends and clock drift.
+    /// Time that other boxes wait after the end of a lease, for slow sends and clock drift.
     pub margin: Millis,
-    /// Time that a promise is good for, from the sending of its question.
+    /// Duration of a promise, from the sending of the request for it.
     pub promise: Millis,
-    /// Longest time past its lease that a box acts by promises; any box may
-    /// take over after that.
+    /// Longest time after the end of its lease for which a box acts by promises. After it any box
+    /// may take over.
     pub outage: Millis,
 }
 
@@ -49,64 +48,64 @@
     }
 }
 
-/// A box as its row tells.
+/// Row of a box.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxRow {
     /// Incarnation: the name and a number that is new at each start.
     pub id: Name,
-    /// Name from the settings.
+    /// Name of the box in its settings.
     pub name: Name,
-    /// Address for other boxes, IP:port.
+    /// Address for other boxes, as IP:port.
     pub rpc: Name,
-    /// Hall in which it stands.
+    /// Hall of the box.
     pub hall: Name,
-    /// Incarnations that may take over.
+    /// Incarnations that may declare the box dead.
     pub successors: Vec<Name>,
-    /// Counts the renewals.
+    /// Number of renewals.
     pub beat: u64,
 }
 
-/// A row of a box with its version.
+/// Row of a box with its version in the table.
 #[derive(Clone, Debug)]
 pub struct VersionedBox {
     /// Version of the row.
     pub version: u64,
-    /// Contents of the row.
+    /// Content of the row.
     pub row: BoxRow,
 }
 
-/// How a write ended.
+/// Outcome of a write to the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect.
+    /// The write took effect.
     Committed,
-    /// It did not take effect, as an expectation failed.
+    /// The write took no effect, as a row did not have the expected version.
     Conflict,
-    /// It never left, and so took no effect.
+    /// The write was not sent, so it took no effect.
     NotSent,
-    /// It may take effect, now or later.
+    /// The outcome is unknown: the write may have taken effect or may do so later.
     Unknown,
 }
 
-/// What a lease asks to be done.
+/// Action that a lease requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Write the row; `expect` 0 expects its absence.
+    /// Write the own row; `expect` 0 expects that there is none.
     Renew {
-        /// Version the row must have.
+        /// Version that the row must have.
         expect: u64,
-        /// New contents.
+        /// New content.
         row: BoxRow,
     },
     /// Read the rows of all boxes.
     Read,
-    /// Delete the row of a dead box that has this version.
-    Declare {
-        /// Incarnation that is dead.
-        owner: Name,
-        /// Version the row must have.
+    /// Delete the row of a box that is considered dead.
+    DeclareDead {
+        /// Incarnation of the box.
+        id: Name,
+        /// Version that the row must have.
         version: u64,
     },
-    /// The own row is gone: stop acting and start again as a new incarnation.
+    /// The own row was deleted: stop acting and start again as a new incarnation.
     Deposed,
 }
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of leases and promises, each named after the rule it is for.
+//! Tests of leases and promises; each name states the rule under test.
 
 use super::*;
 
@@ -27,12 +27,12 @@
 
 fn read(lease: &mut Lease, now: Millis, rows: &[(u64, BoxRow)]) -> Vec<Action> {
     let rows = rows.iter().map(|(v, r)| versioned(*v, r.clone()));
-    lease.read(now, now, Some(rows.collect()))
+    lease.apply_read(now, now, Some(rows.collect()))
 }
 
-/// Returns the lease of box `a` that was confirmed as sent at 0, with the
-/// successors `b.1` and `c.1`.
-fn holder() -> Lease {
+/// Returns the lease of box `a` with a confirmed renewal sent at 0 and the successors `b.1` and
+/// `c.1`.
+fn confirmed_lease() -> Lease {
     let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[(1, row("b.1", &[])), (1, row("c.1", &[]))]);
     let actions = lease.tick(0, 100);
@@ -40,57 +40,64 @@
         Action::Renew { row, .. } => Some(row.beat),
         _ => None,
     });
-    lease.renewed(50, beat.expect("a renewal"), WriteOutcome::Committed);
+    lease.finish_renewal(50, beat.expect("a renewal"), WriteOutcome::Committed);
     lease
 }
 
-fn declares(actions: &[Action], owner: &str) -> bool {
-    let hits = |a: &Action| matches!(a, Action::Declare { owner: o, .. } if &**o == owner);
-    actions.iter().any(hits)
+fn declares_dead(actions: &[Action], id: &str) -> bool {
+    let matches_id =
+        |a: &Action| matches!(a, Action::DeclareDead { id: dead, .. } if &**dead == id);
+    actions.iter().any(matches_id)
 }
 
 #[test]
-fn a_lease_counts_from_the_sending_of_the_renewal() {
-    let lease = holder();
-    assert!(lease.acts(999));
-    assert!(!lease.acts(1_000));
+fn a_lease_counts_from_the_sending_of_its_renewal() {
+    let lease = confirmed_lease();
+    assert!(lease.may_act(999));
+    assert!(!lease.may_act(1_000));
 }
 
 #[test]
 fn past_its_lease_a_box_acts_only_while_all_successors_promise() {
-    let mut lease = holder();
-    lease.promised_by(&"b.1".into(), 900);
-    assert!(!lease.acts(1_100), "one promise of two");
-    lease.promised_by(&"c.1".into(), 950);
-    assert!(lease.acts(1_100) && lease.extended(1_100));
-    assert!(!lease.acts(1_300), "a promise counts from its question");
+    let mut lease = confirmed_lease();
+    lease.record_promise(&"b.1".into(), 900);
+    assert!(
+        !lease.may_act(1_100),
+        "only one of two successors has promised"
+    );
+    lease.record_promise(&"c.1".into(), 950);
+    assert!(lease.may_act(1_100) && lease.acts_by_promises(1_100));
+    assert!(
+        !lease.may_act(1_300),
+        "a promise counts from the sending of its request"
+    );
 }
 
 #[test]
-fn promises_do_not_carry_a_box_past_the_outage_bound() {
-    let mut lease = holder();
-    let late = TIMINGS.length + TIMINGS.outage;
+fn promises_do_not_extend_a_lease_past_the_longest_outage() {
+    let mut lease = confirmed_lease();
+    let outage_end = TIMINGS.length + TIMINGS.outage;
     for successor in ["b.1", "c.1"] {
-        lease.promised_by(&successor.into(), late - 100);
+        lease.record_promise(&successor.into(), outage_end - 100);
     }
-    assert!(lease.acts(late - 1));
-    assert!(!lease.acts(late));
+    assert!(lease.may_act(outage_end - 1));
+    assert!(!lease.may_act(outage_end));
 }
 
 #[test]
-fn without_successors_nothing_carries_a_box_past_its_lease() {
+fn a_box_without_successors_stops_at_the_end_of_its_lease() {
     let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[]);
     lease.tick(0, 100);
-    lease.renewed(50, 1, WriteOutcome::Committed);
-    assert!(lease.acts(999));
-    assert!(!lease.acts(1_000));
+    lease.finish_renewal(50, 1, WriteOutcome::Committed);
+    assert!(lease.may_act(999));
+    assert!(!lease.may_act(1_000));
 }
 
 #[test]
-fn a_renewal_in_doubt_adds_its_successors_to_those_asked() {
-    let mut lease = holder();
-    // `b.1` has gone silent, so the next renewal lists another in its place.
+fn the_successors_of_a_renewal_in_doubt_must_promise_too() {
+    let mut lease = confirmed_lease();
+    // The row of `b.1` is gone, so the next renewal lists `d.1` in its place.
     let rows = [
         (1, row("c.1", &[])),
         (1, row("d.1", &[])),
@@ -103,112 +110,115 @@
     read(&mut lease, 300, &rows);
     let actions = lease.tick(400, 1_000);
     assert!(actions.iter().any(|a| matches!(a, Action::Renew { .. })));
-    let asked = lease.successors();
+    let successors = lease.successors();
     for id in ["b.1", "c.1", "d.1"] {
-        assert!(asked.contains(&id.into()), "{id} missing in {asked:?}");
+        assert!(
+            successors.contains(&id.into()),
+            "{id} missing in {successors:?}"
+        );
     }
 }
 
 #[test]
 fn only_a_listed_successor_declares_a_box_dead() {
-    let watched = row("x.1", &["a.1"]);
+    let listing = row("x.1", &["a.1"]);
     let other = row("y.1", &["z.1"]);
     let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
-    read(&mut lease, 0, &[(4, watched), (4, other)]);
+    read(&mut lease, 0, &[(4, listing), (4, other)]);
     let early = lease.tick(TIMINGS.length + TIMINGS.margin - 1, 10_000);
-    assert!(!declares(&early, "x.1"));
+    assert!(!declares_dead(&early, "x.1"));
     let due = lease.tick(TIMINGS.length + TIMINGS.margin, 10_000);
-    assert!(declares(&due, "x.1"));
-    assert!(!declares(&due, "y.1"));
+    assert!(declares_dead(&due, "x.1"));
+    assert!(!declares_dead(&due, "y.1"));
 }
 
 #[test]
-fn a_box_that_has_promised_does_not_take_over() {
+fn a_box_declares_no_other_dead_while_its_promise_lasts() {
     let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[(4, row("x.1", &["a.1"]))]);
     let asked = TIMINGS.length + TIMINGS.margin - 100;
-    assert!(lease.asked(asked, &"x.1".into()));
+    assert!(lease.grant_promise(asked, &"x.1".into()));
     let held = lease.tick(asked + TIMINGS.promise + TIMINGS.margin - 1, 10_000);
-    assert!(!declares(&held, "x.1"));
+    assert!(!declares_dead(&held, "x.1"));
     let due = lease.tick(asked + TIMINGS.promise + TIMINGS.margin, 10_000);
-    assert!(declares(&due, "x.1"));
+    assert!(declares_dead(&due, "x.1"));
 }
 
 #[test]
-fn a_box_whose_takeover_is_in_doubt_promises_nothing() {
+fn a_box_gives_no_promise_while_its_declaration_is_in_doubt() {
     let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[(4, row("x.1", &["a.1"]))]);
     let due = lease.tick(2_000, 10_000);
-    assert!(declares(&due, "x.1"));
-    lease.declared(2_050, &"x.1".into(), WriteOutcome::Unknown);
-    assert!(!lease.asked(2_100, &"x.1".into()));
+    assert!(declares_dead(&due, "x.1"));
+    lease.finish_declaration(2_050, &"x.1".into(), WriteOutcome::Unknown);
+    assert!(!lease.grant_promise(2_100, &"x.1".into()));
     read(&mut lease, 2_200, &[(4, row("x.1", &["a.1"]))]);
     assert!(
-        !lease.asked(2_300, &"x.1".into()),
-        "the same version proves nothing"
+        !lease.grant_promise(2_300, &"x.1".into()),
+        "the version is the declared one"
     );
     read(&mut lease, 2_400, &[(5, row("x.1", &["a.1"]))]);
-    assert!(lease.asked(2_500, &"x.1".into()));
+    assert!(lease.grant_promise(2_500, &"x.1".into()));
 }
 
 #[test]
-fn an_old_read_does_not_bring_a_dead_box_back() {
+fn a_read_sent_before_a_declaration_does_not_restore_the_dead_box() {
     let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     let rows = [(4, row("x.1", &["a.1"]))];
     read(&mut lease, 0, &rows);
-    assert!(declares(&lease.tick(2_000, 10_000), "x.1"));
-    lease.declared(2_100, &"x.1".into(), WriteOutcome::Committed);
+    assert!(declares_dead(&lease.tick(2_000, 10_000), "x.1"));
+    lease.finish_declaration(2_100, &"x.1".into(), WriteOutcome::Committed);
     // This read was sent before the row was deleted.
-    let old = rows.iter().map(|(v, r)| versioned(*v, r.clone())).collect();
-    lease.read(2_200, 2_050, Some(old));
-    assert!(!lease.asked(2_300, &"x.1".into()));
+    let old_rows = rows.iter().map(|(v, r)| versioned(*v, r.clone())).collect();
+    lease.apply_read(2_200, 2_050, Some(old_rows));
+    assert!(!lease.grant_promise(2_300, &"x.1".into()));
 }
 
 #[test]
-fn a_restarted_box_takes_the_place_of_the_one_before_it_at_once() {
+fn a_restarted_box_declares_its_earlier_incarnation_dead_at_once() {
     let mut lease = Lease::new(TIMINGS, row("a.2", &[]));
     read(&mut lease, 0, &[(4, row("a.1", &["b.1"]))]);
     let due = lease.tick(1, 10_000);
-    assert!(declares(&due, "a.1"));
+    assert!(declares_dead(&due, "a.1"));
 }
 
 #[test]
-fn a_box_whose_row_is_gone_stops_acting() {
-    let mut lease = holder();
-    assert!(lease.acts(500));
+fn a_box_whose_row_was_deleted_stops_acting() {
+    let mut lease = confirmed_lease();
+    assert!(lease.may_act(500));
     let actions = read(&mut lease, 500, &[]);
     assert_eq!(actions, [Action::Deposed]);
-    assert!(!lease.acts(500));
+    assert!(!lease.may_act(500));
 }
 
-/// Returns a new box whose registration, sent at 0, has no known outcome.
-fn registering() -> Lease {
+/// Returns the lease of a new box whose registration, sent at 0, has an unknown outcome.
+fn registration_in_doubt() -> Lease {
     let mut lease = Lease::new(TIMINGS, row("a.1", &[]));
     read(&mut lease, 0, &[(1, row("b.1", &[]))]);
     lease.tick(0, 100);
-    lease.renewed(50, 1, WriteOutcome::Unknown);
+    lease.finish_renewal(50, 1, WriteOutcome::Unknown);
     lease
 }
 
 #[test]
 fn a_registration_in_doubt_is_not_written_again() {
-    // Its row may have been written, and deleted as that of a dead box: the
-    // same incarnation would come back to life beside its successors.
-    let mut lease = registering();
+    // The row may have been written and then deleted as that of a dead box. Writing it again would
+    // revive this incarnation while its successors act in its place.
+    let mut lease = registration_in_doubt();
     for now in [300, 2_000, 9_000] {
-        let again = lease.tick(now, 100);
-        assert!(!again.iter().any(|a| matches!(a, Action::Renew { .. })));
+        let actions = lease.tick(now, 100);
+        assert!(!actions.iter().any(|a| matches!(a, Action::Renew { .. })));
     }
     let actions = read(&mut lease, 9_100, &[(1, row("b.1", &[]))]);
     assert_eq!(actions, [Action::Deposed]);
-    assert!(!lease.registered());
+    assert!(!lease.is_registered());
 }
 
 #[test]
-fn a_registration_in_doubt_is_settled_by_a_read_that_shows_it() {
-    let mut lease = registering();
+fn a_read_that_contains_the_row_confirms_a_registration_in_doubt() {
+    let mut lease = registration_in_doubt();
     let mut own = row("a.1", &["b.1"]);
     own.beat = 1;
     assert!(read(&mut lease, 200, &[(1, own)]).is_empty());
-    assert!(lease.registered() && lease.acts(999));
+    assert!(lease.is_registered() && lease.may_act(999));
 }
