--- a/src/engine.rs
+++ b/src/engine.rs
@@ -35,7 +35,7 @@
 
 /// What the decisions need to know from the settings.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct EngineSettings {
     /// Name of the box.
     pub name: Name,
     /// Number that is new at each start.
@@ -106,7 +106,7 @@
 
 /// How a request that was handed to another box ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Handed {
+pub enum ForwardOutcome {
     /// The whole answer came.
     Answered,
     /// It was not run.
@@ -143,9 +143,9 @@
 
 /// How a call to a worker ended.
 #[derive(Clone, Debug)]
-pub enum Reported {
+pub enum WorkerCallOutcome {
     /// An exchange.
-    Synced {
+    Polled {
         /// When it was sent.
         sent: Millis,
         /// Its round.
@@ -153,7 +153,7 @@
         /// Ends that it acknowledged.
         acks: Vec<RunId>,
         /// How it ended.
-        exchange: PollOutcome,
+        outcome: PollOutcome,
     },
     /// A start.
     Started(RunId, CallOutcome),
@@ -189,21 +189,21 @@
         epoch: u64,
     },
     /// A send to a worker ended.
-    Sent {
+    SendEnded {
         /// The request.
         ticket: u64,
         /// How it ended.
-        sent: SendOutcome,
+        outcome: SendOutcome,
     },
     /// A hand-over to another box ended.
-    Handed {
+    ForwardEnded {
         /// The request.
         ticket: u64,
         /// How it ended.
-        handed: Handed,
+        outcome: ForwardOutcome,
     },
     /// A call to the table ended.
-    Stored {
+    TableCallEnded {
         /// Number of the call.
         op: u64,
         /// When it was sent.
@@ -212,9 +212,9 @@
         outcome: Outcome,
     },
     /// The list of workers came, or none.
-    Listed(Option<Vec<ListedWorker>>),
+    WorkersListed(Option<Vec<ListedWorker>>),
     /// A call to a worker ended.
-    Worker {
+    WorkerCallEnded {
         /// Cell of the worker.
         cell: Name,
         /// Epoch under which the call was made.
@@ -222,17 +222,17 @@
         /// Name of the worker.
         worker: Name,
         /// How it ended.
-        reported: Reported,
+        outcome: WorkerCallOutcome,
     },
     /// Another box greets.
-    Greeting {
+    GreetingReceived {
         /// Number of the greeting at this box.
         ticket: u64,
         /// What it says.
         greeting: Greeting,
     },
     /// A greeting was answered, or not.
-    Greeted {
+    GreetingEnded {
         /// Incarnation that was greeted.
         to: Name,
         /// When it was sent.
@@ -241,7 +241,7 @@
         reply: Option<(Greeting, bool)>,
     },
     /// A peer's whole configuration came, or not.
-    Snapshot(Option<Config>),
+    SnapshotEnded(Option<Config>),
     /// New job shards lie in cells, or jobs were cancelled.
     Hint {
         /// Cells with new job shards.
@@ -274,7 +274,7 @@
         /// Address of the endpoint.
         http: SocketAddr,
         /// Milliseconds until its deadline.
-        left: Millis,
+        time_left: Millis,
     },
     /// Hand a request to another box.
     Forward {
@@ -301,16 +301,16 @@
         retries: u32,
     },
     /// Call the table.
-    Store {
+    CallTable {
         /// Number of the call.
         op: u64,
         /// The call.
         call: Call,
     },
     /// Read the list of workers.
-    List,
+    ListWorkers,
     /// Call a worker.
-    Worker {
+    CallWorker {
         /// Cell of the worker.
         cell: Name,
         /// Epoch of the ownership.
@@ -328,7 +328,7 @@
         greeting: Greeting,
     },
     /// Answer a greeting.
-    Regreet {
+    AnswerGreeting {
         /// Number of the greeting.
         ticket: u64,
         /// What to say.
@@ -337,7 +337,7 @@
         promised: bool,
     },
     /// Ask a peer for its whole configuration.
-    Snapshot(SocketAddr),
+    FetchSnapshot(SocketAddr),
     /// Tell another box of new job shards or cancelled jobs.
     Hint {
         /// Its address.
@@ -348,7 +348,7 @@
         cancelled: Vec<Name>,
     },
     /// Answer a question.
-    Answer {
+    AnswerQuery {
         /// Number of the question.
         ticket: u64,
         /// The view.
--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -3,7 +3,7 @@
 
 use super::in_flight::RESENT;
 use super::state::Engine;
-use super::{Action, Now, Reported};
+use super::{Action, Now, WorkerCallOutcome};
 use crate::cell::{self, ListedWorker, Reason};
 use crate::invariant::{self, Rule};
 use crate::utils::Name;
@@ -85,13 +85,13 @@
                 if !self.depart(ticket) {
                     return self.finish(ticket, RESENT, out);
                 }
-                let left = self.flights.get(&ticket).map_or(0, |f| f.left(now.millis));
+                let time_left = self.flights.get(&ticket).map_or(0, |f| f.left(now.millis));
                 out.push(Action::Send {
                     ticket,
                     cell: cell.clone(),
                     epoch,
                     http,
-                    left,
+                    time_left,
                 });
             }
             cell::Action::Refuse {
@@ -100,10 +100,10 @@
                 retry_after,
             } => self.refused(now, ticket, reason, retry_after, out),
             cell::Action::Start { worker, run, .. } if !self.rules(now, cell, epoch) => {
-                let reported = Reported::Started(run.id, cell::CallOutcome::Refused);
-                self.worker(now, cell, epoch, &worker, reported, out);
+                let outcome = WorkerCallOutcome::Started(run.id, cell::CallOutcome::Refused);
+                self.worker(now, cell, epoch, &worker, outcome, out);
             }
-            other => out.push(Action::Worker {
+            other => out.push(Action::CallWorker {
                 cell: cell.clone(),
                 epoch,
                 action: other,
@@ -117,35 +117,39 @@
         name: &Name,
         epoch: u64,
         worker: &Name,
-        reported: Reported,
+        outcome: WorkerCallOutcome,
         out: &mut Vec<Action>,
     ) {
         let Some(cell) = self.cells.get_mut(name).filter(|c| c.epoch == epoch) else {
             return;
         };
         let (millis, micros) = (now.millis, now.micros);
-        let actions = match reported {
-            Reported::Synced {
+        let actions = match outcome {
+            WorkerCallOutcome::Polled {
                 sent,
                 round,
                 acks,
-                exchange,
+                outcome,
             } => {
                 let (outranked, actions) = cell.finish_poll(
                     millis,
                     micros,
                     worker,
                     cell::SentPoll { sent, round, acks },
-                    exchange,
+                    outcome,
                 );
                 if outranked {
                     log::warn!(target: "claim", "{worker} knows a higher epoch of {name}");
                 }
                 actions
             }
-            Reported::Started(run, called) => cell.finish_start(millis, worker, run, called),
-            Reported::Stopped(run, called) => cell.finish_stop(millis, micros, worker, run, called),
-            Reported::Throttled(run, share, called) => {
+            WorkerCallOutcome::Started(run, called) => {
+                cell.finish_start(millis, worker, run, called)
+            }
+            WorkerCallOutcome::Stopped(run, called) => {
+                cell.finish_stop(millis, micros, worker, run, called)
+            }
+            WorkerCallOutcome::Throttled(run, share, called) => {
                 cell.finish_throttle(millis, micros, worker, run, share, called)
             }
         };
@@ -155,12 +159,12 @@
     }
 
     pub(super) fn directory(&mut self, now: Now, out: &mut Vec<Action>) {
-        let interval = self.setup.pace.poll;
+        let interval = self.settings.pace.poll;
         let due = self.listed.is_none_or(|at| now.millis >= at + interval);
         if due && !self.listing {
             self.listing = true;
             self.listed = Some(now.millis);
-            out.push(Action::List);
+            out.push(Action::ListWorkers);
         }
     }
 
--- a/src/engine/config_sync.rs
+++ b/src/engine/config_sync.rs
@@ -17,7 +17,7 @@
 impl Engine {
     /// Reads the head row when that is due.
     pub(super) fn poll(&mut self, now: Now, out: &mut Vec<Action>) {
-        let interval = self.setup.pace.poll;
+        let interval = self.settings.pace.poll;
         let due = self.polled.is_none_or(|at| now.millis >= at + interval);
         if due && !self.polling {
             self.polling = true;
@@ -137,12 +137,12 @@
             return;
         }
         self.polled = None;
-        let patience = self.setup.pace.poll * PATIENCE;
+        let patience = self.settings.pace.poll * PATIENCE;
         let silent = now.millis >= self.answered + patience;
         let due = self.snapshot.is_none_or(|at| now.millis >= at + patience);
         if silent && due && version > 0 {
             self.snapshot = Some(now.millis);
-            out.push(Action::Snapshot(rpc));
+            out.push(Action::FetchSnapshot(rpc));
         }
     }
 
--- a/src/engine/job_shards.rs
+++ b/src/engine/job_shards.rs
@@ -19,7 +19,7 @@
 impl Engine {
     /// Commits changed job shards of all cells in one group.
     pub(super) fn journal(&mut self, now: Now, out: &mut Vec<Action>) {
-        if now.millis < self.flushed + self.setup.pace.journal {
+        if now.millis < self.flushed + self.settings.pace.journal {
             return;
         }
         self.flushed = now.millis;
--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -3,7 +3,7 @@
 use super::in_flight::{Origin, RESENT, Stage};
 use super::requests::COME_BACK;
 use super::state::Engine;
-use super::{Action, Handed, Now, Verdict};
+use super::{Action, ForwardOutcome, Now, Verdict};
 use crate::cell::{Reason, SendOutcome};
 use crate::invariant::{self, Rule};
 use crate::utils::Name;
@@ -81,18 +81,24 @@
     }
 
     /// Takes in how a send to an endpoint went.
-    pub(super) fn sent(&mut self, now: Now, ticket: u64, sent: SendOutcome, out: &mut Vec<Action>) {
+    pub(super) fn sent(
+        &mut self,
+        now: Now,
+        ticket: u64,
+        outcome: SendOutcome,
+        out: &mut Vec<Action>,
+    ) {
         self.arrive(ticket);
         let stage = self.flights.get(&ticket).map(|f| f.stage.clone());
         if let Some(Stage::Local(name)) = stage
             && let Some(cell) = self.cells.get_mut(&name)
         {
             let epoch = cell.epoch;
-            for action in cell.finish_send(now.millis, now.micros, ticket, sent) {
+            for action in cell.finish_send(now.millis, now.micros, ticket, outcome) {
                 self.cell_action(now, &name, epoch, action, out);
             }
         }
-        match sent {
+        match outcome {
             SendOutcome::Answered => {
                 self.left_cell(ticket);
                 self.finish(ticket, Verdict::Answer, out);
@@ -104,18 +110,24 @@
     }
 
     /// Takes in how handing a request to another box went.
-    pub(super) fn handed(&mut self, now: Now, ticket: u64, handed: Handed, out: &mut Vec<Action>) {
+    pub(super) fn handed(
+        &mut self,
+        now: Now,
+        ticket: u64,
+        outcome: ForwardOutcome,
+        out: &mut Vec<Action>,
+    ) {
         self.arrive(ticket);
         let Some(flight) = self.flights.get_mut(&ticket) else {
             return;
         };
         let at_dedup = flight.stage == Stage::Dedup;
-        match handed {
-            Handed::Answered => {
+        match outcome {
+            ForwardOutcome::Answered => {
                 self.left_cell(ticket);
                 self.finish(ticket, Verdict::Answer, out);
             }
-            Handed::NotRun {
+            ForwardOutcome::NotRun {
                 reason,
                 after,
                 retries,
@@ -131,7 +143,7 @@
                     false => self.not_run(now, ticket, reason, after, out),
                 }
             }
-            Handed::Unknown => self.doubted(now, ticket, "peer", out),
+            ForwardOutcome::Unknown => self.doubted(now, ticket, "peer", out),
         }
     }
 
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -16,7 +16,7 @@
 
 impl Engine {
     pub(super) fn leases(&mut self, now: Now, out: &mut Vec<Action>) {
-        let actions = self.lease.tick(now.millis, self.setup.pace.heartbeat);
+        let actions = self.lease.tick(now.millis, self.settings.pace.heartbeat);
         self.lease_actions(now, actions, out);
     }
 
@@ -54,14 +54,14 @@
             self.give_up(now, &cell, Reason::Lapsed, out);
         }
         self.dedup_shards.clear();
-        self.setup.boot += 1;
+        self.settings.boot += 1;
         let mut me = self.lease.own_row().clone();
-        me.id = incarnation(&self.setup.name, self.setup.boot);
+        me.id = incarnation(&self.settings.name, self.settings.boot);
         me.beat = 0;
         me.successors = Vec::new();
         self.router.drop_owner(&self.lease.id().clone());
         self.claims = Claims::new(me.id.clone());
-        self.lease = Lease::new(self.setup.lease_timings, me);
+        self.lease = Lease::new(self.settings.lease_timings, me);
         self.ops
             .retain(|_, p| matches!(p, Purpose::Head | Purpose::Entries(_) | Purpose::Changes));
         if self.stopping.is_some() {
@@ -78,7 +78,7 @@
         let lease = &self.lease;
         let me = lease.id().clone();
         let gone = |owner: &Name| *owner != me && lease.other_box(owner).is_none();
-        let interval = self.setup.pace.poll;
+        let interval = self.settings.pace.poll;
         let actions = self.claims.tick(now.millis, interval, gone);
         for action in actions {
             self.claim_action(now, action, out);
@@ -139,17 +139,17 @@
     fn win(&mut self, now: Now, cell: Name, epoch: u64, out: &mut Vec<Action>) {
         log::info!(target: "claim", "{cell} is owned under epoch {epoch}");
         if cell.starts_with(DEDUP_PREFIX) {
-            let shard = DedupShard::new(epoch, now.wall, self.setup.dedup_timings);
+            let shard = DedupShard::new(epoch, now.wall, self.settings.dedup_timings);
             self.dedup_shards.insert(cell, shard);
             return;
         }
-        let pace = self.setup.pace;
+        let pace = self.settings.pace;
         let times = Timings {
             run_lease: pace.task,
-            margin: self.setup.lease_timings.margin,
+            margin: self.settings.lease_timings.margin,
             poll_interval: pace.sync,
         };
-        let policy = self.setup.policy.clone();
+        let policy = self.settings.policy.clone();
         let mut won = Cell::new(cell.clone(), epoch, now.millis, policy, times);
         won.set_workers(&self.places, self.config.drained());
         self.cells.insert(cell.clone(), won);
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -13,7 +13,7 @@
 impl Engine {
     /// Greets the other boxes when that is due.
     pub(super) fn greet(&mut self, now: Now, out: &mut Vec<Action>) {
-        let interval = self.setup.pace.heartbeat;
+        let interval = self.settings.pace.heartbeat;
         let others: Vec<(Name, _)> = self
             .lease
             .other_boxes()
@@ -49,8 +49,8 @@
     fn greeting_now(&self, now: Millis) -> Greeting {
         Greeting {
             from: self.id().clone(),
-            rpc: self.setup.rpc,
-            hall: self.setup.hall.clone(),
+            rpc: self.settings.rpc,
+            hall: self.settings.hall.clone(),
             config: self.config.version(),
             stopping: self.stopping.is_some(),
             ask: None,
@@ -103,7 +103,7 @@
         let asked = greeting.ask.as_ref() == Some(self.id());
         let promised = asked && self.lease.grant_promise(now.millis, &greeting.from);
         self.learn(now, &greeting, out);
-        out.push(Action::Regreet {
+        out.push(Action::AnswerGreeting {
             ticket,
             greeting: self.greeting_now(now.millis),
             promised,
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -45,7 +45,7 @@
 
     fn begin(&mut self, now: Now, ticket: u64, meta: Meta, origin: Origin) {
         let flight = Flight {
-            deadline: now.millis + meta.left,
+            deadline: now.millis + meta.time_left,
             origin,
             stage: Stage::New,
             tried: Vec::new(),
@@ -108,7 +108,7 @@
             if leaving {
                 return self.not_run(now, ticket, Reason::Stopping, COME_BACK, out);
             }
-            let admission = dedup.admit(now.wall, &id, flight.meta.issued, flight.meta.alone);
+            let admission = dedup.admit(now.wall, &id, flight.meta.issued, flight.meta.sole_until);
             flight.dedup_shard = Some((shard, dedup.epoch));
             return self.admitted(now, ticket, admission, out);
         }
@@ -121,7 +121,7 @@
             Some(Ok(rpc)) if !asked_me => {
                 flight.stage = Stage::Dedup;
                 let mut meta = flight.meta.clone();
-                meta.left = flight.left(now.millis);
+                meta.time_left = flight.left(now.millis);
                 meta.retries = flight.retries;
                 if !self.depart(ticket) {
                     return self.finish(ticket, RESENT, out);
@@ -228,7 +228,7 @@
         };
         flight.stage = Stage::Remote(cell.clone());
         let mut meta = flight.meta.clone();
-        meta.left = flight.left(now.millis);
+        meta.time_left = flight.left(now.millis);
         meta.retries = flight.retries;
         let (dedup_shard, epoch) = flight.dedup_shard.clone().unzip();
         if !self.depart(ticket) {
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -5,7 +5,7 @@
 use super::in_flight::Flight;
 use super::requests::BUDGET;
 use super::table_calls::Purpose;
-use super::{Action, Event, Now, Setup};
+use super::{Action, EngineSettings, Event, Now};
 use crate::cell::{Cell, ListedWorker};
 use crate::claim::Claims;
 use crate::config::Config;
@@ -25,7 +25,7 @@
 /// The decisions of one entry box.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    pub(super) setup: Setup,
+    pub(super) settings: EngineSettings,
     pub(super) lease: Lease,
     pub(super) claims: Claims,
     pub(super) cells: BTreeMap<Name, Cell>,
@@ -64,25 +64,25 @@
 
 impl Engine {
     /// Returns the engine of a box that has just started.
-    pub fn new(setup: Setup) -> Self {
-        let id = incarnation(&setup.name, setup.boot);
+    pub fn new(settings: EngineSettings) -> Self {
+        let id = incarnation(&settings.name, settings.boot);
         let me = BoxRow {
             id: id.clone(),
-            name: setup.name.clone(),
-            rpc: setup.rpc.to_string().into(),
-            hall: setup.hall.clone(),
+            name: settings.name.clone(),
+            rpc: settings.rpc.to_string().into(),
+            hall: settings.hall.clone(),
             successors: Vec::new(),
             beat: 0,
         };
         let seed = crate::utils::hash::stable(&[&id]);
         Self {
-            lease: Lease::new(setup.lease_timings, me),
+            lease: Lease::new(settings.lease_timings, me),
             claims: Claims::new(id),
             cells: BTreeMap::new(),
             dedup_shards: BTreeMap::new(),
             config: Config::default(),
             staged: None,
-            router: Router::new(setup.hall.clone(), seed),
+            router: Router::new(settings.hall.clone(), seed),
             places: Vec::new(),
             flights: BTreeMap::new(),
             ops: BTreeMap::new(),
@@ -105,7 +105,7 @@
             snapshot: None,
             idle: None,
             exited: false,
-            setup,
+            settings,
         }
     }
 
@@ -165,23 +165,29 @@
                 dedup_shard,
                 epoch,
             } => self.forwarded(now, ticket, meta, cell, dedup_shard, epoch, &mut out),
-            Event::Sent { ticket, sent } => self.sent(now, ticket, sent, &mut out),
-            Event::Handed { ticket, handed } => self.handed(now, ticket, handed, &mut out),
-            Event::Stored { op, sent, outcome } => self.stored(now, op, sent, outcome, &mut out),
-            Event::Listed(places) => self.list(places),
-            Event::Worker {
+            Event::SendEnded { ticket, outcome } => self.sent(now, ticket, outcome, &mut out),
+            Event::ForwardEnded { ticket, outcome } => self.handed(now, ticket, outcome, &mut out),
+            Event::TableCallEnded { op, sent, outcome } => {
+                self.stored(now, op, sent, outcome, &mut out)
+            }
+            Event::WorkersListed(places) => self.list(places),
+            Event::WorkerCallEnded {
                 cell,
                 epoch,
                 worker,
-                reported,
-            } => self.worker(now, &cell, epoch, &worker, reported, &mut out),
-            Event::Greeting { ticket, greeting } => self.greeting(now, ticket, greeting, &mut out),
-            Event::Greeted { to, sent, reply } => self.greeted(now, &to, sent, reply, &mut out),
-            Event::Snapshot(config) => self.snapshot(config),
+                outcome,
+            } => self.worker(now, &cell, epoch, &worker, outcome, &mut out),
+            Event::GreetingReceived { ticket, greeting } => {
+                self.greeting(now, ticket, greeting, &mut out)
+            }
+            Event::GreetingEnded { to, sent, reply } => {
+                self.greeted(now, &to, sent, reply, &mut out)
+            }
+            Event::SnapshotEnded(config) => self.snapshot(config),
             Event::Hint { cells, cancelled } => self.hint(now, cells, cancelled, &mut out),
             Event::Query { ticket, query } => {
                 let view = self.view(now.millis, &query);
-                out.push(Action::Answer { ticket, view });
+                out.push(Action::AnswerQuery { ticket, view });
             }
             Event::Stop => self.stop(now),
         }
@@ -189,7 +195,7 @@
     }
 
     fn tick(&mut self, now: Now, out: &mut Vec<Action>) {
-        let pace = self.setup.pace;
+        let pace = self.settings.pace;
         self.leases(now, out);
         self.directory(now, out);
         self.poll(now, out);
@@ -232,11 +238,11 @@
             self.idle = None;
         }
         let idle = *self.idle.get_or_insert(now.millis);
-        let quiet = !busy && now.millis >= idle + self.setup.pace.heartbeat * LINGER;
-        let over = now.millis >= since + self.setup.pace.stop;
+        let quiet = !busy && now.millis >= idle + self.settings.pace.heartbeat * LINGER;
+        let over = now.millis >= since + self.settings.pace.stop;
         if (quiet || over) && !self.exited {
             self.exited = true;
-            let end = since + self.setup.pace.stop;
+            let end = since + self.settings.pace.stop;
             let within = end.saturating_sub(now.millis).max(LAST);
             out.push(Action::Exit { within });
         }
--- a/src/engine/table_calls.rs
+++ b/src/engine/table_calls.rs
@@ -30,7 +30,7 @@
     pub(super) fn store(&mut self, purpose: Purpose, call: Call, out: &mut Vec<Action>) {
         self.next_op += 1;
         self.ops.insert(self.next_op, purpose);
-        out.push(Action::Store {
+        out.push(Action::CallTable {
             op: self.next_op,
             call,
         });
--- a/src/engine/views.rs
+++ b/src/engine/views.rs
@@ -142,7 +142,7 @@
     fn status(&self, now: Millis) -> StatusView {
         StatusView {
             id: self.id().clone(),
-            hall: self.setup.hall.clone(),
+            hall: self.settings.hall.clone(),
             ready: self.ready(),
             config: self.config.version(),
             cells: self.claims.mine().len(),
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -20,7 +20,7 @@
 use futures::channel::mpsc;
 
 use crate::dedup::DedupTimings;
-use crate::engine::{Engine, Event, Setup};
+use crate::engine::{Engine, EngineSettings, Event};
 use crate::options::Settings;
 use crate::utils::drain::Drain;
 use crate::utils::{clock, listen, signals};
@@ -37,7 +37,7 @@
     let web = listen::bind(settings.web)?;
     let rpc = listen::bind(settings.rpc)?;
     let admin = listen::bind(settings.admin)?;
-    let engine = Engine::new(Setup {
+    let engine = Engine::new(EngineSettings {
         name: settings.name.clone(),
         boot: clock::wall(),
         rpc: settings.rpc,
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -111,11 +111,11 @@
     (reply, answer)
 }
 
-fn invalid(findings: &[request::Finding]) -> (Reply, Answer) {
+fn invalid(findings: &[request::HeaderError]) -> (Reply, Answer) {
     metrics::get().malformed.inc();
     let mut text = String::from("not run: invalid\n");
     for finding in findings {
-        text.push_str(&format!("{}: {}\n", finding.header, finding.wrong));
+        text.push_str(&format!("{}: {}\n", finding.header, finding.problem));
     }
     let (mut reply, answer) = not_run("invalid", COME_BACK);
     reply.status = StatusCode::BAD_REQUEST;
--- a/src/entry/convert.rs
+++ b/src/entry/convert.rs
@@ -109,9 +109,9 @@
         team: message.team.as_str().into(),
         class,
         repeatable: message.repeatable,
-        left: message.left,
+        time_left: message.left,
         issued: message.issued,
-        alone: message.alone,
+        sole_until: message.alone,
         retries: message.retries,
     }
 }
@@ -124,10 +124,10 @@
         team: meta.team.to_string(),
         batch: meta.class == Class::Batch,
         repeatable: meta.repeatable,
-        left: meta.left,
+        left: meta.time_left,
         issued: meta.issued,
         retries: meta.retries,
-        alone: meta.alone,
+        alone: meta.sole_until,
         trace,
     }
 }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -13,7 +13,7 @@
 use super::{convert, operators};
 use crate::cell::Reason;
 use crate::config::Config;
-use crate::engine::{Event, Greeting, Handed, Query, Verdict, View};
+use crate::engine::{Event, ForwardOutcome, Greeting, Query, Verdict, View};
 use crate::proto::{self, operator_server, peer_client::PeerClient, peer_server};
 use crate::request::Meta;
 use crate::rpc;
@@ -44,8 +44,8 @@
 }
 
 /// Returns the outcome of a request that isn't sent as the lease of its dedup shard's owner lapsed.
-pub fn lapsed(meta: &Meta) -> Handed {
-    Handed::NotRun {
+pub fn lapsed(meta: &Meta) -> ForwardOutcome {
+    ForwardOutcome::NotRun {
         reason: Reason::Lapsed,
         after: PATIENCE,
         retries: meta.retries,
@@ -60,7 +60,7 @@
     hop: &trace::Context,
     meta: &Meta,
     target: Target,
-) -> (Handed, Option<Reply>) {
+) -> (ForwardOutcome, Option<Reply>) {
     let message = proto::ForwardRequest {
         meta: Some(convert::to_meta(meta, hop.header())),
         cell: target.cell.map(|c| c.to_string()).unwrap_or_default(),
@@ -79,39 +79,39 @@
         let mut client = PeerClient::new(c).max_decoding_message_size(most);
         client.forward(message).await
     };
-    let limit = meta.left + GRACE;
+    let limit = meta.time_left + GRACE;
     match context.channel(to).call(limit, call).await {
         Ok(reply) => handed(reply),
         Err(CallError::NotSent(e)) => {
             log::debug!(target: "peers", "{to} not reached: {e}");
-            let handed = Handed::NotRun {
+            let outcome = ForwardOutcome::NotRun {
                 reason: Reason::Unreachable,
                 after: PATIENCE,
                 retries: meta.retries,
             };
-            (handed, None)
+            (outcome, None)
         }
         Err(e) => {
             log::debug!(target: "peers", "{to}: {e}");
-            (Handed::Unknown, None)
+            (ForwardOutcome::Unknown, None)
         }
     }
 }
 
-fn handed(reply: proto::ForwardReply) -> (Handed, Option<Reply>) {
+fn handed(reply: proto::ForwardReply) -> (ForwardOutcome, Option<Reply>) {
     match reply.verdict() {
-        proto::Verdict::Unknown => (Handed::Unknown, None),
+        proto::Verdict::Unknown => (ForwardOutcome::Unknown, None),
         proto::Verdict::NotRun => {
-            let handed = Handed::NotRun {
+            let outcome = ForwardOutcome::NotRun {
                 reason: Reason::parse(&reply.reason),
                 after: reply.after,
                 retries: reply.retries,
             };
-            (handed, None)
+            (outcome, None)
         }
         proto::Verdict::Answer => match answer(reply) {
-            Some(reply) => (Handed::Answered, Some(reply)),
-            None => (Handed::Unknown, None),
+            Some(reply) => (ForwardOutcome::Answered, Some(reply)),
+            None => (ForwardOutcome::Unknown, None),
         },
     }
 }
--- a/src/entry/sends.rs
+++ b/src/entry/sends.rs
@@ -10,7 +10,7 @@
 use super::shell::{Context, Load, Message};
 use crate::cell::SendOutcome;
 use crate::constants;
-use crate::engine::{Event, Handed};
+use crate::engine::{Event, ForwardOutcome};
 use crate::request::Meta;
 use crate::trace;
 use crate::utils::Name;
@@ -28,7 +28,7 @@
     /// Address of the endpoint.
     pub http: SocketAddr,
     /// Milliseconds that the request has left.
-    pub left: Millis,
+    pub time_left: Millis,
 }
 
 /// Sends a request to an endpoint and tells how that ended.
@@ -40,10 +40,10 @@
     let check = || context.acts();
     let result = context
         .pool
-        .call(send.http, request, send.left, check)
+        .call(send.http, request, send.time_left, check)
         .await;
-    let until = clock::now() + send.left;
-    let (sent, reply) = match result {
+    let until = clock::now() + send.time_left;
+    let (outcome, reply) = match result {
         Ok(reply) if refused(&reply) => (SendOutcome::NotRun, None),
         Ok(reply) => (SendOutcome::Answered, Some(reply)),
         Err(WebError::Held) => (SendOutcome::LeaseLapsed, None),
@@ -56,13 +56,13 @@
             (SendOutcome::Unknown { until }, None)
         }
     };
-    let verdict = match sent {
+    let verdict = match outcome {
         SendOutcome::Answered => "answer",
         SendOutcome::NotRun | SendOutcome::LeaseLapsed => "not-run",
         SendOutcome::Unknown { .. } => "unknown",
     };
     hop.end("endpoint", clock::micros() - start, verdict);
-    let event = Event::Sent { ticket, sent };
+    let event = Event::SendEnded { ticket, outcome };
     tell(&context, ticket, reply, event);
 }
 
@@ -86,14 +86,14 @@
 
 fn for_worker(context: &Context, load: &Load, hop: &trace::Context, send: &Send) -> web::Request {
     let mut request = load.request.clone();
-    let wait = send.left.min(context.left());
+    let wait = send.time_left.min(context.left());
     let not_after = clock::wall() + wait;
     let headers = &mut request.headers;
     set(headers, constants::CELL, &send.cell);
     set_number(headers, constants::EPOCH, send.epoch);
     set_number(headers, constants::TICKET, send.ticket);
     set_number(headers, constants::NOT_AFTER, not_after);
-    set_number(headers, constants::DEADLINE, send.left);
+    set_number(headers, constants::DEADLINE, send.time_left);
     set(headers, constants::TRACEPARENT, &hop.header());
     request
 }
@@ -123,17 +123,17 @@
     let admitted = target.dedup_shard.is_some();
     // An owner of a dedup shard whose lease has lapsed must not send the request on.
     let own = admitted && target.cell.is_some();
-    let (handed, reply) = match own && !context.acts() {
+    let (outcome, reply) = match own && !context.acts() {
         true => (peers::lapsed(&meta), None),
         false => peers::forward(&context, to, &load.request, &hop, &meta, target).await,
     };
-    let verdict = match handed {
-        Handed::Answered => "answer",
-        Handed::NotRun { .. } => "not-run",
-        Handed::Unknown => "unknown",
+    let verdict = match outcome {
+        ForwardOutcome::Answered => "answer",
+        ForwardOutcome::NotRun { .. } => "not-run",
+        ForwardOutcome::Unknown => "unknown",
     };
     hop.end("forward", clock::micros() - start, verdict);
-    let event = Event::Handed { ticket, handed };
+    let event = Event::ForwardEnded { ticket, outcome };
     tell(&context, ticket, reply, event);
 }
 
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -256,7 +256,7 @@
             Message::Greeting { greeting, reply } => {
                 let ticket = self.ticket();
                 self.greetings.insert(ticket, reply);
-                Event::Greeting { ticket, greeting }
+                Event::GreetingReceived { ticket, greeting }
             }
             Message::Query { query, reply } => {
                 let ticket = self.ticket();
@@ -275,7 +275,7 @@
                 cell,
                 epoch,
                 http,
-                left,
+                time_left,
             } => {
                 if let Some(parked) = self.parked.get(&ticket) {
                     let load = parked.load.clone();
@@ -284,7 +284,7 @@
                         cell,
                         epoch,
                         http,
-                        left,
+                        time_left,
                     };
                     monoio::spawn(send_to_worker(context, load, send));
                 }
@@ -313,20 +313,20 @@
                 verdict,
                 retries,
             } => self.finish(ticket, verdict, retries),
-            Action::Store { op, call } => {
+            Action::CallTable { op, call } => {
                 monoio::spawn(async move {
                     let sent = clock::now();
                     let outcome = context.store.call(call).await;
-                    context.send(Message::Event(Event::Stored { op, sent, outcome }));
+                    context.send(Message::Event(Event::TableCallEnded { op, sent, outcome }));
                 });
             }
-            Action::List => {
+            Action::ListWorkers => {
                 monoio::spawn(async move {
                     let places = context.store.places().await;
-                    context.send(Message::Event(Event::Listed(places)));
+                    context.send(Message::Event(Event::WorkersListed(places)));
                 });
             }
-            Action::Worker {
+            Action::CallWorker {
                 cell,
                 epoch,
                 action,
@@ -337,10 +337,10 @@
                 monoio::spawn(async move {
                     let sent = greeting.sent;
                     let reply = peers::greet(&context, rpc, greeting).await;
-                    context.send(Message::Event(Event::Greeted { to, sent, reply }));
+                    context.send(Message::Event(Event::GreetingEnded { to, sent, reply }));
                 });
             }
-            Action::Regreet {
+            Action::AnswerGreeting {
                 ticket,
                 greeting,
                 promised,
@@ -349,10 +349,10 @@
                     let _ = reply.send((greeting, promised));
                 }
             }
-            Action::Snapshot(rpc) => {
+            Action::FetchSnapshot(rpc) => {
                 monoio::spawn(async move {
                     let config = peers::snapshot(&context, rpc).await;
-                    context.send(Message::Event(Event::Snapshot(config)));
+                    context.send(Message::Event(Event::SnapshotEnded(config)));
                 });
             }
             Action::Hint {
@@ -362,7 +362,7 @@
             } => {
                 monoio::spawn(async move { peers::hint(&context, rpc, cells, cancelled).await });
             }
-            Action::Answer { ticket, view } => {
+            Action::AnswerQuery { ticket, view } => {
                 if let Some(reply) = self.queries.remove(&ticket) {
                     let _ = reply.send(view);
                 }
--- a/src/entry/workers.rs
+++ b/src/entry/workers.rs
@@ -9,7 +9,7 @@
     Size,
 };
 use crate::constants::WHOLE;
-use crate::engine::{Event, Reported};
+use crate::engine::{Event, WorkerCallOutcome};
 use crate::proto::{self, worker_client::WorkerClient};
 use crate::rpc::client::CallError;
 use crate::utils::Name;
@@ -34,7 +34,7 @@
         epoch,
         rpc,
     };
-    let (worker, reported) = match action {
+    let (worker, outcome) = match action {
         Action::Poll {
             worker,
             rpc,
@@ -50,7 +50,7 @@
         } => {
             let id = run.id;
             let called = start(place(rpc), run, work).await;
-            (worker, Reported::Started(id, called))
+            (worker, WorkerCallOutcome::Started(id, called))
         }
         Action::Stop {
             worker,
@@ -59,7 +59,7 @@
             checkpoint,
         } => {
             let called = stop(place(rpc), run, checkpoint).await;
-            (worker, Reported::Stopped(run, called))
+            (worker, WorkerCallOutcome::Stopped(run, called))
         }
         Action::Throttle {
             worker,
@@ -68,15 +68,15 @@
             share,
         } => {
             let called = throttle(place(rpc), run, share).await;
-            (worker, Reported::Throttled(run, share, called))
+            (worker, WorkerCallOutcome::Throttled(run, share, called))
         }
         Action::Send { .. } | Action::Refuse { .. } | Action::Write { .. } => return,
     };
-    let event = Event::Worker {
+    let event = Event::WorkerCallEnded {
         cell,
         epoch,
         worker,
-        reported,
+        outcome,
     };
     context.send(Message::Event(event));
 }
@@ -100,7 +100,7 @@
     }
 }
 
-async fn sync(place: Place, acks: Vec<RunId>, renew: bool, round: u64) -> Reported {
+async fn sync(place: Place, acks: Vec<RunId>, renew: bool, round: u64) -> WorkerCallOutcome {
     let task = place.context.settings.pace.task;
     let sent = clock::now();
     let request = proto::SyncRequest {
@@ -118,16 +118,16 @@
         }
         Err(e) => Err(e),
     };
-    let exchange = match result {
+    let outcome = match result {
         Ok(reply) => PollOutcome::Reply(sync_result(reply)),
         Err(CallError::NotSent(_)) => PollOutcome::NotSent,
         Err(_) => PollOutcome::Lost,
     };
-    Reported::Synced {
+    WorkerCallOutcome::Polled {
         sent,
         round,
         acks,
-        exchange,
+        outcome,
     }
 }
 
--- a/src/request.rs
+++ b/src/request.rs
@@ -28,34 +28,34 @@
     /// True when it may run more than once.
     pub repeatable: bool,
     /// Milliseconds left until its answer is worthless.
-    pub left: Millis,
+    pub time_left: Millis,
     /// Milliseconds since the Unix epoch of its first issue; 0 when not given.
     pub issued: Millis,
     /// Milliseconds since the Unix epoch until which the caller sends it only
     /// once, as it promised; 0 without that promise.
-    pub alone: Millis,
+    pub sole_until: Millis,
     /// Further sends that it may make, over all hops.
     pub retries: u32,
 }
 
-/// A header that is wrong.
+/// A header that is problem.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Finding {
+pub struct HeaderError {
     /// Name of the header.
     pub header: &'static str,
-    /// What is wrong with it.
-    pub wrong: String,
+    /// What is problem with it.
+    pub problem: String,
 }
 
 struct Reader<'h> {
     headers: &'h HeaderMap,
-    findings: Vec<Finding>,
+    errors: Vec<HeaderError>,
 }
 
 impl Reader<'_> {
-    fn find(&mut self, header: &'static str, wrong: impl Into<String>) {
-        let wrong = wrong.into();
-        self.findings.push(Finding { header, wrong });
+    fn report(&mut self, header: &'static str, problem: impl Into<String>) {
+        let problem = problem.into();
+        self.errors.push(HeaderError { header, problem });
     }
 
     fn text(&mut self, header: &'static str) -> Option<String> {
@@ -64,7 +64,7 @@
         match value.to_str() {
             Ok(text) => Some(text.trim().to_string()),
             Err(_) => {
-                self.find(header, "is no text");
+                self.report(header, "is no text");
                 None
             }
         }
@@ -73,7 +73,7 @@
     fn name(&mut self, header: &'static str) -> Option<Name> {
         let text = self.text(header)?;
         if !is_name(&text) {
-            self.find(header, "is no name: use letters, digits, '-', '_' and '.'");
+            self.report(header, "is no name: use letters, digits, '-', '_' and '.'");
             return None;
         }
         Some(text.into())
@@ -83,27 +83,27 @@
         let text = self.text(header)?;
         let number = text.parse().ok();
         if number.is_none() {
-            self.find(header, "is no whole number");
+            self.report(header, "is no whole number");
         }
         number
     }
 
-    fn word<T: Copy>(&mut self, header: &'static str, words: &[(&str, T)]) -> Option<T> {
+    fn choice<T: Copy>(&mut self, header: &'static str, choices: &[(&str, T)]) -> Option<T> {
         let text = self.text(header)?;
-        let found = words.iter().find(|(word, _)| *word == text);
+        let found = choices.iter().find(|(word, _)| *word == text);
         if found.is_none() {
-            let known: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
-            self.find(header, format!("is none of {}", known.join(", ")));
+            let known: Vec<&str> = choices.iter().map(|(word, _)| *word).collect();
+            self.report(header, format!("is none of {}", known.join(", ")));
         }
         found.map(|(_, value)| *value)
     }
 }
 
-/// Reads the headers of a request; all findings are returned together.
-pub fn parse(headers: &HeaderMap, policy: &Policy) -> Result<Meta, Vec<Finding>> {
+/// Reads the headers of a request; all errors are returned together.
+pub fn parse(headers: &HeaderMap, policy: &Policy) -> Result<Meta, Vec<HeaderError>> {
     let mut reader = Reader {
         headers,
-        findings: Vec::new(),
+        errors: Vec::new(),
     };
     let classes = [
         ("latency-critical", Class::Critical),
@@ -112,36 +112,38 @@
     let answers = [("yes", true), ("no", false)];
     let service = reader.name(constants::SERVICE);
     if service.is_none() && !headers.contains_key(constants::SERVICE) {
-        reader.find(constants::SERVICE, "is missing");
+        reader.report(constants::SERVICE, "is missing");
     }
-    let repeatable = reader.word(constants::REPEATABLE, &answers).unwrap_or(true);
+    let repeatable = reader
+        .choice(constants::REPEATABLE, &answers)
+        .unwrap_or(true);
     let id = reader.name(constants::ID);
     let issued = reader.number(constants::ISSUED);
     if !repeatable && id.is_none() {
-        reader.find(
+        reader.report(
             constants::ID,
             "is needed for a request that is not repeatable",
         );
     }
     if !repeatable && issued.is_none() {
-        reader.find(
+        reader.report(
             constants::ISSUED,
             "is needed for a request that is not repeatable",
         );
     }
-    let left = reader
+    let time_left = reader
         .number(constants::DEADLINE)
         .unwrap_or(policy.default_deadline);
-    if left > DEADLINE_LIMIT {
-        reader.find(
+    if time_left > DEADLINE_LIMIT {
+        reader.report(
             constants::DEADLINE,
             format!("is more than {DEADLINE_LIMIT}"),
         );
     }
-    let once = reader.word(constants::RESEND, &answers) == Some(false);
-    let alone = issued
+    let once = reader.choice(constants::RESEND, &answers) == Some(false);
+    let sole_until = issued
         .filter(|_| once)
-        .map_or(0, |at| at.saturating_add(left.min(DEADLINE_LIMIT)));
+        .map_or(0, |at| at.saturating_add(time_left.min(DEADLINE_LIMIT)));
     let meta = Meta {
         id: id.unwrap_or_else(|| "".into()),
         service: service.unwrap_or_else(|| "".into()),
@@ -149,16 +151,16 @@
             .name(constants::TEAM)
             .unwrap_or_else(|| "none".into()),
         class: reader
-            .word(constants::CLASS, &classes)
+            .choice(constants::CLASS, &classes)
             .unwrap_or(Class::Critical),
         repeatable,
-        left,
+        time_left,
         issued: issued.unwrap_or(0),
-        alone,
+        sole_until,
         retries: policy.retries,
     };
-    match reader.findings.is_empty() {
+    match reader.errors.is_empty() {
         true => Ok(meta),
-        false => Err(reader.findings),
+        false => Err(reader.errors),
     }
 }
--- a/src/request/tests.rs
+++ b/src/request/tests.rs
@@ -12,22 +12,22 @@
 #[test]
 fn defaults_are_filled_in() {
     let map = headers(&[(constants::SERVICE, "stock")]);
-    let meta = parse(&map, &Policy::default()).expect("no findings");
+    let meta = parse(&map, &Policy::default()).expect("no errors");
     assert_eq!(meta.class, Class::Critical);
     assert!(meta.repeatable);
-    assert_eq!(meta.left, Policy::default().default_deadline);
+    assert_eq!(meta.time_left, Policy::default().default_deadline);
 }
 
 #[test]
-fn findings_come_together() {
+fn reports_all_invalid_headers_at_once() {
     let map = headers(&[
         (constants::SERVICE, "no name"),
         (constants::CLASS, "quick"),
         (constants::REPEATABLE, "no"),
         (constants::DEADLINE, "-1"),
     ]);
-    let findings = parse(&map, &Policy::default()).expect_err("findings");
-    let names: Vec<_> = findings.iter().map(|f| f.header).collect();
+    let errors = parse(&map, &Policy::default()).expect_err("errors");
+    let names: Vec<_> = errors.iter().map(|f| f.header).collect();
     let wanted = [
         constants::SERVICE,
         constants::ID,
--- a/tools/trial/src/world.rs
+++ b/tools/trial/src/world.rs
@@ -11,7 +11,7 @@
 
 use willowpoint::cell::{ListedWorker, Policy, Shape};
 use willowpoint::dedup::DedupTimings;
-use willowpoint::engine::{Engine, Event, Now, Setup};
+use willowpoint::engine::{Engine, EngineSettings, Event, Now};
 use willowpoint::invariant::Rule;
 use willowpoint::lease::LeaseTimings;
 use willowpoint::options::Pace;
@@ -197,8 +197,8 @@
     }
 }
 
-fn setup(index: usize, boot: u64) -> Setup {
-    Setup {
+fn setup(index: usize, boot: u64) -> EngineSettings {
+    EngineSettings {
         name: format!("b{index}").into(),
         boot,
         rpc: address(PORTS.0, index),
--- a/tools/trial/src/world/boxes.rs
+++ b/tools/trial/src/world/boxes.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use willowpoint::cell::{Action as CellAction, CallOutcome, PollOutcome, Reason, SendOutcome};
-use willowpoint::engine::{Action, Event, Handed, Reported, Verdict};
+use willowpoint::engine::{Action, Event, ForwardOutcome, Verdict, WorkerCallOutcome};
 use willowpoint::invariant::Rule;
 use willowpoint::lease::WriteOutcome;
 use willowpoint::table::{Call as TableCall, Outcome};
@@ -32,9 +32,9 @@
                 ticket,
                 epoch,
                 http,
-                left,
+                time_left,
                 ..
-            } => self.send(node, ticket, epoch, http, left),
+            } => self.send(node, ticket, epoch, http, time_left),
             Action::Forward {
                 ticket,
                 to,
@@ -44,9 +44,9 @@
                 epoch,
             } => {
                 let retries = meta.retries;
-                let unsent = |reason| Event::Handed {
+                let unsent = |reason| Event::ForwardEnded {
                     ticket,
-                    handed: Handed::NotRun {
+                    outcome: ForwardOutcome::NotRun {
                         reason,
                         after: 100,
                         retries,
@@ -59,11 +59,11 @@
                 let Some(attempt) = self.attempt(node, ticket) else {
                     return;
                 };
-                let lost = Event::Handed {
+                let lost = Event::ForwardEnded {
                     ticket,
-                    handed: Handed::Unknown,
+                    outcome: ForwardOutcome::Unknown,
                 };
-                let limit = meta.left + 50;
+                let limit = meta.time_left + 50;
                 let payload = Payload::Forward {
                     meta,
                     cell,
@@ -86,9 +86,9 @@
                 verdict,
                 retries,
             } => self.conclude(node, ticket, verdict, retries),
-            Action::Store { op, call } => self.call_store(node, op, call),
-            Action::List => {
-                let event = Event::Listed(None);
+            Action::CallTable { op, call } => self.call_store(node, op, call),
+            Action::ListWorkers => {
+                let event = Event::WorkersListed(None);
                 self.ask(
                     node,
                     End::Store,
@@ -98,13 +98,13 @@
                     event,
                 );
             }
-            Action::Worker {
+            Action::CallWorker {
                 cell,
                 epoch,
                 action,
             } => self.call_worker(node, cell, epoch, action),
             Action::Greet { to, rpc, greeting } => {
-                let event = Event::Greeted {
+                let event = Event::GreetingEnded {
                     to: to.clone(),
                     sent: greeting.sent,
                     reply: None,
@@ -113,15 +113,15 @@
                 let payload = Payload::Greet { to, greeting };
                 self.ask(node, end, GREETING, payload, event.clone(), event);
             }
-            Action::Snapshot(rpc) => {
-                let event = Event::Snapshot(None);
+            Action::FetchSnapshot(rpc) => {
+                let event = Event::SnapshotEnded(None);
                 let end = End::Box(index(rpc, PORTS.0));
                 self.ask(node, end, PATIENCE, Payload::Snapshot, event.clone(), event);
             }
             Action::Exit { .. } => self.exit(node),
-            Action::Regreet { .. }
+            Action::AnswerGreeting { .. }
             | Action::Hint { .. }
-            | Action::Answer { .. }
+            | Action::AnswerQuery { .. }
             | Action::Disconnect(_) => {}
         }
     }
@@ -136,8 +136,8 @@
         self.parked.get(&key).map(|p| p.attempt)
     }
 
-    fn send(&mut self, node: usize, ticket: u64, epoch: u64, http: SocketAddr, left: u64) {
-        let event = |sent| Event::Sent { ticket, sent };
+    fn send(&mut self, node: usize, ticket: u64, epoch: u64, http: SocketAddr, time_left: u64) {
+        let event = |outcome| Event::SendEnded { ticket, outcome };
         if !self.acts(node) {
             return self.feed(node, event(SendOutcome::LeaseLapsed));
         }
@@ -146,7 +146,7 @@
         };
         let now = self.clock(node);
         let until = self.nodes[node].engine.until();
-        let wait = left.min(until.saturating_sub(now.millis));
+        let wait = time_left.min(until.saturating_sub(now.millis));
         let payload = Payload::Begin {
             epoch,
             not_after: now.wall + wait,
@@ -154,13 +154,13 @@
             service: "s0".into(),
         };
         let lost = event(SendOutcome::Unknown {
-            until: now.millis + left * 2,
+            until: now.millis + time_left * 2,
         });
         let end = End::Worker(index(http, PORTS.1));
         self.ask(
             node,
             end,
-            left.max(1),
+            time_left.max(1),
             payload,
             lost,
             event(SendOutcome::NotRun),
@@ -169,7 +169,7 @@
 
     fn call_store(&mut self, node: usize, op: u64, call: TableCall) {
         let sent = self.clock(node).millis;
-        let event = |outcome| Event::Stored { op, sent, outcome };
+        let event = |outcome| Event::TableCallEnded { op, sent, outcome };
         let (lost, unsent) = match call {
             TableCall::Commit(_) => (
                 event(Outcome::Written(WriteOutcome::Unknown)),
@@ -190,11 +190,11 @@
                 acks,
                 ..
             } => {
-                let synced = |exchange| Reported::Synced {
+                let synced = |outcome| WorkerCallOutcome::Polled {
                     sent: now.millis,
                     round: *round,
                     acks: acks.clone(),
-                    exchange,
+                    outcome,
                 };
                 (
                     worker,
@@ -203,7 +203,7 @@
                 )
             }
             CellAction::Start { worker, run, .. } => {
-                let started = |called| Reported::Started(run.id, called);
+                let started = |called| WorkerCallOutcome::Started(run.id, called);
                 (
                     worker,
                     started(CallOutcome::Lost),
@@ -211,7 +211,7 @@
                 )
             }
             CellAction::Stop { worker, run, .. } => {
-                let stopped = |called| Reported::Stopped(*run, called);
+                let stopped = |called| WorkerCallOutcome::Stopped(*run, called);
                 (
                     worker,
                     stopped(CallOutcome::Lost),
@@ -221,7 +221,7 @@
             CellAction::Throttle {
                 worker, run, share, ..
             } => {
-                let throttled = |called| Reported::Throttled(*run, *share, called);
+                let throttled = |called| WorkerCallOutcome::Throttled(*run, *share, called);
                 (
                     worker,
                     throttled(CallOutcome::Lost),
@@ -230,11 +230,11 @@
             }
             _ => return,
         };
-        let event = |reported| Event::Worker {
+        let event = |outcome| Event::WorkerCallEnded {
             cell: cell.clone(),
             epoch,
             worker: worker.clone(),
-            reported,
+            outcome,
         };
         let (lost, unsent) = (event(lost), event(unsent));
         if !self.acts(node) {
@@ -262,16 +262,16 @@
         match parked.from {
             Asker::Caller => self.tell_caller(parked.attempt, verdict, parked.answer),
             Asker::Peer { call, ticket } => {
-                let handed = match verdict {
-                    Verdict::Answer => Handed::Answered,
-                    Verdict::NotRun { reason, after } => Handed::NotRun {
+                let outcome = match verdict {
+                    Verdict::Answer => ForwardOutcome::Answered,
+                    Verdict::NotRun { reason, after } => ForwardOutcome::NotRun {
                         reason,
                         after,
                         retries,
                     },
-                    Verdict::Unknown { .. } => Handed::Unknown,
+                    Verdict::Unknown { .. } => ForwardOutcome::Unknown,
                 };
-                self.tell_peer(node, call, ticket, handed, parked.answer);
+                self.tell_peer(node, call, ticket, outcome, parked.answer);
             }
         }
     }
--- a/tools/trial/src/world/ends.rs
+++ b/tools/trial/src/world/ends.rs
@@ -3,7 +3,7 @@
 use willowpoint::cell::{
     Action as CellAction, CallOutcome, PollOutcome, PollReply, Run, RunId, RunState, SendOutcome,
 };
-use willowpoint::engine::{Event, Greeting, Handed, Reported};
+use willowpoint::engine::{Event, ForwardOutcome, Greeting, WorkerCallOutcome};
 use willowpoint::invariant::Rule;
 use willowpoint::job::{JobShardRow, Phase};
 use willowpoint::lease::WriteOutcome;
@@ -167,12 +167,12 @@
                 if matches!(action, CellAction::Start { .. }) {
                     self.watch_leaving(worker, sent);
                 }
-                let reported = self.control(worker, epoch, not_after, stamp, &action);
-                let event = Event::Worker {
+                let outcome = self.control(worker, epoch, not_after, stamp, &action);
+                let event = Event::WorkerCallEnded {
                     cell,
                     epoch,
                     worker: format!("w{worker}").into(),
-                    reported,
+                    outcome,
                 };
                 self.reply(call, to, event, None);
             }
@@ -207,7 +207,7 @@
             }
             (Payload::Snapshot, End::Box(node)) => {
                 let config = self.nodes[node].engine.config().clone();
-                self.reply(call, to, Event::Snapshot(Some(config)), None);
+                self.reply(call, to, Event::SnapshotEnded(Some(config)), None);
             }
             _ => {}
         }
@@ -234,7 +234,12 @@
                 true => Outcome::Written(WriteOutcome::Unknown),
                 false => Outcome::Failed,
             };
-            return self.reply(call, End::Store, Event::Stored { op, sent, outcome }, None);
+            return self.reply(
+                call,
+                End::Store,
+                Event::TableCallEnded { op, sent, outcome },
+                None,
+            );
         }
         let outcome = self.table.call(table_call);
         let lost = is_commit && self.trouble.lose > self.now && self.random.chance(0.5);
@@ -242,15 +247,20 @@
             self.truth.counts.event("answers lost after the write");
             return;
         }
-        self.reply(call, End::Store, Event::Stored { op, sent, outcome }, None);
+        self.reply(
+            call,
+            End::Store,
+            Event::TableCallEnded { op, sent, outcome },
+            None,
+        );
     }
 
     fn list(&mut self, call: u64) {
         if self.trouble.store_down > self.now {
-            return self.reply(call, End::Store, Event::Listed(None), None);
+            return self.reply(call, End::Store, Event::WorkersListed(None), None);
         }
         let places = self.places();
-        self.reply(call, End::Store, Event::Listed(Some(places)), None);
+        self.reply(call, End::Store, Event::WorkersListed(Some(places)), None);
     }
 
     fn watch_leaving(&mut self, worker: usize, sent: u64) {
@@ -282,9 +292,9 @@
         let ticket = request.ticket;
         if began.is_err() {
             self.truth.counts.event("requests refused by workers");
-            let event = Event::Sent {
+            let event = Event::SendEnded {
                 ticket,
-                sent: SendOutcome::NotRun,
+                outcome: SendOutcome::NotRun,
             };
             return self.reply(call, End::Worker(worker), event, None);
         }
@@ -318,9 +328,9 @@
         }
         let Request { ticket, attempt } = request;
         self.hosts[worker].worker.finish(ticket, epoch);
-        let event = Event::Sent {
+        let event = Event::SendEnded {
             ticket,
-            sent: SendOutcome::Answered,
+            outcome: SendOutcome::Answered,
         };
         self.reply(call, End::Worker(worker), event, Some((ticket, attempt)));
     }
@@ -332,7 +342,7 @@
         not_after: u64,
         sent: u64,
         action: &CellAction,
-    ) -> Reported {
+    ) -> WorkerCallOutcome {
         let (now, wall) = (self.now, self.wall_of(worker));
         match action {
             CellAction::Poll {
@@ -358,31 +368,34 @@
                     leaving: host.leaving,
                     runs: runs.unwrap_or_default(),
                 };
-                Reported::Synced {
+                WorkerCallOutcome::Polled {
                     sent,
                     round: *round,
                     acks: acks.clone(),
-                    exchange: PollOutcome::Reply(reply),
+                    outcome: PollOutcome::Reply(reply),
                 }
             }
             CellAction::Start { run, work, .. } => {
                 let called = self.start(worker, epoch, not_after, run, *work);
-                Reported::Started(run.id, called)
+                WorkerCallOutcome::Started(run.id, called)
             }
             CellAction::Stop {
                 run, checkpoint, ..
             } => {
                 let host = &mut self.hosts[worker].worker;
                 let result = host.stop(now, epoch, *run, *checkpoint);
-                Reported::Stopped(*run, result.map_or(CallOutcome::Refused, CallOutcome::Done))
+                WorkerCallOutcome::Stopped(
+                    *run,
+                    result.map_or(CallOutcome::Refused, CallOutcome::Done),
+                )
             }
             CellAction::Throttle { run, share, .. } => {
                 let host = &mut self.hosts[worker].worker;
                 let result = host.throttle(now, epoch, *run, *share);
                 let called = result.map_or(CallOutcome::Refused, |()| CallOutcome::Done(0));
-                Reported::Throttled(*run, *share, called)
+                WorkerCallOutcome::Throttled(*run, *share, called)
             }
-            _ => Reported::Started(0, CallOutcome::Refused),
+            _ => WorkerCallOutcome::Started(0, CallOutcome::Refused),
         }
     }
 
@@ -467,15 +480,15 @@
         let ticket = entry.tickets;
         let now = self.clock(node);
         let sent = greeting.sent;
-        let event = Event::Greeting { ticket, greeting };
+        let event = Event::GreetingReceived { ticket, greeting };
         let actions = self.nodes[node].engine.step(now, event);
         for action in actions {
-            if let willowpoint::engine::Action::Regreet {
+            if let willowpoint::engine::Action::AnswerGreeting {
                 greeting, promised, ..
             } = action
             {
                 let reply = Some((greeting, promised));
-                let event = Event::Greeted {
+                let event = Event::GreetingEnded {
                     to: to.clone(),
                     sent,
                     reply,
@@ -493,10 +506,10 @@
         node: usize,
         call: u64,
         ticket: u64,
-        handed: Handed,
+        outcome: ForwardOutcome,
         answer: Option<usize>,
     ) {
-        let event = Event::Handed { ticket, handed };
+        let event = Event::ForwardEnded { ticket, outcome };
         let answer = answer.map(|attempt| (ticket, attempt));
         self.reply(call, End::Box(node), event, answer);
     }
--- a/tools/trial/src/world/load.rs
+++ b/tools/trial/src/world/load.rs
@@ -92,10 +92,10 @@
             team: "t".into(),
             class,
             repeatable: request.repeatable,
-            left: DEADLINE,
+            time_left: DEADLINE,
             issued: request.issued,
             // Some callers do not tell.
-            alone: match request.sends == 1 && !number.is_multiple_of(3) {
+            sole_until: match request.sends == 1 && !number.is_multiple_of(3) {
                 true => request.issued + DEADLINE,
                 false => 0,
             },
@@ -233,7 +233,7 @@
                 query: Query::CandidateCells,
             };
             let mut actions = self.nodes[node].engine.step(now, query);
-            if let Some(Action::Answer {
+            if let Some(Action::AnswerQuery {
                 view: View::CandidateCells(candidates),
                 ..
             }) = actions.pop()
