--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -17,7 +17,7 @@
 use willowpoint::dedup::{DedupShard, DedupTimings};
 use willowpoint::job::{JobShardRow, Spec, TaskRow, VersionedShard};
 use willowpoint::proto;
-use willowpoint::route::{Load, Router};
+use willowpoint::route::{CellLoad, Router};
 use willowpoint::utils::Name;
 
 /// An allocator that counts the bytes in use.
@@ -145,7 +145,7 @@
         let mut router = router(n);
         let took = nanos(100_000, || {
             if let Some(cell) = router.choose(&[]) {
-                router.done(&cell);
+                router.end_request(&cell);
             }
         });
         println!(
@@ -330,19 +330,19 @@
 
 fn router(cells: usize) -> Router {
     let mut router = Router::new("hall-01".into(), 1);
-    let load = |i: usize| Load {
+    let load = |i: usize| CellLoad {
         cell: format!("hall-{:02}/rack-{i:03}", i % 21).into(),
         epoch: 1,
-        free: 30 + (i % 30) as u32,
+        free_slots: 30 + (i % 30) as u32,
         queued: 0,
-        cores: 100_000,
-        largest: SHAPE,
+        free_cores: 100_000,
+        largest_worker: SHAPE,
     };
     for owner in 0..9 {
         let id: Name = format!("entry-{owner}.1").into();
         let rpc = Some(SocketAddr::from(([10, 0, 0, 3], 1 + owner as u16)));
         let loads = (0..cells).filter(|i| i % 9 == owner).map(load).collect();
-        router.report(0, &id, rpc, loads);
+        router.update_owner(0, &id, rpc, loads);
     }
     router
 }
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -72,12 +72,12 @@
     }
 }
 
-fn plan(deployment: &Deployment, seed: u64, span: u64) -> Plan {
+fn plan(deployment: &Deployment, seed: u64, duration: u64) -> Plan {
     Plan {
         boxes: deployment.callers(),
         service: "stock".into(),
         rate: RATE,
-        span,
+        duration,
         deadline: DEADLINE,
         seed,
     }
@@ -122,8 +122,8 @@
         *all.verdicts.entry(verdict).or_default() += count;
     }
     all.wrong += second.wrong;
-    all.micros.extend(second.micros);
-    all.micros.sort_unstable();
+    all.latencies_us.extend(second.latencies_us);
+    all.latencies_us.sort_unstable();
     all
 }
 
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -25,7 +25,7 @@
 use crate::lease::LeaseTimings;
 use crate::options::Pace;
 use crate::request::Meta;
-use crate::route::Load;
+use crate::route::CellLoad;
 use crate::table::{Call, Outcome};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -101,7 +101,7 @@
     /// The last of these, while they are news.
     pub moved: Vec<VersionedCell>,
     /// Load of the sender's cells.
-    pub loads: Vec<Load>,
+    pub loads: Vec<CellLoad>,
 }
 
 /// How a request that was handed to another box ended.
--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -26,7 +26,7 @@
         let cell = self.left_cell(ticket);
         // Idle as it looks, it would draw request after request.
         if let Some(cell) = cell.filter(|_| reason == Reason::NotOwner) {
-            self.router.drop_cell(&cell);
+            self.router.remove_cell(&cell);
         }
         if self.may_retry(now, ticket) {
             return self.route(now, ticket, out);
@@ -60,7 +60,7 @@
         let (Stage::Local(cell) | Stage::Remote(cell)) = stage else {
             return None;
         };
-        self.router.done(&cell);
+        self.router.end_request(&cell);
         Some(cell)
     }
 
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -59,7 +59,7 @@
         me.id = incarnation(&self.settings.name, self.settings.boot);
         me.beat = 0;
         me.successors = Vec::new();
-        self.router.drop_owner(&self.lease.id().clone());
+        self.router.remove_owner(&self.lease.id().clone());
         self.claims = Claims::new(me.id.clone());
         self.lease = Lease::new(self.settings.lease_timings, me);
         self.ops
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -3,7 +3,7 @@
 use super::state::Engine;
 use super::{Action, Greeting, Now, largest};
 use crate::claim::VersionedCell;
-use crate::route::Load;
+use crate::route::CellLoad;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -70,18 +70,18 @@
     }
 
     /// Returns the load of the own cells that take requests.
-    fn loads(&self, now: Millis) -> Vec<Load> {
+    fn loads(&self, now: Millis) -> Vec<CellLoad> {
         if !self.lease.may_act(now) {
             return Vec::new();
         }
         let open = self.cells.values().filter(|c| !c.leaving);
-        open.map(|cell| Load {
+        open.map(|cell| CellLoad {
             cell: cell.name.clone(),
             epoch: cell.epoch,
-            free: cell.free_slots(now),
+            free_slots: cell.free_slots(now),
             queued: cell.queued_requests() as u32,
-            cores: cell.free_cores(now),
-            largest: largest(cell.workers.values().map(|w| w.shape)),
+            free_cores: cell.free_cores(now),
+            largest_worker: largest(cell.workers.values().map(|w| w.shape)),
         })
         .collect()
     }
@@ -90,7 +90,7 @@
     pub(super) fn report_own(&mut self, now: Millis) {
         let loads = self.loads(now);
         let me = self.id().clone();
-        self.router.report(now, &me, None, loads);
+        self.router.update_owner(now, &me, None, loads);
     }
 
     pub(super) fn greeting(
@@ -142,11 +142,12 @@
         }
         if greeting.stopping {
             self.leavers.insert(greeting.from.clone());
-            self.router.drop_owner(&greeting.from);
+            self.router.remove_owner(&greeting.from);
         } else {
             let rpc = Some(greeting.rpc);
             let loads = greeting.loads.clone();
-            self.router.report(now.millis, &greeting.from, rpc, loads);
+            self.router
+                .update_owner(now.millis, &greeting.from, rpc, loads);
         }
         self.heard(now, greeting.config, greeting.rpc, out);
     }
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -28,7 +28,7 @@
         if self.stopping.is_some() {
             return self.not_run(now, ticket, Reason::Stopping, COME_BACK, out);
         }
-        if !self.config.known() || !self.router.seen() {
+        if !self.config.known() || !self.router.has_seen_cells() {
             return self.not_run(now, ticket, Reason::NotReady, COME_BACK, out);
         }
         let Some(flight) = self.flights.get(&ticket) else {
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -212,7 +212,7 @@
         self.check_jobs(now, out);
         self.report_own(now.millis);
         let oldest = now.millis.saturating_sub(pace.heartbeat * SILENT);
-        self.router.forget(oldest);
+        self.router.forget_before(oldest);
         self.finish_stop(now, out);
     }
 
--- a/src/engine/views.rs
+++ b/src/engine/views.rs
@@ -178,8 +178,8 @@
             .map(|v| {
                 let candidate = CandidateCell {
                     cell: v.load.cell.clone(),
-                    shapes: vec![v.load.largest],
-                    free_cores: v.load.cores,
+                    shapes: vec![v.load.largest_worker],
+                    free_cores: v.load.free_cores,
                 };
                 (candidate, v.rpc)
             })
--- a/src/entry/convert.rs
+++ b/src/entry/convert.rs
@@ -10,7 +10,7 @@
 use crate::engine::Greeting;
 use crate::proto;
 use crate::request::Meta;
-use crate::route::Load;
+use crate::route::CellLoad;
 use crate::utils::Name;
 
 /// Returns a greeting from its message.
@@ -69,30 +69,30 @@
     }
 }
 
-fn load(load: proto::CellLoad) -> Load {
-    Load {
+fn load(load: proto::CellLoad) -> CellLoad {
+    CellLoad {
         cell: load.cell.into(),
         epoch: load.epoch,
-        free: load.free,
+        free_slots: load.free,
         queued: load.queued,
-        cores: load.cores,
-        largest: shape(load.largest.unwrap_or_default()),
+        free_cores: load.cores,
+        largest_worker: shape(load.largest.unwrap_or_default()),
     }
 }
 
-fn to_load(load: Load) -> proto::CellLoad {
+fn to_load(load: CellLoad) -> proto::CellLoad {
     proto::CellLoad {
         cell: load.cell.to_string(),
         epoch: load.epoch,
-        free: load.free,
+        free: load.free_slots,
         queued: load.queued,
-        cores: load.cores,
+        cores: load.free_cores,
         largest: Some(proto::Shape {
-            slots: load.largest.slots,
-            connections: load.largest.connections,
-            cores: load.largest.cores,
-            memory: load.largest.memory,
-            accelerators: load.largest.accelerators,
+            slots: load.largest_worker.slots,
+            connections: load.largest_worker.connections,
+            cores: load.largest_worker.cores,
+            memory: load.largest_worker.memory,
+            accelerators: load.largest_worker.accelerators,
         }),
     }
 }
--- a/src/load.rs
+++ b/src/load.rs
@@ -1,4 +1,4 @@
-//! Load on entry boxes, and what came of it.
+//! Sends requests to entry boxes at a given rate and counts how they end.
 
 #[cfg(test)]
 mod tests;
@@ -19,63 +19,63 @@
 use crate::web::client::Pool;
 use crate::web::{Reply, Request, WebError};
 
-/// Bytes of an answer at most.
-const ANSWER: usize = 1 << 20;
-/// Every how many requests one is not repeatable.
-const HOLD: u64 = 4;
+/// Largest answer in bytes.
+const MAX_ANSWER: usize = 1 << 20;
+/// One in this many requests is not repeatable.
+const NOT_REPEATABLE_EVERY: u64 = 4;
 
-/// Load that arrives whether or not earlier requests were answered.
+/// Plan of an open-loop load: requests are sent whether or not earlier ones were answered.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Callers' addresses of the entry boxes.
+    /// HTTP addresses of the entry boxes for callers.
     pub boxes: Vec<SocketAddr>,
-    /// Service that is asked for.
+    /// Requested service.
     pub service: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Milliseconds of load.
-    pub span: Millis,
-    /// Milliseconds until an answer is worthless.
+    /// Milliseconds for which requests are sent.
+    pub duration: Millis,
+    /// Milliseconds from a request to its deadline.
     pub deadline: Millis,
-    /// Seed of the arrivals.
+    /// Seed of the arrival times and target boxes.
     pub seed: u64,
 }
 
-/// What came of the load.
+/// Results of the load.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// Requests by what the caller was told.
+    /// Number of requests for each verdict that the caller received.
     pub verdicts: BTreeMap<String, u64>,
-    /// Answers that belong to another request, or are cut.
+    /// Answers that belong to another request or are truncated.
     pub wrong: u64,
-    /// Microseconds to the endpoint's answer, sorted.
+    /// Microseconds until each answer of an endpoint, sorted.
     #[serde(skip)]
-    pub micros: Vec<u64>,
+    pub latencies_us: Vec<u64>,
 }
 
 impl Report {
-    /// Returns the microseconds within which a part of the answers came.
-    pub fn quantile(&self, part: f64) -> u64 {
-        if self.micros.is_empty() {
+    /// Returns the microseconds within which `fraction` of the answers came; 0 without answers.
+    pub fn quantile(&self, fraction: f64) -> u64 {
+        if self.latencies_us.is_empty() {
             return 0;
         }
-        let last = self.micros.len() - 1;
-        self.micros[(last as f64 * part).round() as usize]
+        let last = self.latencies_us.len() - 1;
+        self.latencies_us[(last as f64 * fraction).round() as usize]
     }
 
-    /// Returns the number of requests told so.
+    /// Returns the number of requests with a verdict.
     pub fn count(&self, verdict: &str) -> u64 {
         self.verdicts.get(verdict).copied().unwrap_or(0)
     }
 }
 
-/// Puts load on boxes; returns when every request has come to its end.
+/// Sends the requests of a plan; returns when all of them have ended.
 pub async fn run(plan: Plan) -> Report {
     let report = Rc::new(RefCell::new(Report::default()));
-    let pool = Pool::new(ANSWER);
+    let pool = Pool::new(MAX_ANSWER);
     let mut random = Random::new(plan.seed);
     let start = clock::micros();
-    let end = start + plan.span * 1_000;
+    let end = start + plan.duration * 1_000;
     let mut next = start as f64;
     let mut tasks = Vec::new();
     let mut number = 0;
@@ -91,24 +91,24 @@
         number += 1;
         let target = plan.boxes[random.below(plan.boxes.len() as u64) as usize];
         let request = request(&plan, number);
-        let one = one(pool.clone(), target, request, plan.deadline, report.clone());
-        tasks.push(monoio::spawn(one));
+        let task = send(pool.clone(), target, request, plan.deadline, report.clone());
+        tasks.push(monoio::spawn(task));
     }
     for task in tasks {
         task.await;
     }
     let mut report = report.borrow().clone();
-    report.micros.sort_unstable();
+    report.latencies_us.sort_unstable();
     report
 }
 
-/// A request with the answer that it should get.
-struct Asked {
+/// A request and the answer that is expected for it.
+struct LoadRequest {
     request: Request,
-    answer: Bytes,
+    expected_answer: Bytes,
 }
 
-fn request(plan: &Plan, number: u64) -> Asked {
+fn request(plan: &Plan, number: u64) -> LoadRequest {
     let id = format!("load-{}-{number}", plan.seed);
     let body = Bytes::from(format!("body of {id}"));
     let mut headers = HeaderMap::new();
@@ -121,13 +121,13 @@
     set(constants::SERVICE, &plan.service);
     set(constants::ID, &id);
     set(constants::DEADLINE, &plan.deadline.to_string());
-    if number.is_multiple_of(HOLD) {
+    if number.is_multiple_of(NOT_REPEATABLE_EVERY) {
         set(constants::REPEATABLE, "no");
         set(constants::RESEND, "no");
         set(constants::ISSUED, &clock::wall().to_string());
     }
-    Asked {
-        answer: Bytes::from(format!("{id}\nbody of {id}")),
+    LoadRequest {
+        expected_answer: Bytes::from(format!("{id}\nbody of {id}")),
         request: Request {
             method: Method::POST,
             uri: Uri::from_static("/load"),
@@ -137,30 +137,29 @@
     }
 }
 
-async fn one(
+async fn send(
     pool: Pool,
     target: SocketAddr,
-    asked: Asked,
+    load: LoadRequest,
     deadline: Millis,
     report: Rc<RefCell<Report>>,
 ) {
     let start = clock::micros();
     let result = pool
-        .call(target, asked.request, deadline + 1_000, || true)
+        .call(target, load.request, deadline + 1_000, || true)
         .await;
     let micros = clock::micros() - start;
     let verdict = verdict(&result);
     let mut report = report.borrow_mut();
     if verdict == "answer" {
-        report.micros.push(micros);
-        let right = matches!(&result, Ok(reply) if reply.body == asked.answer);
+        report.latencies_us.push(micros);
+        let right = matches!(&result, Ok(reply) if reply.body == load.expected_answer);
         report.wrong += u64::from(!right);
     }
     *report.verdicts.entry(verdict).or_default() += 1;
 }
 
-/// Returns what a caller was told: the verdict, and the reason when it is not
-/// an answer.
+/// Returns the verdict that the caller received, followed by the reason when there is one.
 fn verdict(result: &Result<Reply, WebError>) -> String {
     let reply = match result {
         Ok(reply) => reply,
--- a/src/load/tests.rs
+++ b/src/load/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the sums over a load.
+//! Tests of the results of a load.
 
 use super::*;
 
 #[test]
 fn quantiles_are_taken_from_sorted_times() {
     let report = Report {
-        micros: (1..=1_000).collect(),
+        latencies_us: (1..=1_000).collect(),
         ..Report::default()
     };
     assert_eq!(report.quantile(0.5), 501);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_box_that_is_not_reached_told_nothing() {
+fn a_box_that_is_not_reached_gives_no_verdict() {
     let result = Err(WebError::NotSent("refused".into()));
     assert_eq!(verdict(&result), "not reached");
 }
--- a/src/route.rs
+++ b/src/route.rs
@@ -1,9 +1,9 @@
-//! Which cell a request is handed to.
+//! Chooses the cell that gets a request.
 //!
-//! An entry box knows the load of all cells from its peers' greetings and
-//! keeps it current by its own requests in progress. It compares a few cells
-//! taken at random, so a choice takes the same time for any number of cells,
-//! and boxes with the same view do not all choose the same cell.
+//! An entry box knows the load of all cells from its peers' greetings and adds its own
+//! requests in progress. It compares a few cells picked at random: the time of a choice
+//! does not grow with the number of cells, and boxes that know the same loads do not all
+//! choose the same cell.
 
 #[cfg(test)]
 mod tests;
@@ -16,102 +16,108 @@
 use crate::utils::clock::Millis;
 use crate::utils::random::Random;
 
-/// Cells that are compared in one choice.
-const SAMPLE: usize = 4;
-/// Cost of another box in the own hall, in slots.
-const HOP: f64 = 0.5;
-/// Cost of another hall, in slots.
-const FAR: f64 = 2.0;
+/// Number of cells that one choice compares.
+const SAMPLE_SIZE: usize = 4;
+/// Cost of forwarding to another box in the same hall, in slots.
+const SAME_HALL_COST: f64 = 0.5;
+/// Cost of forwarding to another hall, in slots.
+const OTHER_HALL_COST: f64 = 2.0;
 
 /// Load of a cell as its owner reports it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Load {
+pub struct CellLoad {
     /// Name of the cell.
     pub cell: Name,
     /// Epoch of its ownership.
     pub epoch: u64,
     /// Free slots.
-    pub free: u32,
-    /// Requests that wait.
+    pub free_slots: u32,
+    /// Number of queued requests.
     pub queued: u32,
     /// Free thousandths of cores.
-    pub cores: u64,
-    /// Largest worker.
-    pub largest: Shape,
+    pub free_cores: u64,
+    /// Shape of the largest worker.
+    pub largest_worker: Shape,
 }
 
-/// A cell as this box sees it.
+/// What this box knows of a cell.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct CellView {
     /// Load as last reported.
-    pub load: Load,
-    /// Owning incarnation.
+    pub load: CellLoad,
+    /// Incarnation of the box that owns the cell.
     pub owner: Name,
-    /// Address of the owner; none when it is this box.
+    /// RPC address of the owner; `None` when it is this box.
     pub rpc: Option<SocketAddr>,
     /// When the load was reported.
-    pub at: Millis,
-    /// Own requests handed to it since then.
-    pub sent: u32,
+    pub reported_at: Millis,
+    /// Requests that this box handed to the cell since then and that are in progress.
+    pub sent_since: u32,
 }
 
-/// The cells and a generator for the choice among them.
+/// Keeps the known cells and chooses among them.
 #[derive(Clone, Debug)]
 pub struct Router {
     hall: Name,
-    views: Vec<View>,
+    views: Vec<CellView>,
     index: HashMap<Name, usize>,
     random: Random,
-    /// True once a cell was known.
-    seen: bool,
+    has_seen_cells: bool,
 }
 
 impl Router {
-    /// Returns a router in a hall that knows no cell.
+    /// Returns a router for a box in `hall` that knows no cell.
     pub fn new(hall: Name, seed: u64) -> Self {
         Self {
             hall,
             views: Vec::new(),
             index: HashMap::new(),
             random: Random::new(seed),
-            seen: false,
+            has_seen_cells: false,
         }
     }
 
-    /// Returns true once any cell was known: what is missing since is moving.
-    pub fn seen(&self) -> bool {
-        self.seen
+    /// Returns true once any cell was known; a cell that is missing afterwards is between
+    /// owners.
+    pub fn has_seen_cells(&self) -> bool {
+        self.has_seen_cells
     }
 
-    /// Returns all cells known.
-    pub fn views(&self) -> &[View] {
+    /// Returns all known cells.
+    pub fn views(&self) -> &[CellView] {
         &self.views
     }
 
-    /// Returns a cell.
-    pub fn view(&self, cell: &str) -> Option<&View> {
+    /// Returns what is known of a cell.
+    pub fn view(&self, cell: &str) -> Option<&CellView> {
         self.index.get(cell).map(|i| &self.views[*i])
     }
 
-    /// Takes in the loads of all cells of one owner.
-    pub fn report(&mut self, now: Millis, owner: &Name, rpc: Option<SocketAddr>, loads: Vec<Load>) {
+    /// Replaces the cells of one owner by those that it reports.
+    pub fn update_owner(
+        &mut self,
+        now: Millis,
+        owner: &Name,
+        rpc: Option<SocketAddr>,
+        loads: Vec<CellLoad>,
+    ) {
         let kept: Vec<Name> = loads.iter().map(|l| l.cell.clone()).collect();
         self.retain(|v| v.owner != *owner || kept.contains(&v.load.cell));
         for load in loads {
-            self.insert(View {
+            self.insert(CellView {
                 load,
                 owner: owner.clone(),
                 rpc,
-                at: now,
-                sent: 0,
+                reported_at: now,
+                sent_since: 0,
             });
         }
     }
 
-    fn insert(&mut self, view: View) {
-        self.seen = true;
+    fn insert(&mut self, view: CellView) {
+        self.has_seen_cells = true;
         match self.index.get(&view.load.cell) {
-            // An older owner's word does not count against a newer one's.
+            // A report of an earlier owner does not replace that of a later one.
             Some(&at) if self.views[at].load.epoch > view.load.epoch => {}
             Some(&at) => self.views[at] = view,
             None => {
@@ -121,24 +127,24 @@
         }
     }
 
-    /// Forgets cells of owners that were not heard of since `oldest`.
-    pub fn forget(&mut self, oldest: Millis) {
-        if self.views.iter().any(|v| v.at < oldest) {
-            self.retain(|v| v.at >= oldest);
+    /// Removes cells whose load was last reported before `oldest`.
+    pub fn forget_before(&mut self, oldest: Millis) {
+        if self.views.iter().any(|v| v.reported_at < oldest) {
+            self.retain(|v| v.reported_at >= oldest);
         }
     }
 
-    /// Forgets a cell, until an owner reports it anew.
-    pub fn drop_cell(&mut self, cell: &str) {
+    /// Removes a cell until an owner reports it again.
+    pub fn remove_cell(&mut self, cell: &str) {
         self.retain(|v| &*v.load.cell != cell);
     }
 
-    /// Forgets the cells of one owner.
-    pub fn drop_owner(&mut self, owner: &str) {
+    /// Removes the cells of one owner.
+    pub fn remove_owner(&mut self, owner: &str) {
         self.retain(|v| &*v.owner != owner);
     }
 
-    fn retain(&mut self, keep: impl Fn(&View) -> bool) {
+    fn retain(&mut self, keep: impl Fn(&CellView) -> bool) {
         if self.views.iter().all(&keep) {
             return;
         }
@@ -151,59 +157,61 @@
             .collect();
     }
 
-    /// Returns the best of a few cells, none of `tried`, and counts the request.
+    /// Returns the cheapest of a few cells picked at random, or of all when those are in
+    /// `tried`, and counts a request to it. Returns none of `tried`.
     pub fn choose(&mut self, tried: &[Name]) -> Option<Name> {
         let count = self.views.len();
         if count == 0 {
             return None;
         }
-        let picks: Vec<usize> = match count <= SAMPLE {
+        let candidates: Vec<usize> = match count <= SAMPLE_SIZE {
             true => (0..count).collect(),
             false => self.sample(count),
         };
-        let best = self.cheapest(&picks, tried).or_else(|| {
+        let best = self.cheapest(&candidates, tried).or_else(|| {
             let all: Vec<usize> = (0..count).collect();
             self.cheapest(&all, tried)
         })?;
-        self.views[best].sent += 1;
+        self.views[best].sent_since += 1;
         Some(self.views[best].load.cell.clone())
     }
 
     fn sample(&mut self, count: usize) -> Vec<usize> {
-        (0..SAMPLE)
+        (0..SAMPLE_SIZE)
             .map(|_| self.random.below(count as u64) as usize)
             .collect()
     }
 
-    fn cheapest(&self, picks: &[usize], tried: &[Name]) -> Option<usize> {
-        let open = picks.iter().copied().filter(|i| {
+    fn cheapest(&self, candidates: &[usize], tried: &[Name]) -> Option<usize> {
+        let untried = candidates.iter().copied().filter(|i| {
             let cell = &self.views[*i].load.cell;
             !tried.contains(cell)
         });
-        open.min_by(|a, b| self.cost(*a).total_cmp(&self.cost(*b)))
+        untried.min_by(|a, b| self.cost(*a).total_cmp(&self.cost(*b)))
     }
 
-    /// Returns the expected wait at a cell in slots, with the way to it.
+    /// Returns the requests waiting at a cell minus its free slots, plus the cost of
+    /// forwarding to its owner.
     fn cost(&self, index: usize) -> f64 {
         let view = &self.views[index];
-        let way = match view.rpc {
+        let forwarding = match view.rpc {
             None => 0.0,
-            Some(_) if self.hall_of(view) == &*self.hall => HOP,
-            Some(_) => FAR,
+            Some(_) if self.hall_of(view) == &*self.hall => SAME_HALL_COST,
+            Some(_) => OTHER_HALL_COST,
         };
-        let waiting = f64::from(view.load.queued) + f64::from(view.sent);
-        way + waiting - f64::from(view.load.free)
+        let waiting = f64::from(view.load.queued) + f64::from(view.sent_since);
+        forwarding + waiting - f64::from(view.load.free_slots)
     }
 
-    fn hall_of<'v>(&self, view: &'v View) -> &'v str {
+    fn hall_of<'v>(&self, view: &'v CellView) -> &'v str {
         view.load.cell.split('/').next().unwrap_or("")
     }
 
-    /// Takes in that a request handed to a cell has ended.
-    pub fn done(&mut self, cell: &str) {
+    /// Counts a request that was handed to a cell as ended.
+    pub fn end_request(&mut self, cell: &str) {
         if let Some(&at) = self.index.get(cell) {
             let view = &mut self.views[at];
-            view.sent = view.sent.saturating_sub(1);
+            view.sent_since = view.sent_since.saturating_sub(1);
         }
     }
 }
--- a/src/route/tests.rs
+++ b/src/route/tests.rs
@@ -1,15 +1,15 @@
-//! Tests of the choice of a cell.
+//! Tests of the router's choice of a cell.
 
 use super::*;
 
-fn load(cell: &str, epoch: u64, free: u32) -> Load {
-    Load {
+fn load(cell: &str, epoch: u64, free_slots: u32) -> CellLoad {
+    CellLoad {
         cell: cell.into(),
         epoch,
-        free,
+        free_slots,
         queued: 0,
-        cores: 0,
-        largest: Shape::default(),
+        free_cores: 0,
+        largest_worker: Shape::default(),
     }
 }
 
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn the_cell_with_most_room_is_chosen_and_its_load_kept_current() {
+fn the_cell_with_most_free_slots_is_chosen_and_own_requests_count() {
     let mut router = Router::new("h".into(), 1);
-    router.report(
+    router.update_owner(
         0,
         &"a".into(),
         None,
@@ -34,7 +34,7 @@
 #[test]
 fn a_cell_that_was_tried_is_not_chosen_again() {
     let mut router = Router::new("h".into(), 1);
-    router.report(
+    router.update_owner(
         0,
         &"a".into(),
         peer(),
@@ -45,31 +45,31 @@
 }
 
 #[test]
-fn an_old_owner_does_not_take_a_cell_back() {
+fn a_report_of_an_earlier_owner_is_ignored() {
     let mut router = Router::new("h".into(), 1);
-    router.report(5, &"new".into(), peer(), vec![load("h/1", 2, 1)]);
-    router.report(6, &"old".into(), peer(), vec![load("h/1", 1, 9)]);
+    router.update_owner(5, &"new".into(), peer(), vec![load("h/1", 2, 1)]);
+    router.update_owner(6, &"old".into(), peer(), vec![load("h/1", 1, 9)]);
     assert_eq!(router.view("h/1").map(|v| &*v.owner), Some("new"));
 }
 
 #[test]
-fn silent_owners_are_forgotten() {
+fn cells_of_silent_owners_are_removed() {
     let mut router = Router::new("h".into(), 1);
-    router.report(5, &"a".into(), peer(), vec![load("h/1", 1, 1)]);
-    router.report(9, &"b".into(), peer(), vec![load("h/2", 1, 1)]);
-    router.forget(6);
+    router.update_owner(5, &"a".into(), peer(), vec![load("h/1", 1, 1)]);
+    router.update_owner(9, &"b".into(), peer(), vec![load("h/2", 1, 1)]);
+    router.forget_before(6);
     assert!(router.view("h/1").is_none());
     assert!(router.view("h/2").is_some());
 }
 
 #[test]
-fn a_cell_that_its_owner_denies_is_not_chosen_until_it_is_reported() {
+fn a_removed_cell_is_not_chosen_until_it_is_reported_again() {
     let mut router = Router::new("h".into(), 1);
-    assert!(!router.seen());
-    router.report(0, &"a".into(), None, vec![load("h/r0", 1, 8)]);
-    router.drop_cell("h/r0");
+    assert!(!router.has_seen_cells());
+    router.update_owner(0, &"a".into(), None, vec![load("h/r0", 1, 8)]);
+    router.remove_cell("h/r0");
     assert_eq!(router.choose(&[]), None);
-    assert!(router.seen());
-    router.report(1, &"b".into(), None, vec![load("h/r0", 2, 8)]);
+    assert!(router.has_seen_cells());
+    router.update_owner(1, &"b".into(), None, vec![load("h/r0", 2, 8)]);
     assert_eq!(router.choose(&[]).as_deref(), Some("h/r0"));
 }
