--- a/benches/path.rs
+++ b/benches/path.rs
@@ -8,7 +8,7 @@
 
 use http::{HeaderMap, HeaderValue, Method, Uri};
 use willowpoint::constants;
-use willowpoint::demo::parts::{Deployment, Site};
+use willowpoint::demo::deployment::{Deployment, Site};
 use willowpoint::logs::{self, Logs};
 use willowpoint::program::block_on;
 use willowpoint::utils::clock;
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,6 +1,6 @@
 //! The embedded demo: everything in one process, on real sockets.
 
-pub mod parts;
+pub mod deployment;
 
 use std::sync::atomic::Ordering;
 
@@ -14,7 +14,7 @@
 use crate::program::block_on;
 use crate::proto::{self, operator_client::OperatorClient};
 use crate::rpc::client::Channel;
-use parts::{Deployment, Site};
+use deployment::{Deployment, Site};
 
 /// Requests a second on all boxes together.
 const RATE: f64 = 1_500.0;
--- a/src/demo/parts.rs
+++ b/src/demo/deployment.rs
@@ -9,7 +9,7 @@
 
 use crate::cell::Shape;
 use crate::entry::{self, Switch};
-use crate::options::{Settings, file};
+use crate::options::{self, Settings};
 use crate::program::block_on;
 use crate::proto;
 use crate::proto::operator_client::OperatorClient;
@@ -310,7 +310,7 @@
         free()?,
         free()?
     );
-    file::parse("demo", &text).map_err(|findings| {
+    options::entry::parse("demo", &text).map_err(|findings| {
         let lines: Vec<String> = findings.iter().map(|f| f.to_string()).collect();
         eyre::eyre!(lines.join("\n"))
     })
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters and gauges in the text format of Prometheus.
 
-mod rows;
+mod registration;
 
 #[cfg(test)]
 mod tests;
@@ -194,14 +194,14 @@
         let metrics = Self {
             registry: Registry::default(),
             answers: Family::default(),
-            seconds: Histogram::new(rows::REQUEST_SPANS),
+            seconds: Histogram::new(registration::REQUEST_SPANS),
             forwards: Counter::default(),
             undecoded: Counter::default(),
             malformed: Counter::default(),
             cells: Gauge::default(),
             config: Gauge::default(),
-            commit_seconds: Histogram::new(rows::COMMIT_SPANS),
-            start_seconds: Histogram::new(rows::START_SPANS),
+            commit_seconds: Histogram::new(registration::COMMIT_SPANS),
+            start_seconds: Histogram::new(registration::START_SPANS),
             epoch: Gauge::default(),
             followed: Gauge::default(),
             others: Gauge::default(),
@@ -227,7 +227,7 @@
             unanswered: Family::default(),
             suspended: Counter::default(),
             over: Gauge::default(),
-            over_seconds: Family::new_with_constructor(|| Histogram::new(rows::OVER_SPANS)),
+            over_seconds: Family::new_with_constructor(|| Histogram::new(registration::OVER_SPANS)),
             paces: Counter::default(),
             paces_missed: Counter::default(),
             dropped: Counter::default(),
@@ -237,9 +237,9 @@
             checks: Family::default(),
             violations: Family::default(),
         };
-        rows::owner(&mut registry, &metrics);
-        rows::spans(&mut registry, &metrics);
-        rows::older(&mut registry, &metrics);
+        registration::owner(&mut registry, &metrics);
+        registration::spans(&mut registry, &metrics);
+        registration::older(&mut registry, &metrics);
         Self {
             registry,
             ..metrics
--- a/src/options.rs
+++ b/src/options.rs
@@ -3,7 +3,7 @@
 pub mod args;
 mod check;
 pub mod daemon;
-pub mod file;
+pub mod entry;
 mod reader;
 
 #[cfg(test)]
@@ -23,11 +23,11 @@
 /// Checks a settings file of either kind of daemon: one that names a store is
 /// for a box on the platform.
 pub fn check_file(path: &str) -> Result<(), Vec<Finding>> {
-    let text = file::text(path)?;
+    let text = entry::text(path)?;
     let mut reader = reader::Reader::new(path, &text).map_err(|f| vec![f])?;
     match reader.has("platform.store") {
         true => daemon::parse(path, &text).map(drop),
-        false => file::parse(path, &text).map(drop),
+        false => entry::parse(path, &text).map(drop),
     }
 }
 
--- a/src/options/daemon.rs
+++ b/src/options/daemon.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::check;
-use super::file::{limits, logs};
+use super::entry::{limits, logs};
 use super::reader::{Finding, Reader};
 use crate::logs::Logs;
 use crate::sched::mechanisms::Mechanisms;
@@ -88,7 +88,7 @@
 
 /// Reads and checks a settings file; all findings are reported together.
 pub fn load(path: &str) -> Result<Settings, Vec<Finding>> {
-    let text = super::file::text(path)?;
+    let text = super::entry::text(path)?;
     parse(path, &text)
 }
 
--- a/src/options/tests.rs
+++ b/src/options/tests.rs
@@ -2,7 +2,7 @@
 
 use super::args;
 use super::daemon;
-use super::file::parse;
+use super::entry::parse;
 use crate::sched::mechanisms::Mechanisms;
 
 const GOOD: &str = r#"
--- a/src/program.rs
+++ b/src/program.rs
@@ -8,8 +8,8 @@
 
 use crate::logs::{self, Logs};
 use crate::operator::{self, exit};
+use crate::options;
 use crate::options::args::{Command, StandIn};
-use crate::options::{self, file};
 use crate::standin::{platform, worker};
 use crate::utils::signals;
 use crate::{cell, daemon, demo, proto, rpc, trace};
@@ -69,7 +69,7 @@
 }
 
 fn entry(name: &str) -> ExitCode {
-    let settings = match file::load(name) {
+    let settings = match options::entry::load(name) {
         Ok(settings) => settings,
         Err(findings) => return refuse(&findings),
     };
