--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -1,7 +1,7 @@
 //! Running the owned cells: the workers listed for them, their ticks and what they
 //! ask for.
 
-use super::in_flight::RESENT;
+use super::in_flight::UNKNOWN_AFTER_RESEND;
 use super::state::Engine;
 use super::{Action, Now, WorkerCallOutcome};
 use crate::cell::{self, ListedWorker, Reason};
@@ -10,10 +10,10 @@
 use crate::utils::clock::Millis;
 
 /// Milliseconds between two scans for job shards that no hint told of.
-const RESCAN: Millis = 10_000;
+const RESCAN_INTERVAL: Millis = 10_000;
 
 impl Engine {
-    pub(super) fn run_cells(&mut self, now: Now, out: &mut Vec<Action>) {
+    pub(super) fn tick_cells(&mut self, now: Now, out: &mut Vec<Action>) {
         let names: Vec<Name> = self.cells.keys().cloned().collect();
         for name in names {
             let leaving = self.claims.mine().get(&name).is_none_or(|m| m.leaving);
@@ -29,7 +29,7 @@
             let epoch = cell.epoch;
             let idle = cell.is_idle();
             for action in actions {
-                self.cell_action(now, &name, epoch, action, out);
+                self.apply_cell_action(now, &name, epoch, action, out);
             }
             if leaving && idle {
                 self.release(now, &name, out);
@@ -42,7 +42,7 @@
     }
 
     /// Refuses what waits while the lease has lapsed.
-    pub(super) fn rest(&mut self, now: Now, out: &mut Vec<Action>) {
+    pub(super) fn refuse_queued(&mut self, now: Now, out: &mut Vec<Action>) {
         let names: Vec<Name> = self.cells.keys().cloned().collect();
         for name in names {
             let Some(cell) = self.cells.get_mut(&name) else {
@@ -51,13 +51,13 @@
             let epoch = cell.epoch;
             let refused = cell.refuse_all(Reason::Lapsed);
             for action in refused {
-                self.cell_action(now, &name, epoch, action, out);
+                self.apply_cell_action(now, &name, epoch, action, out);
             }
         }
     }
 
     /// Returns true when this box may act for a cell under an epoch.
-    fn rules(&self, now: Now, cell: &Name, epoch: u64) -> bool {
+    fn may_act_for(&self, now: Now, cell: &Name, epoch: u64) -> bool {
         let owned = self.claims.mine().get(cell);
         let rules = self.lease.may_act(now.millis) && owned.is_some_and(|m| m.epoch == epoch);
         let detail = || format!("{} acts for {cell} under epoch {epoch}", self.id());
@@ -65,7 +65,7 @@
     }
 
     /// Carries out what a cell asks for.
-    pub(super) fn cell_action(
+    pub(super) fn apply_cell_action(
         &mut self,
         now: Now,
         cell: &Name,
@@ -76,16 +76,19 @@
         match action {
             // A lapsed lease ends sends here, and once more right before the socket.
             cell::Action::Send { ticket, .. } if !self.lease.may_act(now.millis) => {
-                self.unsent(now, cell, ticket, out);
+                self.handle_lapsed_send(now, cell, ticket, out);
             }
             cell::Action::Send { ticket, http, .. } => {
-                if !self.rules(now, cell, epoch) {
-                    return self.unsent(now, cell, ticket, out);
+                if !self.may_act_for(now, cell, epoch) {
+                    return self.handle_lapsed_send(now, cell, ticket, out);
                 }
-                if !self.depart(ticket) {
-                    return self.finish(ticket, RESENT, out);
+                if !self.mark_sending(ticket) {
+                    return self.finish(ticket, UNKNOWN_AFTER_RESEND, out);
                 }
-                let time_left = self.flights.get(&ticket).map_or(0, |f| f.left(now.millis));
+                let time_left = self
+                    .in_flight
+                    .get(&ticket)
+                    .map_or(0, |f| f.left(now.millis));
                 out.push(Action::Send {
                     ticket,
                     cell: cell.clone(),
@@ -98,10 +101,10 @@
                 ticket,
                 reason,
                 retry_after,
-            } => self.refused(now, ticket, reason, retry_after, out),
-            cell::Action::Start { worker, run, .. } if !self.rules(now, cell, epoch) => {
+            } => self.handle_refusal(now, ticket, reason, retry_after, out),
+            cell::Action::Start { worker, run, .. } if !self.may_act_for(now, cell, epoch) => {
                 let outcome = WorkerCallOutcome::Started(run.id, cell::CallOutcome::Refused);
-                self.worker(now, cell, epoch, &worker, outcome, out);
+                self.handle_worker_outcome(now, cell, epoch, &worker, outcome, out);
             }
             other => out.push(Action::CallWorker {
                 cell: cell.clone(),
@@ -111,7 +114,7 @@
         }
     }
 
-    pub(super) fn worker(
+    pub(super) fn handle_worker_outcome(
         &mut self,
         now: Now,
         name: &Name,
@@ -154,55 +157,55 @@
             }
         };
         for action in actions {
-            self.cell_action(now, name, epoch, action, out);
+            self.apply_cell_action(now, name, epoch, action, out);
         }
     }
 
-    pub(super) fn directory(&mut self, now: Now, out: &mut Vec<Action>) {
+    pub(super) fn poll_workers(&mut self, now: Now, out: &mut Vec<Action>) {
         let interval = self.settings.pace.poll;
-        let due = self.listed.is_none_or(|at| now.millis >= at + interval);
+        let due = self.listed_at.is_none_or(|at| now.millis >= at + interval);
         if due && !self.listing {
             self.listing = true;
-            self.listed = Some(now.millis);
+            self.listed_at = Some(now.millis);
             out.push(Action::ListWorkers);
         }
     }
 
-    pub(super) fn list(&mut self, places: Option<Vec<ListedWorker>>) {
+    pub(super) fn update_workers(&mut self, places: Option<Vec<ListedWorker>>) {
         self.listing = false;
         let Some(places) = places else {
             return;
         };
-        if places == self.places {
+        if places == self.listed_workers {
             return;
         }
-        self.places = places;
-        self.refresh();
+        self.listed_workers = places;
+        self.update_cells();
     }
 
     /// Tells cells their workers, quotas and drains.
-    pub(super) fn refresh(&mut self) {
-        let total = self.places.len().max(1) as f64;
+    pub(super) fn update_cells(&mut self) {
+        let total = self.listed_workers.len().max(1) as f64;
         for cell in self.cells.values_mut() {
-            cell.set_workers(&self.places, self.config.drained());
+            cell.set_workers(&self.listed_workers, self.config.drained());
             cell.quotas = self.config.quotas().clone();
             cell.capacity_share = cell.workers.len() as f64 / total;
         }
     }
 
     /// Reads the job shards of cells again whose last scan is long ago.
-    pub(super) fn rescan(&mut self, now: Now, out: &mut Vec<Action>) {
+    pub(super) fn rescan_due_cells(&mut self, now: Now, out: &mut Vec<Action>) {
         let due: Vec<Name> = self
             .cells
             .keys()
             .filter(|c| {
-                let at = self.scanned.get(*c).copied();
-                at.is_some_and(|at| now.millis >= at + RESCAN)
+                let at = self.scanned_at.get(*c).copied();
+                at.is_some_and(|at| now.millis >= at + RESCAN_INTERVAL)
             })
             .cloned()
             .collect();
         for cell in due {
-            self.scanned.insert(cell.clone(), now.millis);
+            self.scanned_at.insert(cell.clone(), now.millis);
             self.scan_shards(&cell, out);
         }
     }
--- a/src/engine/config_sync.rs
+++ b/src/engine/config_sync.rs
@@ -10,23 +10,27 @@
 use crate::utils::Name;
 
 /// Changes that are read one by one; a box further behind reads all entries.
-const STEPS: u64 = 200;
+const MAX_CHANGES: u64 = 200;
 /// Polls without an answer after which a peer is asked.
-const PATIENCE: u64 = 2;
+const MAX_SILENT_POLLS: u64 = 2;
 
 impl Engine {
     /// Reads the head row when that is due.
-    pub(super) fn poll(&mut self, now: Now, out: &mut Vec<Action>) {
+    pub(super) fn poll_config(&mut self, now: Now, out: &mut Vec<Action>) {
         let interval = self.settings.pace.poll;
-        let due = self.polled.is_none_or(|at| now.millis >= at + interval);
+        let due = self.polled_at.is_none_or(|at| now.millis >= at + interval);
         if due && !self.polling {
             self.polling = true;
-            self.polled = Some(now.millis);
-            self.store(Purpose::Head, Call::Read(vec![config::HEAD.into()]), out);
+            self.polled_at = Some(now.millis);
+            self.call_table(
+                Purpose::ReadHead,
+                Call::Read(vec![config::HEAD.into()]),
+                out,
+            );
         }
     }
 
-    pub(super) fn head(&mut self, _now: Now, outcome: &Outcome, out: &mut Vec<Action>) {
+    pub(super) fn handle_head(&mut self, _now: Now, outcome: &Outcome, out: &mut Vec<Action>) {
         let Some(rows) = rows(outcome) else {
             self.polling = false;
             return;
@@ -37,32 +41,37 @@
             .map_or(0, |h| h.version);
         if let Some(staged) = &self.staged {
             let from = staged.version();
-            return self.follow(from, version, out);
+            return self.read_changes(from, version, out);
         }
-        if !self.config.known() || version > self.config.version() + STEPS {
+        if !self.config.known() || version > self.config.version() + MAX_CHANGES {
             let call = Call::Scan(config::ENTRY.into());
-            return self.store(Purpose::Entries(version), call, out);
+            return self.call_table(Purpose::ReadEntries(version), call, out);
         }
-        self.follow(self.config.version(), version, out);
+        self.read_changes(self.config.version(), version, out);
     }
 
     /// Reads the changes after `from`; with none, what is staged is whole.
-    fn follow(&mut self, from: u64, version: u64, out: &mut Vec<Action>) {
+    fn read_changes(&mut self, from: u64, version: u64, out: &mut Vec<Action>) {
         if version <= from {
             self.polling = false;
-            self.promote();
+            self.adopt_staged();
             return;
         }
-        let last = version.min(from + STEPS);
+        let last = version.min(from + MAX_CHANGES);
         let keys = (from + 1..=last).map(change_key).collect();
-        self.store(Purpose::Changes, Call::Read(keys), out);
+        self.call_table(Purpose::ReadChanges, Call::Read(keys), out);
     }
 
     /// Takes in all entries, read after the head had `version`.
     ///
     /// Entries may have changed while they were read. They are staged until
     /// the changes up to a later head were applied over them as well.
-    pub(super) fn entries(&mut self, version: u64, outcome: &Outcome, _out: &mut Vec<Action>) {
+    pub(super) fn stage_entries(
+        &mut self,
+        version: u64,
+        outcome: &Outcome,
+        _out: &mut Vec<Action>,
+    ) {
         self.polling = false;
         let Some(rows) = rows(outcome) else {
             return;
@@ -78,10 +87,10 @@
         staged.replace(version, entries);
         self.staged = Some(staged);
         // The next tick reads the head again.
-        self.polled = None;
+        self.polled_at = None;
     }
 
-    pub(super) fn changes(&mut self, outcome: &Outcome) {
+    pub(super) fn apply_changes(&mut self, outcome: &Outcome) {
         self.polling = false;
         let Some(rows) = rows(outcome) else {
             return;
@@ -97,13 +106,13 @@
         match &mut self.staged {
             // The changes that are missing were dropped meanwhile: read all again.
             Some(_) if stuck => self.staged = None,
-            Some(_) => self.polled = None,
+            Some(_) => self.polled_at = None,
             None if stuck => self.staged = None,
-            None => self.changed(),
+            None => self.config_changed(),
         }
     }
 
-    fn promote(&mut self) {
+    fn adopt_staged(&mut self) {
         let Some(staged) = self.staged.take() else {
             return;
         };
@@ -115,18 +124,18 @@
             .config
             .replace(config.version(), config.entries().clone())
         {
-            self.changed();
+            self.config_changed();
         }
     }
 
-    fn changed(&mut self) {
+    fn config_changed(&mut self) {
         log::info!(target: "config", "version {} is in force", self.config.version());
-        self.refresh();
+        self.update_cells();
     }
 
     /// Takes in that a peer holds a version; a newer one is read at once, from
     /// the peer itself when the table does not answer.
-    pub(super) fn heard(
+    pub(super) fn handle_peer_version(
         &mut self,
         now: Now,
         version: u64,
@@ -136,17 +145,19 @@
         if self.config.known() && version <= self.config.version() {
             return;
         }
-        self.polled = None;
-        let patience = self.settings.pace.poll * PATIENCE;
-        let silent = now.millis >= self.answered + patience;
-        let due = self.snapshot.is_none_or(|at| now.millis >= at + patience);
+        self.polled_at = None;
+        let patience = self.settings.pace.poll * MAX_SILENT_POLLS;
+        let silent = now.millis >= self.answered_at + patience;
+        let due = self
+            .snapshot_at
+            .is_none_or(|at| now.millis >= at + patience);
         if silent && due && version > 0 {
-            self.snapshot = Some(now.millis);
+            self.snapshot_at = Some(now.millis);
             out.push(Action::FetchSnapshot(rpc));
         }
     }
 
-    pub(super) fn snapshot(&mut self, config: Option<Config>) {
+    pub(super) fn adopt_snapshot(&mut self, config: Option<Config>) {
         if let Some(config) = config.filter(Config::known) {
             self.adopt(config);
         }
--- a/src/engine/in_flight.rs
+++ b/src/engine/in_flight.rs
@@ -7,7 +7,7 @@
 use crate::utils::clock::Millis;
 
 /// What is told of a request that was sent before and may have run.
-pub(super) const RESENT: Verdict = Verdict::Unknown { reason: "retried" };
+pub(super) const UNKNOWN_AFTER_RESEND: Verdict = Verdict::Unknown { reason: "retried" };
 
 /// Who asked this box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,9 +15,9 @@
     /// A caller.
     Caller,
     /// A box that asks this one to deduplicate the id.
-    ForDedup,
+    PeerForDedup,
     /// A box that has chosen a cell of this one.
-    ForCell,
+    PeerForCell,
 }
 
 /// Where a request is.
@@ -37,7 +37,7 @@
 
 /// A request on its way.
 #[derive(Clone, Debug)]
-pub(super) struct Flight {
+pub(super) struct InFlightRequest {
     /// What it says of itself.
     pub meta: Meta,
     /// When its caller does not wait any more, in milliseconds.
@@ -55,25 +55,25 @@
     /// True while a send of it has no outcome.
     pub sending: bool,
     /// True once a send of it may have run.
-    pub doubtful: bool,
+    pub may_have_run: bool,
 }
 
-impl Flight {
+impl InFlightRequest {
     /// Returns the milliseconds until its deadline.
     pub fn left(&self, now: Millis) -> Millis {
         self.deadline.saturating_sub(now)
     }
 
     /// Returns the verdict, or unknown in place of a denial that is not proved.
-    pub fn provable(&self, ticket: u64, verdict: Verdict) -> Verdict {
+    pub fn provable_verdict(&self, ticket: u64, verdict: Verdict) -> Verdict {
         let Verdict::NotRun { reason, .. } = verdict else {
             return verdict;
         };
-        let proved = !self.sending && !self.doubtful;
+        let proved = !self.sending && !self.may_have_run;
         let detail = || format!("{ticket} is denied ({}) and may run", reason.as_str());
         match invariant::check(proved, Rule::NotRun, detail) {
             true => verdict,
-            false => RESENT,
+            false => UNKNOWN_AFTER_RESEND,
         }
     }
 
--- a/src/engine/job_shards.rs
+++ b/src/engine/job_shards.rs
@@ -12,34 +12,39 @@
 use crate::utils::clock::Millis;
 
 /// Rows of job shards in one commit.
-const GROUP: usize = 64;
+const MAX_GROUP: usize = 64;
 /// Milliseconds between two reads of the jobs that have open job shards here.
-const JOBS: Millis = 30_000;
+const JOB_CHECK_INTERVAL: Millis = 30_000;
 
 impl Engine {
     /// Commits changed job shards of all cells in one group.
-    pub(super) fn journal(&mut self, now: Now, out: &mut Vec<Action>) {
-        if now.millis < self.flushed + self.settings.pace.journal {
+    pub(super) fn write_job_shards(&mut self, now: Now, out: &mut Vec<Action>) {
+        if now.millis < self.flushed_at + self.settings.pace.journal {
             return;
         }
-        self.flushed = now.millis;
-        self.reread(out);
+        self.flushed_at = now.millis;
+        self.reread_in_doubt(out);
         let mut ops = Vec::new();
         let mut shards = Vec::new();
         let names: Vec<Name> = self.cells.keys().cloned().collect();
         let first = self.next_op as usize % names.len().max(1);
         for name in names[first..].iter().chain(&names[..first]) {
-            if shards.len() >= GROUP {
+            if shards.len() >= MAX_GROUP {
                 break;
             }
-            self.gather(name, &mut ops, &mut shards);
+            self.collect_writes(name, &mut ops, &mut shards);
         }
         if !shards.is_empty() {
-            self.store(Purpose::Journal(shards), Call::Commit(ops), out);
+            self.call_table(Purpose::WriteShards(shards), Call::Commit(ops), out);
         }
     }
 
-    fn gather(&mut self, name: &Name, ops: &mut Vec<Op>, shards: &mut Vec<(Name, u64, Name)>) {
+    fn collect_writes(
+        &mut self,
+        name: &Name,
+        ops: &mut Vec<Op>,
+        shards: &mut Vec<(Name, u64, Name)>,
+    ) {
         let Some(version) = self.claims.version(name) else {
             return;
         };
@@ -70,8 +75,11 @@
         }
     }
 
-    fn reread(&mut self, out: &mut Vec<Action>) {
-        let pending = self.ops.values().any(|p| matches!(p, Purpose::Reread(_)));
+    fn reread_in_doubt(&mut self, out: &mut Vec<Action>) {
+        let pending = self
+            .table_calls
+            .values()
+            .any(|p| matches!(p, Purpose::RereadShards(_)));
         if pending {
             return;
         }
@@ -82,11 +90,11 @@
         }
         if !shards.is_empty() {
             let keys = shards.iter().map(|(_, _, key)| key.clone()).collect();
-            self.store(Purpose::Reread(shards), Call::Read(keys), out);
+            self.call_table(Purpose::RereadShards(shards), Call::Read(keys), out);
         }
     }
 
-    pub(super) fn rereads(&mut self, shards: &[(Name, u64, Name)], outcome: &Outcome) {
+    pub(super) fn handle_reread(&mut self, shards: &[(Name, u64, Name)], outcome: &Outcome) {
         let Some(rows) = rows(outcome) else {
             return;
         };
@@ -105,7 +113,7 @@
         }
     }
 
-    pub(super) fn journaled(&mut self, shards: &[(Name, u64, Name)], written: WriteOutcome) {
+    pub(super) fn handle_write(&mut self, shards: &[(Name, u64, Name)], written: WriteOutcome) {
         for (name, epoch, key) in shards {
             if let Some(cell) = self.cells.get_mut(name).filter(|c| c.epoch == *epoch) {
                 cell.finish_write(key, written);
@@ -119,14 +127,14 @@
             return;
         };
         let prefix = job::shard_key_prefix(cell).into();
-        self.store(
-            Purpose::Shards(cell.clone(), epoch),
+        self.call_table(
+            Purpose::ScanShards(cell.clone(), epoch),
             Call::Scan(prefix),
             out,
         );
     }
 
-    pub(super) fn shards(
+    pub(super) fn handle_scan(
         &mut self,
         now: Now,
         name: &Name,
@@ -148,42 +156,42 @@
                 row: shard,
             })
         });
-        match self.scanned.contains_key(name) {
+        match self.scanned_at.contains_key(name) {
             true => versioned.for_each(|v| cell.add_new_shard(now.millis, v)),
             false => cell.load_shards(now.millis, versioned.collect()),
         }
-        let first = self.scanned.insert(name.clone(), now.millis).is_none();
+        let first = self.scanned_at.insert(name.clone(), now.millis).is_none();
         if first {
-            self.checked = 0;
+            self.jobs_checked = 0;
         }
     }
 
     /// Reads whether the jobs of open job shards were cancelled.
-    pub(super) fn check_jobs(&mut self, now: Now, out: &mut Vec<Action>) {
-        if now.millis < self.checked + JOBS {
+    pub(super) fn read_jobs(&mut self, now: Now, out: &mut Vec<Action>) {
+        if now.millis < self.jobs_checked + JOB_CHECK_INTERVAL {
             return;
         }
-        self.checked = now.millis;
+        self.jobs_checked = now.millis;
         let shards = self.cells.values().flat_map(|c| c.shards.values());
         let open = shards.filter(|l| !l.cancelled);
         let mut keys: Vec<Name> = open.map(|l| job::key(&l.row.spec.id).into()).collect();
         keys.sort();
         keys.dedup();
         if !keys.is_empty() {
-            self.store(Purpose::Jobs, Call::Read(keys), out);
+            self.call_table(Purpose::ReadJobs, Call::Read(keys), out);
         }
     }
 
-    pub(super) fn jobs(&mut self, now: Now, outcome: &Outcome, out: &mut Vec<Action>) {
+    pub(super) fn handle_jobs(&mut self, now: Now, outcome: &Outcome, out: &mut Vec<Action>) {
         let Some(rows) = rows(outcome) else {
             return;
         };
         let jobs = rows.iter().filter_map(decode::<JobRow>);
         let cancelled: Vec<Name> = jobs.filter(|j| j.cancelled).map(|j| j.spec.id).collect();
-        self.cancel(now, &cancelled, out);
+        self.cancel_jobs(now, &cancelled, out);
     }
 
-    fn cancel(&mut self, now: Now, jobs: &[Name], out: &mut Vec<Action>) {
+    fn cancel_jobs(&mut self, now: Now, jobs: &[Name], out: &mut Vec<Action>) {
         if jobs.is_empty() {
             return;
         }
@@ -195,13 +203,13 @@
             let epoch = cell.epoch;
             let actions = cell.cancel_jobs(jobs);
             for action in actions {
-                self.cell_action(now, &name, epoch, action, out);
+                self.apply_cell_action(now, &name, epoch, action, out);
             }
         }
     }
 
     /// Takes in that job shards were added to cells or jobs were cancelled.
-    pub(super) fn hint(
+    pub(super) fn handle_hint(
         &mut self,
         now: Now,
         cells: Vec<Name>,
@@ -209,10 +217,10 @@
         out: &mut Vec<Action>,
     ) {
         for cell in cells {
-            if self.scanned.contains_key(&cell) {
+            if self.scanned_at.contains_key(&cell) {
                 self.scan_shards(&cell, out);
             }
         }
-        self.cancel(now, &cancelled, out);
+        self.cancel_jobs(now, &cancelled, out);
     }
 }
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -15,12 +15,12 @@
 use crate::utils::clock::Millis;
 
 impl Engine {
-    pub(super) fn leases(&mut self, now: Now, out: &mut Vec<Action>) {
+    pub(super) fn tick_lease(&mut self, now: Now, out: &mut Vec<Action>) {
         let actions = self.lease.tick(now.millis, self.settings.pace.heartbeat);
-        self.lease_actions(now, actions, out);
+        self.apply_lease_actions(now, actions, out);
     }
 
-    pub(super) fn lease_actions(
+    pub(super) fn apply_lease_actions(
         &mut self,
         now: Now,
         actions: Vec<lease::Action>,
@@ -29,29 +29,29 @@
         for action in actions {
             match action {
                 lease::Action::Read => {
-                    self.store(Purpose::Boxes, Call::Scan(lease::PREFIX.into()), out);
+                    self.call_table(Purpose::ReadBoxes, Call::Scan(lease::PREFIX.into()), out);
                 }
                 lease::Action::Renew { expect, row } => {
                     let key = box_key(&row.id);
                     let op = Op::put(key, Expect::Version(expect), &row);
-                    self.store(Purpose::Renew(row.beat), Call::Commit(vec![op]), out);
+                    self.call_table(Purpose::Renew(row.beat), Call::Commit(vec![op]), out);
                 }
                 lease::Action::DeclareDead { id, version } => {
                     log::warn!(target: "lease", "{id} is taken to be dead");
                     let op = Op::delete(box_key(&id), Expect::Version(version));
-                    self.store(Purpose::Declare(id), Call::Commit(vec![op]), out);
+                    self.call_table(Purpose::DeclareDead(id), Call::Commit(vec![op]), out);
                 }
-                lease::Action::Deposed => self.reborn(now, out),
+                lease::Action::Deposed => self.restart(now, out),
             }
         }
     }
 
     /// Starts again as a new incarnation that owns nothing.
-    fn reborn(&mut self, now: Now, out: &mut Vec<Action>) {
+    fn restart(&mut self, now: Now, out: &mut Vec<Action>) {
         log::error!(target: "lease", "{} was taken to be dead; starting again", self.id());
         let cells: Vec<Name> = self.cells.keys().cloned().collect();
         for cell in cells {
-            self.give_up(now, &cell, Reason::Lapsed, out);
+            self.stop_owning(now, &cell, Reason::Lapsed, out);
         }
         self.dedup_shards.clear();
         self.settings.boot += 1;
@@ -62,14 +62,18 @@
         self.router.remove_owner(&self.lease.id().clone());
         self.claims = Claims::new(me.id.clone());
         self.lease = Lease::new(self.settings.lease_timings, me);
-        self.ops
-            .retain(|_, p| matches!(p, Purpose::Head | Purpose::Entries(_) | Purpose::Changes));
-        if self.stopping.is_some() {
+        self.table_calls.retain(|_, p| {
+            matches!(
+                p,
+                Purpose::ReadHead | Purpose::ReadEntries(_) | Purpose::ReadChanges
+            )
+        });
+        if self.stopping_since.is_some() {
             self.claims.stop();
         }
     }
 
-    pub(super) fn claim(&mut self, now: Now, out: &mut Vec<Action>) {
+    pub(super) fn tick_claims(&mut self, now: Now, out: &mut Vec<Action>) {
         if !self.lease.is_registered() {
             return;
         }
@@ -81,32 +85,39 @@
         let interval = self.settings.pace.poll;
         let actions = self.claims.tick(now.millis, interval, gone);
         for action in actions {
-            self.claim_action(now, action, out);
+            self.apply_claim_action(now, action, out);
         }
     }
 
     /// Returns the names of all cells: racks by the list of workers, racks
     /// that have an owner, and the dedup shards.
     fn cell_names(&self) -> BTreeSet<Name> {
-        let mut names: BTreeSet<Name> = self.places.iter().map(|p| p.cell.clone()).collect();
+        let mut names: BTreeSet<Name> =
+            self.listed_workers.iter().map(|p| p.cell.clone()).collect();
         names.extend((0..DEDUP_SHARDS).map(dedup_shard_name));
         names
     }
 
     fn hosts(&self, now: Millis) -> Vec<Host> {
-        let stays = |b: &&BoxRow| self.lease.is_fresh(&b.id, now) && !self.leavers.contains(&b.id);
+        let stays =
+            |b: &&BoxRow| self.lease.is_fresh(&b.id, now) && !self.stopping_peers.contains(&b.id);
         let others = self.lease.other_boxes().filter(stays);
         let mut hosts: Vec<Host> = others.map(host).collect();
-        if self.stopping.is_none() {
+        if self.stopping_since.is_none() {
             hosts.push(host(self.lease.own_row()));
         }
         hosts
     }
 
-    pub(super) fn claim_action(&mut self, now: Now, action: claim::Action, out: &mut Vec<Action>) {
+    pub(super) fn apply_claim_action(
+        &mut self,
+        now: Now,
+        action: claim::Action,
+        out: &mut Vec<Action>,
+    ) {
         match action {
             claim::Action::Read => {
-                self.store(Purpose::Cells, Call::Scan(claim::PREFIX.into()), out);
+                self.call_table(Purpose::ReadCells, Call::Scan(claim::PREFIX.into()), out);
             }
             claim::Action::Claim {
                 cell,
@@ -121,22 +132,22 @@
                 if let Some(old) = old {
                     ops.push(Op::keep(box_key(&old), Expect::Absent));
                 }
-                self.store(Purpose::Claim(cell, expect, row), Call::Commit(ops), out);
+                self.call_table(Purpose::Claim(cell, expect, row), Call::Commit(ops), out);
             }
             claim::Action::Release { cell, expect, row } => {
                 let op = Op::put(cell_key(&cell), Expect::Version(expect), &row);
-                self.store(
+                self.call_table(
                     Purpose::Release(cell, expect, row),
                     Call::Commit(vec![op]),
                     out,
                 );
             }
-            claim::Action::Won { cell, epoch } => self.win(now, cell, epoch, out),
-            claim::Action::Lost { cell } => self.give_up(now, &cell, Reason::NotOwner, out),
+            claim::Action::Won { cell, epoch } => self.start_owning(now, cell, epoch, out),
+            claim::Action::Lost { cell } => self.stop_owning(now, &cell, Reason::NotOwner, out),
         }
     }
 
-    fn win(&mut self, now: Now, cell: Name, epoch: u64, out: &mut Vec<Action>) {
+    fn start_owning(&mut self, now: Now, cell: Name, epoch: u64, out: &mut Vec<Action>) {
         log::info!(target: "claim", "{cell} is owned under epoch {epoch}");
         if cell.starts_with(DEDUP_PREFIX) {
             let shard = DedupShard::new(epoch, now.wall, self.settings.dedup_timings);
@@ -151,16 +162,22 @@
         };
         let policy = self.settings.policy.clone();
         let mut won = Cell::new(cell.clone(), epoch, now.millis, policy, times);
-        won.set_workers(&self.places, self.config.drained());
+        won.set_workers(&self.listed_workers, self.config.drained());
         self.cells.insert(cell.clone(), won);
-        self.refresh();
+        self.update_cells();
         self.scan_shards(&cell, out);
     }
 
     /// Stops acting for a cell that is no longer owned.
-    pub(super) fn give_up(&mut self, now: Now, cell: &Name, reason: Reason, out: &mut Vec<Action>) {
+    pub(super) fn stop_owning(
+        &mut self,
+        now: Now,
+        cell: &Name,
+        reason: Reason,
+        out: &mut Vec<Action>,
+    ) {
         self.dedup_shards.remove(cell);
-        self.scanned.remove(cell);
+        self.scanned_at.remove(cell);
         let Some(mut old) = self.cells.remove(cell) else {
             return;
         };
@@ -168,7 +185,7 @@
         let endpoints = old.workers.values().map(|w| w.http).collect();
         let refused = old.refuse_all(reason);
         for action in refused {
-            self.cell_action(now, cell, old.epoch, action, out);
+            self.apply_cell_action(now, cell, old.epoch, action, out);
         }
         out.push(Action::Disconnect(endpoints));
     }
@@ -182,7 +199,7 @@
             .map(|(cell, _)| cell.clone())
             .collect();
         for shard in leaving {
-            let busy = self.flights.values().any(|f| f.admitted_by(&shard));
+            let busy = self.in_flight.values().any(|f| f.admitted_by(&shard));
             if !busy {
                 self.release(now, &shard, out);
             }
@@ -191,7 +208,7 @@
 
     pub(super) fn release(&mut self, now: Now, cell: &Name, out: &mut Vec<Action>) {
         for action in self.claims.release(cell) {
-            self.claim_action(now, action, out);
+            self.apply_claim_action(now, action, out);
         }
     }
 }
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -8,11 +8,11 @@
 use crate::utils::clock::Millis;
 
 /// Heartbeats for which a move of a cell is told.
-const NEWS: u64 = 3;
+const MOVE_HEARTBEATS: u64 = 3;
 
 impl Engine {
     /// Greets the other boxes when that is due.
-    pub(super) fn greet(&mut self, now: Now, out: &mut Vec<Action>) {
+    pub(super) fn greet_peers(&mut self, now: Now, out: &mut Vec<Action>) {
         let interval = self.settings.pace.heartbeat;
         let others: Vec<(Name, _)> = self
             .lease
@@ -20,22 +20,22 @@
             .filter_map(|b| b.rpc.parse().ok().map(|rpc| (b.id.clone(), rpc)))
             .collect();
         // A cell that has moved is told at once.
-        if self.told != self.claims.moves() {
-            self.told = self.claims.moves();
-            self.news = now.millis + interval * NEWS;
-            self.greeted.clear();
+        if self.announced_moves != self.claims.moves() {
+            self.announced_moves = self.claims.moves();
+            self.announce_until = now.millis + interval * MOVE_HEARTBEATS;
+            self.greeted_at.clear();
         }
         let listed = |id: &Name| others.iter().any(|(o, _)| o == id);
-        self.greeted.retain(|id, _| listed(id));
-        self.moves.retain(|id, _| listed(id));
-        self.leavers.retain(listed);
+        self.greeted_at.retain(|id, _| listed(id));
+        self.peer_moves.retain(|id, _| listed(id));
+        self.stopping_peers.retain(listed);
         for (id, rpc) in others {
-            let last = self.greeted.get(&id).copied();
+            let last = self.greeted_at.get(&id).copied();
             if last.is_some_and(|at| now.millis < at + interval) {
                 continue;
             }
-            self.greeted.insert(id.clone(), now.millis);
-            let mut greeting = self.greeting_now(now.millis);
+            self.greeted_at.insert(id.clone(), now.millis);
+            let mut greeting = self.build_greeting(now.millis);
             let listed = self.lease.successors().contains(&id);
             greeting.ask = listed.then(|| id.clone());
             out.push(Action::Greet {
@@ -46,31 +46,31 @@
         }
     }
 
-    fn greeting_now(&self, now: Millis) -> Greeting {
+    fn build_greeting(&self, now: Millis) -> Greeting {
         Greeting {
             from: self.id().clone(),
             rpc: self.settings.rpc,
             hall: self.settings.hall.clone(),
             config: self.config.version(),
-            stopping: self.stopping.is_some(),
+            stopping: self.stopping_since.is_some(),
             ask: None,
             sent: now,
             moves: self.claims.moves(),
-            moved: self.news(now),
-            loads: self.loads(now),
+            moved: self.recent_moves(now),
+            loads: self.own_loads(now),
         }
     }
 
     /// Returns the last own moves of cells, while they are news.
-    fn news(&self, now: Millis) -> Vec<VersionedCell> {
-        match now < self.news {
+    fn recent_moves(&self, now: Millis) -> Vec<VersionedCell> {
+        match now < self.announce_until {
             true => self.claims.recent().cloned().collect(),
             false => Vec::new(),
         }
     }
 
     /// Returns the load of the own cells that take requests.
-    fn loads(&self, now: Millis) -> Vec<CellLoad> {
+    fn own_loads(&self, now: Millis) -> Vec<CellLoad> {
         if !self.lease.may_act(now) {
             return Vec::new();
         }
@@ -87,13 +87,13 @@
     }
 
     /// Tells the own router the load of the own cells.
-    pub(super) fn report_own(&mut self, now: Millis) {
-        let loads = self.loads(now);
+    pub(super) fn report_own_loads(&mut self, now: Millis) {
+        let loads = self.own_loads(now);
         let me = self.id().clone();
         self.router.update_owner(now, &me, None, loads);
     }
 
-    pub(super) fn greeting(
+    pub(super) fn handle_greeting(
         &mut self,
         now: Now,
         ticket: u64,
@@ -102,15 +102,15 @@
     ) {
         let asked = greeting.ask.as_ref() == Some(self.id());
         let promised = asked && self.lease.grant_promise(now.millis, &greeting.from);
-        self.learn(now, &greeting, out);
+        self.apply_greeting(now, &greeting, out);
         out.push(Action::AnswerGreeting {
             ticket,
-            greeting: self.greeting_now(now.millis),
+            greeting: self.build_greeting(now.millis),
             promised,
         });
     }
 
-    pub(super) fn greeted(
+    pub(super) fn handle_greeting_reply(
         &mut self,
         now: Now,
         to: &Name,
@@ -126,22 +126,24 @@
         if promised && greeting.from == *to {
             self.lease.record_promise(to, sent);
         }
-        self.learn(now, &greeting, out);
+        self.apply_greeting(now, &greeting, out);
     }
 
-    fn learn(&mut self, now: Now, greeting: &Greeting, out: &mut Vec<Action>) {
+    fn apply_greeting(&mut self, now: Now, greeting: &Greeting, out: &mut Vec<Action>) {
         for versioned in &greeting.moved {
             if let Some(action) = self.claims.told(versioned.clone()) {
-                self.claim_action(now, action, out);
+                self.apply_claim_action(now, action, out);
             }
         }
-        let known = self.moves.insert(greeting.from.clone(), greeting.moves);
+        let known = self
+            .peer_moves
+            .insert(greeting.from.clone(), greeting.moves);
         let complete = |known: u64| known + greeting.moved.len() as u64 >= greeting.moves;
         if known.is_some_and(|known| !complete(known)) {
             self.claims.refresh();
         }
         if greeting.stopping {
-            self.leavers.insert(greeting.from.clone());
+            self.stopping_peers.insert(greeting.from.clone());
             self.router.remove_owner(&greeting.from);
         } else {
             let rpc = Some(greeting.rpc);
@@ -149,6 +151,6 @@
             self.router
                 .update_owner(now.millis, &greeting.from, rpc, loads);
         }
-        self.heard(now, greeting.config, greeting.rpc, out);
+        self.handle_peer_version(now, greeting.config, greeting.rpc, out);
     }
 }
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::in_flight::Flight;
-use super::requests::BUDGET;
+use super::in_flight::InFlightRequest;
+use super::requests::RETRY_BUDGET;
 use super::table_calls::Purpose;
 use super::{Action, EngineSettings, Event, Now};
 use crate::cell::{Cell, ListedWorker};
@@ -16,11 +16,11 @@
 use crate::utils::clock::Millis;
 
 /// Heartbeats without a word after which a peer's loads are forgotten.
-const SILENT: u64 = 5;
+const LOAD_EXPIRY: u64 = 5;
 /// Heartbeats for which a box that stops goes on refusing.
-const LINGER: u64 = 3;
+const LINGER_HEARTBEATS: u64 = 3;
 /// Milliseconds that the servers have to end when the time of the stop is over.
-const LAST: Millis = 1_000;
+const MIN_DRAIN: Millis = 1_000;
 
 /// The decisions of one entry box.
 #[derive(Clone, Debug)]
@@ -34,31 +34,31 @@
     /// A configuration that is read and not yet known to be whole.
     pub(super) staged: Option<Config>,
     pub(super) router: Router,
-    pub(super) places: Vec<ListedWorker>,
-    pub(super) flights: BTreeMap<u64, Flight>,
-    pub(super) ops: BTreeMap<u64, Purpose>,
+    pub(super) listed_workers: Vec<ListedWorker>,
+    pub(super) in_flight: BTreeMap<u64, InFlightRequest>,
+    pub(super) table_calls: BTreeMap<u64, Purpose>,
     pub(super) next_op: u64,
-    pub(super) budget: f64,
-    pub(super) stopping: Option<Millis>,
-    pub(super) listed: Option<Millis>,
+    pub(super) retry_budget: f64,
+    pub(super) stopping_since: Option<Millis>,
+    pub(super) listed_at: Option<Millis>,
     pub(super) listing: bool,
-    pub(super) polled: Option<Millis>,
+    pub(super) polled_at: Option<Millis>,
     pub(super) polling: bool,
-    pub(super) greeted: BTreeMap<Name, Millis>,
+    pub(super) greeted_at: BTreeMap<Name, Millis>,
     /// Moves of cells that each peer told of, and the own ones told to all.
-    pub(super) moves: BTreeMap<Name, u64>,
-    pub(super) told: u64,
+    pub(super) peer_moves: BTreeMap<Name, u64>,
+    pub(super) announced_moves: u64,
     /// Other boxes that are stopping: nothing is given to them.
-    pub(super) leavers: BTreeSet<Name>,
+    pub(super) stopping_peers: BTreeSet<Name>,
     /// Until when the last own moves are told.
-    pub(super) news: Millis,
-    pub(super) flushed: Millis,
-    pub(super) scanned: BTreeMap<Name, Millis>,
-    pub(super) checked: Millis,
-    pub(super) answered: Millis,
-    pub(super) snapshot: Option<Millis>,
+    pub(super) announce_until: Millis,
+    pub(super) flushed_at: Millis,
+    pub(super) scanned_at: BTreeMap<Name, Millis>,
+    pub(super) jobs_checked: Millis,
+    pub(super) answered_at: Millis,
+    pub(super) snapshot_at: Option<Millis>,
     /// Since when nothing is in progress, during a planned stop.
-    idle: Option<Millis>,
+    idle_since: Option<Millis>,
     exited: bool,
 }
 
@@ -83,27 +83,27 @@
             config: Config::default(),
             staged: None,
             router: Router::new(settings.hall.clone(), seed),
-            places: Vec::new(),
-            flights: BTreeMap::new(),
-            ops: BTreeMap::new(),
+            listed_workers: Vec::new(),
+            in_flight: BTreeMap::new(),
+            table_calls: BTreeMap::new(),
             next_op: 0,
-            budget: BUDGET,
-            stopping: None,
-            listed: None,
+            retry_budget: RETRY_BUDGET,
+            stopping_since: None,
+            listed_at: None,
             listing: false,
-            polled: None,
+            polled_at: None,
             polling: false,
-            greeted: BTreeMap::new(),
-            moves: BTreeMap::new(),
-            told: 0,
-            leavers: BTreeSet::new(),
-            news: 0,
-            flushed: 0,
-            scanned: BTreeMap::new(),
-            checked: 0,
-            answered: 0,
-            snapshot: None,
-            idle: None,
+            greeted_at: BTreeMap::new(),
+            peer_moves: BTreeMap::new(),
+            announced_moves: 0,
+            stopping_peers: BTreeSet::new(),
+            announce_until: 0,
+            flushed_at: 0,
+            scanned_at: BTreeMap::new(),
+            jobs_checked: 0,
+            answered_at: 0,
+            snapshot_at: None,
+            idle_since: None,
             exited: false,
             settings,
         }
@@ -115,22 +115,22 @@
     }
 
     /// Returns the time until which sends to workers may leave.
-    pub fn until(&self) -> Millis {
+    pub fn send_until(&self) -> Millis {
         self.lease.acts_until()
     }
 
     /// Returns true while the box may act for its cells.
-    pub fn acts(&self, now: Millis) -> bool {
+    pub fn may_act(&self, now: Millis) -> bool {
         self.lease.may_act(now)
     }
 
     /// Returns true while the box acts past its lease by promises.
-    pub fn extended(&self, now: Millis) -> bool {
+    pub fn acts_on_promises(&self, now: Millis) -> bool {
         self.lease.acts_by_promises(now)
     }
 
     /// Returns the owned cells with their epochs.
-    pub fn owned(&self) -> impl Iterator<Item = (&Name, u64)> {
+    pub fn owned_cells(&self) -> impl Iterator<Item = (&Name, u64)> {
         self.claims
             .mine()
             .iter()
@@ -138,7 +138,7 @@
     }
 
     /// Returns the version of the configuration in force.
-    pub fn version(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         self.config.version()
     }
 
@@ -149,7 +149,7 @@
 
     /// Returns true when callers' requests can be taken.
     pub fn ready(&self) -> bool {
-        self.stopping.is_none() && self.config.known() && !self.router.views().is_empty()
+        self.stopping_since.is_none() && self.config.known() && !self.router.views().is_empty()
     }
 
     /// Takes in an event; returns what is to be done.
@@ -157,72 +157,76 @@
         let mut out = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut out),
-            Event::Request { ticket, meta } => self.request(now, ticket, meta, &mut out),
+            Event::Request { ticket, meta } => self.handle_request(now, ticket, meta, &mut out),
             Event::Forwarded {
                 ticket,
                 meta,
                 cell,
                 dedup_shard,
                 epoch,
-            } => self.forwarded(now, ticket, meta, cell, dedup_shard, epoch, &mut out),
-            Event::SendEnded { ticket, outcome } => self.sent(now, ticket, outcome, &mut out),
-            Event::ForwardEnded { ticket, outcome } => self.handed(now, ticket, outcome, &mut out),
+            } => self.handle_forwarded(now, ticket, meta, cell, dedup_shard, epoch, &mut out),
+            Event::SendEnded { ticket, outcome } => {
+                self.handle_send_outcome(now, ticket, outcome, &mut out)
+            }
+            Event::ForwardEnded { ticket, outcome } => {
+                self.handle_forward_outcome(now, ticket, outcome, &mut out)
+            }
             Event::TableCallEnded { op, sent, outcome } => {
-                self.stored(now, op, sent, outcome, &mut out)
+                self.handle_table_outcome(now, op, sent, outcome, &mut out)
             }
-            Event::WorkersListed(places) => self.list(places),
+            Event::WorkersListed(places) => self.update_workers(places),
             Event::WorkerCallEnded {
                 cell,
                 epoch,
                 worker,
                 outcome,
-            } => self.worker(now, &cell, epoch, &worker, outcome, &mut out),
+            } => self.handle_worker_outcome(now, &cell, epoch, &worker, outcome, &mut out),
             Event::GreetingReceived { ticket, greeting } => {
-                self.greeting(now, ticket, greeting, &mut out)
+                self.handle_greeting(now, ticket, greeting, &mut out)
             }
             Event::GreetingEnded { to, sent, reply } => {
-                self.greeted(now, &to, sent, reply, &mut out)
+                self.handle_greeting_reply(now, &to, sent, reply, &mut out)
             }
-            Event::SnapshotEnded(config) => self.snapshot(config),
-            Event::Hint { cells, cancelled } => self.hint(now, cells, cancelled, &mut out),
+            Event::SnapshotEnded(config) => self.adopt_snapshot(config),
+            Event::Hint { cells, cancelled } => self.handle_hint(now, cells, cancelled, &mut out),
             Event::Query { ticket, query } => {
                 let view = self.view(now.millis, &query);
                 out.push(Action::AnswerQuery { ticket, view });
             }
-            Event::Stop => self.stop(now),
+            Event::Stop => self.begin_stop(now),
         }
         out
     }
 
     fn tick(&mut self, now: Now, out: &mut Vec<Action>) {
         let pace = self.settings.pace;
-        self.leases(now, out);
-        self.directory(now, out);
-        self.poll(now, out);
-        self.greet(now, out);
-        self.claim(now, out);
-        self.seek_owners(now, out);
+        self.tick_lease(now, out);
+        self.poll_workers(now, out);
+        self.poll_config(now, out);
+        self.greet_peers(now, out);
+        self.tick_claims(now, out);
+        self.resume_backed_off(now, out);
         if self.lease.may_act(now.millis) {
-            self.run_cells(now, out);
+            self.tick_cells(now, out);
         } else {
-            self.rest(now, out);
+            self.refuse_queued(now, out);
         }
-        self.journal(now, out);
-        self.rescan(now, out);
-        self.check_jobs(now, out);
-        self.report_own(now.millis);
-        let oldest = now.millis.saturating_sub(pace.heartbeat * SILENT);
+        self.write_job_shards(now, out);
+        self.rescan_due_cells(now, out);
+        self.read_jobs(now, out);
+        self.report_own_loads(now.millis);
+        let oldest = now.millis.saturating_sub(pace.heartbeat * LOAD_EXPIRY);
         self.router.forget_before(oldest);
         self.finish_stop(now, out);
     }
 
-    fn stop(&mut self, now: Now) {
-        if self.stopping.is_none() {
+    fn begin_stop(&mut self, now: Now) {
+        if self.stopping_since.is_none() {
             log::info!(target: "engine", "a planned stop begins");
-            self.stopping = Some(now.millis);
+            self.stopping_since = Some(now.millis);
             self.claims.stop();
             // All others are told at once, so that they give it no cells.
-            self.greeted.clear();
+            self.greeted_at.clear();
         }
     }
 
@@ -230,20 +234,20 @@
     /// time is over. It lingers until its peers know, and refuses what they
     /// still hand over; ended at once it would cut that off.
     fn finish_stop(&mut self, now: Now, out: &mut Vec<Action>) {
-        let Some(since) = self.stopping else {
+        let Some(since) = self.stopping_since else {
             return;
         };
-        let busy = !self.flights.is_empty() || !self.claims.empty();
+        let busy = !self.in_flight.is_empty() || !self.claims.empty();
         if busy {
-            self.idle = None;
+            self.idle_since = None;
         }
-        let idle = *self.idle.get_or_insert(now.millis);
-        let quiet = !busy && now.millis >= idle + self.settings.pace.heartbeat * LINGER;
+        let idle = *self.idle_since.get_or_insert(now.millis);
+        let quiet = !busy && now.millis >= idle + self.settings.pace.heartbeat * LINGER_HEARTBEATS;
         let over = now.millis >= since + self.settings.pace.stop;
         if (quiet || over) && !self.exited {
             self.exited = true;
             let end = since + self.settings.pace.stop;
-            let within = end.saturating_sub(now.millis).max(LAST);
+            let within = end.saturating_sub(now.millis).max(MIN_DRAIN);
             out.push(Action::Exit { within });
         }
     }
--- a/src/engine/table_calls.rs
+++ b/src/engine/table_calls.rs
@@ -11,32 +11,32 @@
 /// What a call to the table is for.
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
-    Boxes,
+    ReadBoxes,
     Renew(u64),
-    Declare(Name),
-    Cells,
+    DeclareDead(Name),
+    ReadCells,
     Claim(Name, u64, CellRow),
     Release(Name, u64, CellRow),
-    Head,
-    Entries(u64),
-    Changes,
-    Shards(Name, u64),
-    Reread(Vec<(Name, u64, Name)>),
-    Journal(Vec<(Name, u64, Name)>),
-    Jobs,
+    ReadHead,
+    ReadEntries(u64),
+    ReadChanges,
+    ScanShards(Name, u64),
+    RereadShards(Vec<(Name, u64, Name)>),
+    WriteShards(Vec<(Name, u64, Name)>),
+    ReadJobs,
 }
 
 impl Engine {
-    pub(super) fn store(&mut self, purpose: Purpose, call: Call, out: &mut Vec<Action>) {
+    pub(super) fn call_table(&mut self, purpose: Purpose, call: Call, out: &mut Vec<Action>) {
         self.next_op += 1;
-        self.ops.insert(self.next_op, purpose);
+        self.table_calls.insert(self.next_op, purpose);
         out.push(Action::CallTable {
             op: self.next_op,
             call,
         });
     }
 
-    pub(super) fn stored(
+    pub(super) fn handle_table_outcome(
         &mut self,
         now: Now,
         op: u64,
@@ -44,7 +44,7 @@
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
-        let Some(purpose) = self.ops.remove(&op) else {
+        let Some(purpose) = self.table_calls.remove(&op) else {
             return;
         };
         let reached = !matches!(
@@ -52,50 +52,54 @@
             Outcome::Failed | Outcome::Written(WriteOutcome::NotSent | WriteOutcome::Unknown)
         );
         if reached {
-            self.answered = now.millis;
+            self.answered_at = now.millis;
         }
         match purpose {
-            Purpose::Boxes => {
-                let rows = rows(&outcome).map(|r| boxes(r));
+            Purpose::ReadBoxes => {
+                let rows = rows(&outcome).map(|r| decode_boxes(r));
                 let actions = self.lease.apply_read(now.millis, sent, rows);
-                self.lease_actions(now, actions, out);
+                self.apply_lease_actions(now, actions, out);
             }
             Purpose::Renew(beat) => {
                 let actions = self
                     .lease
-                    .finish_renewal(now.millis, beat, written(&outcome));
-                self.lease_actions(now, actions, out);
+                    .finish_renewal(now.millis, beat, write_outcome(&outcome));
+                self.apply_lease_actions(now, actions, out);
             }
-            Purpose::Declare(owner) => {
+            Purpose::DeclareDead(owner) => {
                 self.lease
-                    .finish_declaration(now.millis, &owner, written(&outcome))
+                    .finish_declaration(now.millis, &owner, write_outcome(&outcome))
             }
-            Purpose::Cells => {
-                let rows = rows(&outcome).map(|r| cells(r));
+            Purpose::ReadCells => {
+                let rows = rows(&outcome).map(|r| decode_cells(r));
                 let actions = self.claims.read(sent, rows);
                 for action in actions {
-                    self.claim_action(now, action, out);
+                    self.apply_claim_action(now, action, out);
                 }
             }
             Purpose::Claim(cell, expect, row) => {
-                let action = self.claims.claimed(&cell, expect, row, written(&outcome));
+                let action = self
+                    .claims
+                    .claimed(&cell, expect, row, write_outcome(&outcome));
                 if let Some(action) = action {
-                    self.claim_action(now, action, out);
+                    self.apply_claim_action(now, action, out);
                 }
             }
             Purpose::Release(cell, expect, row) => {
-                let action = self.claims.released(&cell, expect, row, written(&outcome));
+                let action = self
+                    .claims
+                    .released(&cell, expect, row, write_outcome(&outcome));
                 if let Some(action) = action {
-                    self.claim_action(now, action, out);
+                    self.apply_claim_action(now, action, out);
                 }
             }
-            Purpose::Head => self.head(now, &outcome, out),
-            Purpose::Entries(version) => self.entries(version, &outcome, out),
-            Purpose::Changes => self.changes(&outcome),
-            Purpose::Shards(cell, epoch) => self.shards(now, &cell, epoch, &outcome, out),
-            Purpose::Reread(shards) => self.rereads(&shards, &outcome),
-            Purpose::Journal(shards) => self.journaled(&shards, written(&outcome)),
-            Purpose::Jobs => self.jobs(now, &outcome, out),
+            Purpose::ReadHead => self.handle_head(now, &outcome, out),
+            Purpose::ReadEntries(version) => self.stage_entries(version, &outcome, out),
+            Purpose::ReadChanges => self.apply_changes(&outcome),
+            Purpose::ScanShards(cell, epoch) => self.handle_scan(now, &cell, epoch, &outcome, out),
+            Purpose::RereadShards(shards) => self.handle_reread(&shards, &outcome),
+            Purpose::WriteShards(shards) => self.handle_write(&shards, write_outcome(&outcome)),
+            Purpose::ReadJobs => self.handle_jobs(now, &outcome, out),
         }
     }
 }
@@ -107,14 +111,14 @@
     }
 }
 
-pub(super) fn written(outcome: &Outcome) -> WriteOutcome {
+pub(super) fn write_outcome(outcome: &Outcome) -> WriteOutcome {
     match outcome {
         Outcome::Written(written) => *written,
         _ => WriteOutcome::Unknown,
     }
 }
 
-fn boxes(rows: &[Row]) -> Vec<lease::VersionedBox> {
+fn decode_boxes(rows: &[Row]) -> Vec<lease::VersionedBox> {
     let versioned = |row: &Row| {
         let version = row.version;
         decode(row).map(|row| lease::VersionedBox { version, row })
@@ -122,7 +126,7 @@
     rows.iter().filter_map(versioned).collect()
 }
 
-fn cells(rows: &[Row]) -> Vec<claim::VersionedCell> {
+fn decode_cells(rows: &[Row]) -> Vec<claim::VersionedCell> {
     let versioned = |row: &Row| {
         let cell: Name = row.key.strip_prefix(claim::PREFIX)?.into();
         let version = row.version;
--- a/src/engine/views.rs
+++ b/src/engine/views.rs
@@ -42,9 +42,9 @@
     /// Boxes known, itself included.
     pub boxes: usize,
     /// True while it may act for its cells.
-    pub lease: bool,
+    pub may_act: bool,
     /// Milliseconds since the table last answered.
-    pub store: Millis,
+    pub table_silence: Millis,
 }
 
 /// A box.
@@ -74,9 +74,9 @@
     /// What it has.
     pub shape: Shape,
     /// Slots in use.
-    pub busy: u32,
+    pub used_slots: u32,
     /// Free thousandths of cores.
-    pub free: u32,
+    pub free_cores: u32,
     /// Runs on it.
     pub runs: usize,
 }
@@ -122,11 +122,11 @@
             Query::Boxes => View::Boxes(self.boxes()),
             Query::Workers => {
                 let cells = self.cells.values();
-                View::Workers(cells.flat_map(|c| workers(c, now)).collect())
+                View::Workers(cells.flat_map(|c| worker_views(c, now)).collect())
             }
             Query::Tasks(job) => {
                 let cells = self.cells.values();
-                View::Tasks(cells.flat_map(|c| tasks(c, job.as_ref())).collect())
+                View::Tasks(cells.flat_map(|c| task_views(c, job.as_ref())).collect())
             }
             Query::CandidateCells => View::CandidateCells(self.candidate_cells()),
             Query::Config => View::Config(self.config.clone()),
@@ -134,9 +134,9 @@
     }
 
     /// Returns the tasks of a job in own cells.
-    pub fn tasks_of(&self, job: &Name) -> Vec<TaskView> {
+    pub fn job_tasks(&self, job: &Name) -> Vec<TaskView> {
         let cells = self.cells.values();
-        cells.flat_map(|c| tasks(c, Some(job))).collect()
+        cells.flat_map(|c| task_views(c, Some(job))).collect()
     }
 
     fn status(&self, now: Millis) -> StatusView {
@@ -147,8 +147,8 @@
             config: self.config.version(),
             cells: self.claims.mine().len(),
             boxes: self.lease.other_boxes().count() + 1,
-            lease: self.lease.may_act(now),
-            store: now.saturating_sub(self.answered),
+            may_act: self.lease.may_act(now),
+            table_silence: now.saturating_sub(self.answered_at),
         }
     }
 
@@ -165,7 +165,7 @@
                 rpc: row.rpc.clone(),
                 hall: row.hall.clone(),
                 cells: owned(&row.id),
-                stopping: row.id == *self.id() && self.stopping.is_some(),
+                stopping: row.id == *self.id() && self.stopping_since.is_some(),
             })
             .collect();
         views.sort_by(|a, b| a.id.cmp(&b.id));
@@ -187,20 +187,20 @@
     }
 }
 
-fn workers(cell: &Cell, now: Millis) -> Vec<WorkerView> {
+fn worker_views(cell: &Cell, now: Millis) -> Vec<WorkerView> {
     let view = |w: &Worker| WorkerView {
         name: w.name.clone(),
         cell: cell.name.clone(),
-        state: state(w, now),
+        state: worker_state(w, now),
         shape: w.shape,
-        busy: w.used_slots(),
-        free: w.free_cores(),
+        used_slots: w.used_slots(),
+        free_cores: w.free_cores(),
         runs: w.runs.len(),
     };
     cell.workers.values().map(view).collect()
 }
 
-fn state(worker: &Worker, now: Millis) -> &'static str {
+fn worker_state(worker: &Worker, now: Millis) -> &'static str {
     match () {
         () if !worker.responsive => "silent",
         () if !worker.accepts_work(now) => "leaving",
@@ -210,7 +210,7 @@
     }
 }
 
-fn tasks(cell: &Cell, job: Option<&Name>) -> Vec<TaskView> {
+fn task_views(cell: &Cell, job: Option<&Name>) -> Vec<TaskView> {
     let mut views = Vec::new();
     for shard in cell.shards.values() {
         if job.is_some_and(|j| *j != shard.row.spec.id) {
--- a/src/entry/listings.rs
+++ b/src/entry/listings.rs
@@ -77,9 +77,9 @@
         cell: view.cell.to_string(),
         state: view.state.into(),
         slots: view.shape.slots,
-        busy: view.busy,
+        busy: view.used_slots,
         cores: view.shape.cores,
-        free: view.free,
+        free: view.free_cores,
         runs: view.runs as u32,
         owner: owner.into(),
     }
@@ -146,8 +146,8 @@
         config: view.config,
         cells: view.cells as u32,
         boxes: view.boxes as u32,
-        lease: view.lease,
-        store: view.store,
+        lease: view.may_act,
+        store: view.table_silence,
         violations: invariant::violated(),
     })
 }
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -197,7 +197,7 @@
             };
             let now = Now::read();
             let actions = self.engine.step(now, event);
-            self.context.fence.set(self.engine.until());
+            self.context.fence.set(self.engine.send_until());
             for action in actions {
                 self.carry_out(action);
             }
--- a/tools/trial/src/world.rs
+++ b/tools/trial/src/world.rs
@@ -418,7 +418,7 @@
         self.watch_owners();
         for index in 0..BOXES {
             let engine = &self.nodes[index].engine;
-            let (id, version) = (engine.id().clone(), engine.version());
+            let (id, version) = (engine.id().clone(), engine.config_version());
             let last = self.truth.versions.insert(id.clone(), version).unwrap_or(0);
             self.truth.check(version >= last, Rule::Config, || {
                 format!("{id} went from {last} back to {version}")
@@ -437,13 +437,13 @@
         for node in 0..BOXES {
             let now = self.clock(node).millis;
             let Node { engine, frozen, .. } = &self.nodes[node];
-            if *frozen > self.now || !engine.acts(now) {
+            if *frozen > self.now || !engine.may_act(now) {
                 continue;
             }
-            if engine.extended(now) {
+            if engine.acts_on_promises(now) {
                 self.truth.counts.event("box steps acted past the lease");
             }
-            for (cell, _) in engine.owned() {
+            for (cell, _) in engine.owned_cells() {
                 owners
                     .entry(cell.clone())
                     .or_default()
--- a/tools/trial/src/world/boxes.rs
+++ b/tools/trial/src/world/boxes.rs
@@ -128,7 +128,7 @@
 
     fn acts(&self, node: usize) -> bool {
         let now = self.clock(node).millis;
-        self.nodes[node].engine.acts(now)
+        self.nodes[node].engine.may_act(now)
     }
 
     fn attempt(&self, node: usize, ticket: u64) -> Option<usize> {
@@ -145,7 +145,7 @@
             return;
         };
         let now = self.clock(node);
-        let until = self.nodes[node].engine.until();
+        let until = self.nodes[node].engine.send_until();
         let wait = time_left.min(until.saturating_sub(now.millis));
         let payload = Payload::Begin {
             epoch,
@@ -241,7 +241,7 @@
             return self.feed(node, unsent);
         }
         let number: usize = worker.trim_start_matches('w').parse().unwrap_or(0);
-        let until = self.nodes[node].engine.until();
+        let until = self.nodes[node].engine.send_until();
         let payload = Payload::Worker {
             cell,
             epoch,
--- a/tools/trial/src/world/load.rs
+++ b/tools/trial/src/world/load.rs
@@ -360,7 +360,9 @@
             for node in 0..BOXES {
                 let now = self.clock(node).millis;
                 let engine = &self.nodes[node].engine;
-                owners += usize::from(engine.acts(now) && engine.owned().any(|(c, _)| *c == cell));
+                owners += usize::from(
+                    engine.may_act(now) && engine.owned_cells().any(|(c, _)| *c == cell),
+                );
             }
             self.truth.check(owners == 1, Rule::Owner, || {
                 format!("{cell} has {owners} owners at the end")
@@ -374,7 +376,9 @@
             .first()
             .and_then(decode::<Head>)
             .map_or(0, |h| h.version);
-        let versions: Vec<u64> = (0..BOXES).map(|n| self.nodes[n].engine.version()).collect();
+        let versions: Vec<u64> = (0..BOXES)
+            .map(|n| self.nodes[n].engine.config_version())
+            .collect();
         let all = versions.iter().all(|v| *v == head);
         self.truth.check(all, Rule::Config, || {
             format!("the head is {head}, in force are {versions:?}")
@@ -420,7 +424,7 @@
             self.truth.counts.event(name);
             let ended = summary.state != "open";
             self.truth.check(ended, Rule::Resume, || {
-                let states = self.nodes.iter().map(|n| n.engine.tasks_of(&id));
+                let states = self.nodes.iter().map(|n| n.engine.job_tasks(&id));
                 let states: Vec<_> = states.collect();
                 format!("{id} has not ended: {summary:?} {states:?}")
             });
