--- a/src/engine.rs
+++ b/src/engine.rs
@@ -114,7 +114,7 @@
         /// Why.
         reason: Reason,
         /// Milliseconds after which to come back.
-        after: Millis,
+        retry_after: Millis,
         /// Sends that are left to it.
         retries: u32,
     },
@@ -132,7 +132,7 @@
         /// Why.
         reason: Reason,
         /// Milliseconds after which to come back.
-        after: Millis,
+        retry_after: Millis,
     },
     /// It may have run.
     Unknown {
--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -88,7 +88,7 @@
                 let time_left = self
                     .in_flight
                     .get(&ticket)
-                    .map_or(0, |f| f.left(now.millis));
+                    .map_or(0, |r| r.time_left(now.millis));
                 out.push(Action::Send {
                     ticket,
                     cell: cell.clone(),
@@ -171,15 +171,15 @@
         }
     }
 
-    pub(super) fn update_workers(&mut self, places: Option<Vec<ListedWorker>>) {
+    pub(super) fn update_workers(&mut self, workers: Option<Vec<ListedWorker>>) {
         self.listing = false;
-        let Some(places) = places else {
+        let Some(workers) = workers else {
             return;
         };
-        if places == self.listed_workers {
+        if workers == self.listed_workers {
             return;
         }
-        self.listed_workers = places;
+        self.listed_workers = workers;
         self.update_cells();
     }
 
--- a/src/engine/in_flight.rs
+++ b/src/engine/in_flight.rs
@@ -60,7 +60,7 @@
 
 impl InFlightRequest {
     /// Returns the milliseconds until its deadline.
-    pub fn left(&self, now: Millis) -> Millis {
+    pub fn time_left(&self, now: Millis) -> Millis {
         self.deadline.saturating_sub(now)
     }
 
--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -20,7 +20,7 @@
         now: Now,
         ticket: u64,
         reason: Reason,
-        after: Millis,
+        retry_after: Millis,
         out: &mut Vec<Action>,
     ) {
         let cell = self.leave_cell(ticket);
@@ -31,7 +31,7 @@
         if self.spend_retry(now, ticket) {
             return self.route(now, ticket, out);
         }
-        self.finish_not_run(now, ticket, reason, after, out);
+        self.finish_not_run(now, ticket, reason, retry_after, out);
     }
 
     /// Takes in that a request could not be sent, as the lease has lapsed.
@@ -77,7 +77,7 @@
         };
         let allowed = request.origin != Origin::PeerForCell
             && request.retries > 0
-            && request.left(now.millis) > 0
+            && request.time_left(now.millis) > 0
             && self.retry_budget >= 1.0;
         if allowed {
             request.retries -= 1;
@@ -95,7 +95,7 @@
         out: &mut Vec<Action>,
     ) {
         self.mark_sent(ticket);
-        let stage = self.in_flight.get(&ticket).map(|f| f.stage.clone());
+        let stage = self.in_flight.get(&ticket).map(|r| r.stage.clone());
         if let Some(Stage::Local(name)) = stage
             && let Some(cell) = self.cells.get_mut(&name)
         {
@@ -141,18 +141,18 @@
             }
             ForwardOutcome::NotRun {
                 reason,
-                after,
+                retry_after,
                 retries,
             } => {
                 request.retries = request.retries.min(retries);
                 if !at_dedup {
-                    return self.handle_refusal(now, ticket, reason, after, out);
+                    return self.handle_refusal(now, ticket, reason, retry_after, out);
                 }
                 // Only the owner of the dedup shard tries cells; the shard may have a new owner.
                 let moved = matches!(reason, Reason::NotOwner | Reason::Unreachable);
                 match moved {
                     true => self.back_off(now, ticket, reason, out),
-                    false => self.finish_not_run(now, ticket, reason, after, out),
+                    false => self.finish_not_run(now, ticket, reason, retry_after, out),
                 }
             }
             ForwardOutcome::Unknown => self.handle_unknown_outcome(now, ticket, "peer", out),
@@ -185,16 +185,19 @@
         now: Now,
         ticket: u64,
         reason: Reason,
-        after: Millis,
+        retry_after: Millis,
         out: &mut Vec<Action>,
     ) {
         let jitter = crate::utils::hash::mix(ticket ^ now.micros) % JITTER_STEPS;
-        let after = after + after * jitter / JITTER_STEPS;
+        let retry_after = retry_after + retry_after * jitter / JITTER_STEPS;
         // An earlier send that may have run forbids to say that it did not.
-        let may_have_run = self.in_flight.get(&ticket).is_some_and(|f| f.may_have_run);
+        let may_have_run = self.in_flight.get(&ticket).is_some_and(|r| r.may_have_run);
         let verdict = match may_have_run {
             true => UNKNOWN_AFTER_RESEND,
-            false => Verdict::NotRun { reason, after },
+            false => Verdict::NotRun {
+                reason,
+                retry_after,
+            },
         };
         self.finish(ticket, verdict, out);
     }
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -199,7 +199,7 @@
             .map(|(cell, _)| cell.clone())
             .collect();
         for shard in leaving {
-            let busy = self.in_flight.values().any(|f| f.admitted_by(&shard));
+            let busy = self.in_flight.values().any(|r| r.admitted_by(&shard));
             if !busy {
                 self.release(now, &shard, out);
             }
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -69,9 +69,9 @@
     pub(super) fn mark_sending(&mut self, ticket: u64) -> bool {
         let request = self.in_flight.get_mut(&ticket);
         let known = request.is_some();
-        let once = request.is_some_and(|f| {
-            let before = std::mem::replace(&mut f.sending, true);
-            !before && (f.meta.repeatable || !f.may_have_run)
+        let once = request.is_some_and(|r| {
+            let before = std::mem::replace(&mut r.sending, true);
+            !before && (r.meta.repeatable || !r.may_have_run)
         });
         let detail = || format!("{ticket} is sent again; known: {known}");
         invariant::check(once, Rule::Once, detail)
@@ -128,7 +128,7 @@
             Some(Ok(rpc)) if !asked_me => {
                 request.stage = Stage::Dedup;
                 let mut meta = request.meta.clone();
-                meta.time_left = request.left(now.millis);
+                meta.time_left = request.time_left(now.millis);
                 meta.retries = request.retries;
                 if !self.mark_sending(ticket) {
                     return self.finish(ticket, UNKNOWN_AFTER_RESEND, out);
@@ -159,7 +159,7 @@
         let jitter = crate::utils::hash::mix(ticket) % BACKOFF;
         let until = now.millis + BACKOFF + jitter;
         let request = self.in_flight.get(&ticket);
-        let in_time = request.is_some_and(|f| f.deadline > until);
+        let in_time = request.is_some_and(|r| r.deadline > until);
         if !in_time || !self.spend_retry(now, ticket) {
             return self.finish_not_run(now, ticket, reason, RETRY_AFTER, out);
         }
@@ -173,12 +173,12 @@
     /// Looks again for the dedup shards or cells of requests that wait for one.
     pub(super) fn resume_backed_off(&mut self, now: Now, out: &mut Vec<Action>) {
         let due =
-            |f: &InFlightRequest| matches!(f.stage, Stage::Backoff(until) if until <= now.millis);
-        let waiting = self.in_flight.iter().filter(|(_, f)| due(f));
+            |r: &InFlightRequest| matches!(r.stage, Stage::Backoff(until) if until <= now.millis);
+        let waiting = self.in_flight.iter().filter(|(_, r)| due(r));
         let tickets: Vec<u64> = waiting.map(|(ticket, _)| *ticket).collect();
         for ticket in tickets {
             let request = self.in_flight.get(&ticket);
-            let admitted = request.is_some_and(|f| f.meta.repeatable || f.dedup_shard.is_some());
+            let admitted = request.is_some_and(|r| r.meta.repeatable || r.dedup_shard.is_some());
             match admitted {
                 true => self.route(now, ticket, out),
                 false => self.deduplicate(now, ticket, out),
@@ -242,7 +242,7 @@
         };
         request.stage = Stage::Remote(cell.clone());
         let mut meta = request.meta.clone();
-        meta.time_left = request.left(now.millis);
+        meta.time_left = request.time_left(now.millis);
         meta.retries = request.retries;
         let (dedup_shard, epoch) = request.dedup_shard.clone().unzip();
         if !self.mark_sending(ticket) {
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -174,7 +174,7 @@
             Event::TableCallEnded { op, sent, outcome } => {
                 self.handle_table_outcome(now, op, sent, outcome, &mut out)
             }
-            Event::WorkersListed(places) => self.update_workers(places),
+            Event::WorkersListed(workers) => self.update_workers(workers),
             Event::WorkerCallEnded {
                 cell,
                 epoch,
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -70,7 +70,13 @@
             };
             (reply, answer)
         }
-        (Verdict::NotRun { reason, after }, _) => not_run(reason.as_str(), after),
+        (
+            Verdict::NotRun {
+                reason,
+                retry_after,
+            },
+            _,
+        ) => not_run(reason.as_str(), retry_after),
         (Verdict::Unknown { reason }, _) => unknown(reason),
         (Verdict::Answer, None) => unknown("answer-lost"),
     }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -47,7 +47,7 @@
 pub fn lapsed(meta: &Meta) -> ForwardOutcome {
     ForwardOutcome::NotRun {
         reason: Reason::Lapsed,
-        after: PATIENCE,
+        retry_after: PATIENCE,
         retries: meta.retries,
     }
 }
@@ -86,7 +86,7 @@
             log::debug!(target: "peers", "{to} not reached: {e}");
             let outcome = ForwardOutcome::NotRun {
                 reason: Reason::Unreachable,
-                after: PATIENCE,
+                retry_after: PATIENCE,
                 retries: meta.retries,
             };
             (outcome, None)
@@ -104,7 +104,7 @@
         proto::Verdict::NotRun => {
             let outcome = ForwardOutcome::NotRun {
                 reason: Reason::parse(&reply.reason),
-                after: reply.after,
+                retry_after: reply.after,
                 retries: reply.retries,
             };
             (outcome, None)
@@ -297,10 +297,16 @@
             message.headers = pairs(&reply.headers);
             message.body = reply.body;
         }
-        (Verdict::NotRun { reason, after }, _) => {
+        (
+            Verdict::NotRun {
+                reason,
+                retry_after,
+            },
+            _,
+        ) => {
             message.set_verdict(proto::Verdict::NotRun);
             message.reason = reason.as_str().into();
-            message.after = after;
+            message.after = retry_after;
         }
         (Verdict::Unknown { reason }, _) => message.reason = reason.into(),
         (Verdict::Answer, None) => message.reason = "answer-lost".into(),
--- a/src/rpc/bridge.rs
+++ b/src/rpc/bridge.rs
@@ -9,18 +9,18 @@
 use futures::channel::{mpsc, oneshot};
 use tonic::{Response, Status};
 
-type Local = Pin<Box<dyn Future<Output = ()>>>;
-type Job<C> = Box<dyn FnOnce(Rc<C>) -> Local + Send>;
+type LocalFuture = Pin<Box<dyn Future<Output = ()>>>;
+type Work<C> = Box<dyn FnOnce(Rc<C>) -> LocalFuture + Send>;
 
 /// A way to run work on the thread that owns the context.
 pub struct Bridge<C> {
-    jobs: mpsc::UnboundedSender<Job<C>>,
+    queue: mpsc::UnboundedSender<Work<C>>,
 }
 
 impl<C> Clone for Bridge<C> {
     fn clone(&self) -> Self {
         Self {
-            jobs: self.jobs.clone(),
+            queue: self.queue.clone(),
         }
     }
 }
@@ -28,13 +28,13 @@
 impl<C: 'static> Bridge<C> {
     /// Starts the task that runs the work.
     pub fn start(context: Rc<C>) -> Self {
-        let (jobs, mut receiver) = mpsc::unbounded::<Job<C>>();
+        let (queue, mut receiver) = mpsc::unbounded::<Work<C>>();
         monoio::spawn(async move {
-            while let Some(job) = receiver.next().await {
-                monoio::spawn(job(context.clone()));
+            while let Some(work) = receiver.next().await {
+                monoio::spawn(work(context.clone()));
             }
         });
-        Self { jobs }
+        Self { queue }
     }
 
     /// Runs work and returns its reply.
@@ -45,14 +45,14 @@
         F: Future<Output = Result<T, Status>> + 'static,
     {
         let (reply, result) = oneshot::channel();
-        let job: Job<C> = Box::new(move |context| {
+        let boxed: Work<C> = Box::new(move |context| {
             Box::pin(async move {
                 let result = work(context).await;
                 // A caller that has gone away needs no reply.
                 let _ = reply.send(result);
             })
         });
-        let sent = self.jobs.unbounded_send(job);
+        let sent = self.queue.unbounded_send(boxed);
         sent.map_err(|_| Status::unavailable("stopping"))?;
         match result.await {
             Ok(result) => result.map(Response::new),
--- a/src/rpc/client.rs
+++ b/src/rpc/client.rs
@@ -46,23 +46,23 @@
 
 /// Proof that a call did not leave this process.
 #[derive(Debug)]
-struct Unsent(String);
+struct NotSent(String);
 
-impl std::fmt::Display for Unsent {
+impl std::fmt::Display for NotSent {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Unsent {}
+impl std::error::Error for NotSent {}
 
 /// Returns true when an error proves that the server has not run the call: it
 /// never left, or the server's GOAWAY excludes its stream (RFC 9113, 6.8).
-fn unsent(error: &(dyn std::error::Error + 'static)) -> bool {
+fn proves_not_run(error: &(dyn std::error::Error + 'static)) -> bool {
     let mut next = Some(error);
     while let Some(e) = next {
         let excluded = |e: &h2::Error| e.is_go_away() && e.is_remote();
-        let proof = e.is::<Unsent>()
+        let proof = e.is::<NotSent>()
             || e.downcast_ref::<hyper::Error>()
                 .is_some_and(hyper::Error::is_canceled)
             || e.downcast_ref::<h2::Error>().is_some_and(excluded);
@@ -86,7 +86,7 @@
 struct Connection {
     sender: Option<SendRequest<Body>>,
     /// Counts the connections before it.
-    number: u64,
+    generation: u64,
 }
 
 impl Channel {
@@ -109,7 +109,7 @@
         if open {
             return Ok(());
         }
-        let result = timeout(Duration::from_millis(limit), self.open()).await;
+        let result = timeout(Duration::from_millis(limit), self.establish()).await;
         let sender = match result {
             Ok(Ok(sender)) => sender,
             Ok(Err(e)) => return Err(CallError::NotSent(e.to_string())),
@@ -117,7 +117,7 @@
         };
         let mut connection = self.connection.borrow_mut();
         connection.sender = Some(sender);
-        connection.number += 1;
+        connection.generation += 1;
         Ok(())
     }
 
@@ -131,32 +131,32 @@
         F: Future<Output = Result<tonic::Response<T>, tonic::Status>>,
     {
         self.connect(limit).await?;
-        let number = self.connection.borrow().number;
+        let generation = self.connection.borrow().generation;
         match timeout(Duration::from_millis(limit), call(self.clone())).await {
             Ok(Ok(reply)) => Ok(reply.into_inner()),
-            Ok(Err(status)) => Err(self.failure(status, number)),
+            Ok(Err(status)) => Err(self.classify_failure(status, generation)),
             Err(_) => {
                 log::debug!(target: "rpc", "event=unanswered address={} limit_ms={limit}", self.address);
                 crate::metrics::unanswered("grpc");
                 // A connection that stays silent may be cut; the next call opens another.
-                self.disconnect(number);
+                self.disconnect(generation);
                 Err(CallError::Lost("timed out".into()))
             }
         }
     }
 
     /// Gives up the connection of this number, not one that came after it.
-    fn disconnect(&self, number: u64) {
+    fn disconnect(&self, generation: u64) {
         let mut connection = self.connection.borrow_mut();
-        if connection.number == number {
+        if connection.generation == generation {
             connection.sender.take();
         }
     }
 
-    fn failure(&self, status: tonic::Status, number: u64) -> CallError {
+    fn classify_failure(&self, status: tonic::Status, generation: u64) -> CallError {
         if let Some(cause) = std::error::Error::source(&status) {
-            self.disconnect(number);
-            return match unsent(cause) {
+            self.disconnect(generation);
+            return match proves_not_run(cause) {
                 true => CallError::NotSent(status.to_string()),
                 false => CallError::Lost(status.to_string()),
             };
@@ -164,7 +164,7 @@
         CallError::Refused(status.code(), status.message().to_string())
     }
 
-    async fn open(&self) -> eyre::Result<SendRequest<Body>> {
+    async fn establish(&self) -> eyre::Result<SendRequest<Body>> {
         let stream = TcpStream::connect(self.address).await?;
         stream.set_nodelay(true)?;
         sockets::probe(&stream);
@@ -194,11 +194,11 @@
         let address = self.address;
         Box::pin(async move {
             let Some(mut sender) = sender else {
-                return Err(Unsent("not connected".into()).into());
+                return Err(NotSent("not connected".into()).into());
             };
             *request.uri_mut() = format!("http://{address}{path}").parse()?;
             let ready = sender.ready().await;
-            ready.map_err(|e| Unsent(e.to_string()))?;
+            ready.map_err(|e| NotSent(e.to_string()))?;
             Ok(sender.send_request(request).await?)
         })
     }
--- a/src/rpc/server.rs
+++ b/src/rpc/server.rs
@@ -17,7 +17,7 @@
 use crate::utils::listen;
 
 /// Largest number of calls in progress on one connection.
-const STREAMS: u32 = 4_096;
+const MAX_STREAMS: u32 = 4_096;
 
 /// Accepts connections until `drain` has begun and hands each call to `handle`.
 ///
@@ -29,12 +29,12 @@
 {
     let handle = Rc::new(handle);
     let begin = |stream| {
-        monoio::spawn(connection(stream, drain.clone(), handle.clone()));
+        monoio::spawn(serve_connection(stream, drain.clone(), handle.clone()));
     };
     listen::accept_all(listener, &drain, begin).await;
 }
 
-async fn connection<H, F>(stream: TcpStream, drain: Drain, handle: Rc<H>)
+async fn serve_connection<H, F>(stream: TcpStream, drain: Drain, handle: Rc<H>)
 where
     H: Fn(http::Request<Incoming>) -> F + 'static,
     F: Future<Output = http::Response<Body>> + 'static,
@@ -51,7 +51,7 @@
         async move { Ok::<_, Infallible>(reply.await) }
     });
     let serving = http2::Builder::new(MonoioExecutor)
-        .max_concurrent_streams(STREAMS)
+        .max_concurrent_streams(MAX_STREAMS)
         .serve_connection(MonoioIo::new(stream), service);
     let mut serving = pin!(serving);
     let ended = match select(serving.as_mut(), pin!(drain.begun())).await {
--- a/tools/trial/src/world/boxes.rs
+++ b/tools/trial/src/world/boxes.rs
@@ -48,7 +48,7 @@
                     ticket,
                     outcome: ForwardOutcome::NotRun {
                         reason,
-                        after: 100,
+                        retry_after: 100,
                         retries,
                     },
                 };
@@ -264,9 +264,12 @@
             Asker::Peer { call, ticket } => {
                 let outcome = match verdict {
                     Verdict::Answer => ForwardOutcome::Answered,
-                    Verdict::NotRun { reason, after } => ForwardOutcome::NotRun {
+                    Verdict::NotRun {
                         reason,
-                        after,
+                        retry_after,
+                    } => ForwardOutcome::NotRun {
+                        reason,
+                        retry_after,
                         retries,
                     },
                     Verdict::Unknown { .. } => ForwardOutcome::Unknown,
