--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -14,7 +14,7 @@
 };
 use willowpoint::job::{JobShardRow, Spec, TaskRow, VersionedShard};
 use willowpoint::lease::WriteOutcome;
-use willowpoint::standin::worker::state::{Active, Start, Sync, Task, Worker};
+use willowpoint::standin::worker::state::{ActiveRequest, Start, SyncRequest, Worker, WorkerRun};
 use willowpoint::utils::Name;
 use willowpoint::utils::random::Random;
 
@@ -238,7 +238,7 @@
                 return;
             }
             self.ends.remove(&(at, ticket));
-            self.workers[worker].finish(ticket, 1);
+            self.workers[worker].finish_request(ticket, 1);
             if let Some(issued) = self.issued.remove(&ticket)
                 && issued > WARM
             {
@@ -265,12 +265,12 @@
         match action {
             Action::Send { ticket, worker, .. } => {
                 let index = number(&worker);
-                let active = Active {
+                let active = ActiveRequest {
                     ticket,
                     epoch: 1,
                     service: SERVICES.into(),
                 };
-                let began = self.workers[index].begin(now, now, active, u64::MAX);
+                let began = self.workers[index].begin_request(now, now, active, u64::MAX);
                 assert!(began.is_ok(), "the cell gave more than the room");
                 let slow = self.workers[index].slowdown(SERVICES);
                 let took = self.random.exponential(SERVICE / 2.0) + SERVICE / 2.0;
@@ -299,7 +299,7 @@
                     round: run.poll_round,
                     lease: 10_000,
                     not_after: u64::MAX,
-                    task: Task {
+                    run: WorkerRun {
                         id: run.id,
                         job: run.job.clone(),
                         task: run.task,
@@ -341,7 +341,7 @@
 
     fn sync(&mut self, worker: &Name, acks: Vec<u64>, renew: bool, round: u64) -> Vec<Action> {
         let host = &mut self.workers[number(worker)];
-        let sync = Sync {
+        let sync = SyncRequest {
             epoch: 1,
             round,
             lease: if renew { 10_000 } else { 0 },
@@ -355,8 +355,8 @@
         if self.now > WARM {
             self.done.finished += finished;
         }
-        let (tickets, foreign_requests) = host.tickets();
-        let late = host.late_samples(self.now).into_iter().map(|(_, s)| s);
+        let (tickets, foreign_requests) = host.request_tickets();
+        let late = host.take_due_samples(self.now).into_iter().map(|(_, s)| s);
         let samples = match self.oracle {
             false => late.collect(),
             true => oracle(),
--- a/src/demo/deployment.rs
+++ b/src/demo/deployment.rs
@@ -133,8 +133,8 @@
     /// Starts a worker that is in no list, and returns its endpoint.
     pub fn lone_worker(&self, service: u64) -> eyre::Result<SocketAddr> {
         let (http, rpc) = (free()?, free()?);
-        let setup = setup(http, rpc, service);
-        spawn("worker", move || block_on(worker::serve(setup))?)?;
+        let options = worker_options(http, rpc, service);
+        spawn("worker", move || block_on(worker::serve(options))?)?;
         Ok(http)
     }
 
@@ -245,13 +245,13 @@
         rpc: rpc.to_string(),
         leaving: false,
     });
-    let setup = setup(http, rpc, site.service);
-    spawn("worker", move || block_on(worker::serve(setup))?)?;
+    let options = worker_options(http, rpc, site.service);
+    spawn("worker", move || block_on(worker::serve(options))?)?;
     Ok(http)
 }
 
-fn setup(http: SocketAddr, rpc: SocketAddr, service: u64) -> worker::Setup {
-    worker::Setup {
+fn worker_options(http: SocketAddr, rpc: SocketAddr, service_time: u64) -> worker::Options {
+    worker::Options {
         http,
         rpc,
         shape: Shape {
@@ -261,8 +261,8 @@
             memory: 60_000,
             accelerators: 0,
         },
-        service,
-        fence: true,
+        service_time,
+        fencing: true,
     }
 }
 
--- a/src/program.rs
+++ b/src/program.rs
@@ -137,7 +137,7 @@
         };
         register(platform, entry).await?;
     }
-    let setup = worker::Setup {
+    let options = worker::Options {
         http,
         rpc,
         shape: cell::Shape {
@@ -147,10 +147,10 @@
             memory,
             accelerators,
         },
-        service,
-        fence: !unfenced,
+        service_time: service,
+        fencing: !unfenced,
     };
-    worker::serve(setup).await
+    worker::serve(options).await
 }
 
 /// Milliseconds of one try to register with the platform's stand-in, and tries.
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -16,7 +16,7 @@
 use crate::utils::drain::Drain;
 
 /// Rows of one page of a scan, at most.
-const PAGE: usize = 500;
+const MAX_PAGE_ROWS: usize = 500;
 
 /// Rates that the platform holds to, in rows a second; 0 is no bound.
 #[derive(Clone, Copy, Debug)]
@@ -33,39 +33,39 @@
     objects: BTreeMap<String, bytes::Bytes>,
     entries: BTreeMap<String, proto::DirectoryEntry>,
     /// Earlier lists, for the lag: when each was replaced.
-    history: VecDeque<(Millis, BTreeMap<String, proto::DirectoryEntry>)>,
-    down: Millis,
-    slow: Millis,
-    lose: u32,
-    lag: Millis,
-    refused: u64,
-    lost: u64,
-    writes: Bucket,
-    reads: Bucket,
+    past_entries: VecDeque<(Millis, BTreeMap<String, proto::DirectoryEntry>)>,
+    down_until: Millis,
+    delay: Millis,
+    replies_to_lose: u32,
+    directory_lag: Millis,
+    refused_calls: u64,
+    lost_replies: u64,
+    writes: TokenBucket,
+    reads: TokenBucket,
 }
 
 /// A bucket of tokens that fills at a rate and holds one second of it.
 #[derive(Default)]
-struct Bucket {
+struct TokenBucket {
     rate: u64,
-    level: f64,
-    at: Millis,
+    tokens: f64,
+    updated_at: Millis,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Returns the milliseconds to wait before `count` rows are within the rate.
     fn take(&mut self, now: Millis, count: u64) -> Millis {
         if self.rate == 0 {
             return 0;
         }
         let rate = self.rate as f64;
-        let filled = now.saturating_sub(self.at) as f64 * rate / 1_000.0;
-        self.level = (self.level + filled).min(rate) - count as f64;
-        self.at = now;
-        if self.level >= 0.0 {
+        let filled = now.saturating_sub(self.updated_at) as f64 * rate / 1_000.0;
+        self.tokens = (self.tokens + filled).min(rate) - count as f64;
+        self.updated_at = now;
+        if self.tokens >= 0.0 {
             return 0;
         }
-        (-self.level * 1_000.0 / rate) as Millis
+        (-self.tokens * 1_000.0 / rate) as Millis
     }
 }
 
@@ -95,10 +95,10 @@
         let mut state = self.state();
         let now = clock::now();
         let before = state.entries.clone();
-        state.history.push_back((now, before));
-        let lag = state.lag;
-        while state.history.len() > 1 && state.history[0].0 + lag + 60_000 < now {
-            state.history.pop_front();
+        state.past_entries.push_back((now, before));
+        let lag = state.directory_lag;
+        while state.past_entries.len() > 1 && state.past_entries[0].0 + lag + 60_000 < now {
+            state.past_entries.pop_front();
         }
         state.entries.insert(entry.name.clone(), entry);
     }
@@ -110,52 +110,55 @@
             reads: state.table.reads,
             writes: state.table.writes,
             conflicts: state.table.conflicts,
-            refused: state.refused,
-            lost: state.lost,
+            refused: state.refused_calls,
+            lost: state.lost_replies,
         }
     }
 
     /// Sets faults.
-    pub fn fault(&self, fault: &proto::PlatformFault) {
+    pub fn set_faults(&self, fault: &proto::PlatformFault) {
         let mut state = self.state();
         if fault.down_ms > 0 {
-            state.down = clock::now() + fault.down_ms;
+            state.down_until = clock::now() + fault.down_ms;
         }
-        state.slow = fault.slow_ms;
-        state.lose = fault.lose_answers;
-        state.lag = fault.lag_ms;
+        state.delay = fault.slow_ms;
+        state.replies_to_lose = fault.lose_answers;
+        state.directory_lag = fault.lag_ms;
     }
 
-    fn entries(&self) -> Vec<proto::DirectoryEntry> {
+    fn visible_entries(&self) -> Vec<proto::DirectoryEntry> {
         let state = self.state();
-        let at = clock::now().saturating_sub(state.lag);
-        let old = state.history.iter().find(|(replaced, _)| *replaced > at);
+        let at = clock::now().saturating_sub(state.directory_lag);
+        let old = state
+            .past_entries
+            .iter()
+            .find(|(replaced, _)| *replaced > at);
         let list = old.map_or(&state.entries, |(_, list)| list);
         list.values().cloned().collect()
     }
 
     /// Waits as a slow platform does, or refuses as one that is down.
-    fn gate(&self, reads: u64, writes: u64) -> Result<Wait, Status> {
+    fn admit(&self, reads: u64, writes: u64) -> Result<Delay, Status> {
         let mut state = self.state();
         let now = clock::now();
-        if now < state.down {
-            state.refused += 1;
+        if now < state.down_until {
+            state.refused_calls += 1;
             return Err(Status::unavailable("the platform is down"));
         }
         let queued = state
             .reads
             .take(now, reads)
             .max(state.writes.take(now, writes));
-        Ok(Wait(state.slow + queued))
+        Ok(Delay(state.delay + queued))
     }
 }
 
 /// Milliseconds that a call takes.
-struct Wait(Millis);
+struct Delay(Millis);
 
-impl Wait {
+impl Delay {
     /// Waits on the runtime; a call from a generated service must be `Send`.
-    async fn pass(self) {
+    async fn wait(self) {
         if self.0 == 0 {
             return;
         }
@@ -181,9 +184,9 @@
             .iter()
             .map(|k| k.as_str().into())
             .collect();
-        self.gate(keys.len() as u64, 0)?.pass().await;
+        self.admit(keys.len() as u64, 0)?.wait().await;
         let rows = self.state().table.read(&keys);
-        let rows = rows.into_iter().map(row).collect();
+        let rows = rows.into_iter().map(row_to_proto).collect();
         Ok(Response::new(proto::RowsReply { rows, more: false }))
     }
 
@@ -192,13 +195,13 @@
         request: Request<proto::ScanRequest>,
     ) -> Result<Response<proto::RowsReply>, Status> {
         let request = request.into_inner();
-        self.gate(1, 0)?.pass().await;
-        let limit = (request.limit as usize).clamp(1, PAGE);
+        self.admit(1, 0)?.wait().await;
+        let limit = (request.limit as usize).clamp(1, MAX_PAGE_ROWS);
         let (rows, more) = self
             .state()
             .table
             .scan(&request.prefix, &request.after, limit);
-        let rows = rows.into_iter().map(row).collect();
+        let rows = rows.into_iter().map(row_to_proto).collect();
         Ok(Response::new(proto::RowsReply { rows, more }))
     }
 
@@ -206,15 +209,20 @@
         &self,
         request: Request<proto::CommitRequest>,
     ) -> Result<Response<proto::CommitReply>, Status> {
-        let ops: Vec<Op> = request.into_inner().ops.into_iter().map(op).collect();
+        let ops: Vec<Op> = request
+            .into_inner()
+            .ops
+            .into_iter()
+            .map(op_from_proto)
+            .collect();
         let writes = ops.iter().filter(|o| o.change != Change::Keep).count();
-        self.gate(0, writes as u64)?.pass().await;
+        self.admit(0, writes as u64)?.wait().await;
         let result = {
             let mut state = self.state();
             let result = state.table.commit(&ops);
-            if state.lose > 0 {
-                state.lose -= 1;
-                state.lost += 1;
+            if state.replies_to_lose > 0 {
+                state.replies_to_lose -= 1;
+                state.lost_replies += 1;
                 return Err(Status::deadline_exceeded("the answer is lost"));
             }
             result
@@ -232,7 +240,7 @@
         &self,
         request: Request<proto::PutRequest>,
     ) -> Result<Response<proto::PutReply>, Status> {
-        self.gate(0, 1)?.pass().await;
+        self.admit(0, 1)?.wait().await;
         let request = request.into_inner();
         self.state().objects.insert(request.key, request.value);
         Ok(Response::new(proto::PutReply {}))
@@ -242,7 +250,7 @@
         &self,
         request: Request<proto::GetRequest>,
     ) -> Result<Response<proto::GetReply>, Status> {
-        self.gate(1, 0)?.pass().await;
+        self.admit(1, 0)?.wait().await;
         let value = self.state().objects.get(&request.into_inner().key).cloned();
         Ok(Response::new(proto::GetReply {
             found: value.is_some(),
@@ -257,8 +265,8 @@
         &self,
         _: Request<proto::DirectoryRequest>,
     ) -> Result<Response<proto::DirectoryReply>, Status> {
-        self.gate(1, 0)?.pass().await;
-        let entries = self.entries();
+        self.admit(1, 0)?.wait().await;
+        let entries = self.visible_entries();
         Ok(Response::new(proto::DirectoryReply { entries }))
     }
 }
@@ -269,7 +277,7 @@
         &self,
         request: Request<proto::PlatformFault>,
     ) -> Result<Response<proto::PlatformFaultReply>, Status> {
-        self.fault(&request.into_inner());
+        self.set_faults(&request.into_inner());
         Ok(Response::new(proto::PlatformFaultReply {}))
     }
 
@@ -289,7 +297,7 @@
     }
 }
 
-fn row(row: crate::table::Row) -> proto::Row {
+fn row_to_proto(row: crate::table::Row) -> proto::Row {
     proto::Row {
         key: row.key.to_string(),
         version: row.version,
@@ -297,7 +305,7 @@
     }
 }
 
-fn op(op: proto::Op) -> Op {
+fn op_from_proto(op: proto::Op) -> Op {
     let expect = match op.expect() {
         proto::Expect::Any => Expect::Any,
         proto::Expect::Absent => Expect::Absent,
--- a/src/standin/table.rs
+++ b/src/standin/table.rs
@@ -12,7 +12,7 @@
 pub struct Table {
     rows: BTreeMap<Name, Row>,
     /// Versions of deleted rows, so that a key never has a version twice.
-    last: BTreeMap<Name, u64>,
+    deleted_versions: BTreeMap<Name, u64>,
     /// Rows read.
     pub reads: u64,
     /// Rows written.
@@ -58,7 +58,7 @@
 
     /// Applies all operations, or none and returns the key that failed.
     pub fn commit(&mut self, ops: &[Op]) -> Result<(), Name> {
-        if let Some(op) = ops.iter().find(|op| !self.holds(op)) {
+        if let Some(op) = ops.iter().find(|op| !self.is_satisfied(op)) {
             self.conflicts += 1;
             return Err(op.key.clone());
         }
@@ -68,7 +68,7 @@
         Ok(())
     }
 
-    fn holds(&self, op: &Op) -> bool {
+    fn is_satisfied(&self, op: &Op) -> bool {
         let version = self.rows.get(&op.key).map(|r| r.version);
         match op.expect {
             Expect::Any => true,
@@ -80,14 +80,16 @@
 
     fn apply(&mut self, op: &Op) {
         let present = self.rows.get(&op.key).map(|r| r.version);
-        let last = present.or(self.last.get(&op.key).copied()).unwrap_or(0);
+        let version = present
+            .or(self.deleted_versions.get(&op.key).copied())
+            .unwrap_or(0);
         match &op.change {
             Change::Keep => {}
             Change::Put(value) => {
                 self.writes += 1;
                 let row = Row {
                     key: op.key.clone(),
-                    version: last + 1,
+                    version: version + 1,
                     value: value.clone(),
                 };
                 self.rows.insert(op.key.clone(), row);
@@ -95,7 +97,7 @@
             Change::Delete => {
                 self.writes += 1;
                 if self.rows.remove(&op.key).is_some() {
-                    self.last.insert(op.key.clone(), last);
+                    self.deleted_versions.insert(op.key.clone(), version);
                 }
             }
         }
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -3,4 +3,4 @@
 mod serve;
 pub mod state;
 
-pub use serve::{Setup, serve};
+pub use serve::{Options, serve};
--- a/src/standin/worker/serve.rs
+++ b/src/standin/worker/serve.rs
@@ -8,7 +8,7 @@
 use http::{HeaderMap, StatusCode};
 use tonic::{Request, Response, Status};
 
-use super::state::{Active, Refusal, Start, Sync, Task, Worker};
+use super::state::{ActiveRequest, Refusal, Start, SyncRequest, Worker, WorkerRun};
 use crate::cell::{Reason, RunReport, RunState, Shape, Size};
 use crate::constants;
 use crate::proto::{self, worker_faults_server, worker_server};
@@ -24,7 +24,7 @@
 
 /// What a stand-in worker is.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct Options {
     /// Address of its endpoint.
     pub http: SocketAddr,
     /// Address of its control RPC.
@@ -32,31 +32,31 @@
     /// What it has.
     pub shape: Shape,
     /// Microseconds that a request takes alone; a header can ask for more.
-    pub service: u64,
+    pub service_time: u64,
     /// False for a worker that fences nothing.
-    pub fence: bool,
+    pub fencing: bool,
 }
 
 #[derive(Clone)]
-struct Shared {
+struct SharedWorker {
     worker: Arc<Mutex<Worker>>,
-    service: u64,
+    service_time: u64,
 }
 
-impl Shared {
+impl SharedWorker {
     fn worker(&self) -> MutexGuard<'_, Worker> {
         self.worker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 #[tonic::async_trait]
-impl worker_server::Worker for Shared {
+impl worker_server::Worker for SharedWorker {
     async fn sync(
         &self,
         request: Request<proto::SyncRequest>,
     ) -> Result<Response<proto::SyncReply>, Status> {
         let request = request.into_inner();
-        let sync = Sync {
+        let sync = SyncRequest {
             epoch: request.epoch,
             round: request.round,
             lease: request.lease,
@@ -66,8 +66,8 @@
         let now = clock::now();
         let mut worker = self.worker();
         let reports = worker.sync(now, clock::wall(), &sync);
-        let (tickets, foreign) = worker.tickets();
-        let samples = worker.late_samples(now);
+        let (tickets, foreign) = worker.request_tickets();
+        let samples = worker.take_due_samples(now);
         let samples = samples.into_iter().map(|(age, s)| proto::Sample {
             age,
             kind: s.kind.to_string(),
@@ -78,10 +78,14 @@
         Ok(Response::new(proto::SyncReply {
             refused: reports.is_none(),
             epoch: worker.epoch,
-            shape: Some(shape(worker.shape)),
+            shape: Some(shape_message(worker.shape)),
             tickets,
             foreign,
-            runs: reports.unwrap_or_default().iter().map(run).collect(),
+            runs: reports
+                .unwrap_or_default()
+                .iter()
+                .map(run_message)
+                .collect(),
             samples: samples.collect(),
             leaving: worker.leaving,
         }))
@@ -93,7 +97,7 @@
     ) -> Result<Response<proto::RunReply>, Status> {
         let request = request.into_inner();
         let size = request.size.unwrap_or_default();
-        let task = Task {
+        let run = WorkerRun {
             id: request.run,
             job: request.job.into(),
             task: request.task,
@@ -115,7 +119,7 @@
             round: request.round,
             lease: request.lease,
             not_after: request.not_after,
-            task,
+            run,
         };
         let result = self.worker().start(clock::now(), clock::wall(), start);
         Ok(Response::new(run_reply(result.map(|()| 0))))
@@ -125,10 +129,10 @@
         &self,
         request: Request<proto::StopRequest>,
     ) -> Result<Response<proto::RunReply>, Status> {
-        let r = request.into_inner();
+        let order = request.into_inner();
         let result = self
             .worker()
-            .stop(clock::now(), r.epoch, r.run, r.checkpoint);
+            .stop(clock::now(), order.epoch, order.run, order.checkpoint);
         Ok(Response::new(run_reply(result)))
     }
 
@@ -136,24 +140,24 @@
         &self,
         request: Request<proto::ThrottleRequest>,
     ) -> Result<Response<proto::RunReply>, Status> {
-        let r = request.into_inner();
+        let order = request.into_inner();
         let result = self
             .worker()
-            .throttle(clock::now(), r.epoch, r.run, r.share);
+            .throttle(clock::now(), order.epoch, order.run, order.share);
         Ok(Response::new(run_reply(result.map(|()| 0))))
     }
 }
 
 #[tonic::async_trait]
-impl worker_faults_server::WorkerFaults for Shared {
+impl worker_faults_server::WorkerFaults for SharedWorker {
     async fn set(
         &self,
         request: Request<proto::WorkerFault>,
     ) -> Result<Response<proto::WorkerFaultReply>, Status> {
         let request = request.into_inner();
         let mut worker = self.worker();
-        worker.faults.fail = request.fail_tasks;
-        worker.faults.slow = request.slow_ms;
+        worker.faults.fail_runs = request.fail_tasks;
+        worker.faults.request_delay = request.slow_ms;
         worker.leaving = request.leaving;
         Ok(Response::new(proto::WorkerFaultReply {}))
     }
@@ -164,20 +168,20 @@
     ) -> Result<Response<proto::WorkerCountReply>, Status> {
         let worker = self.worker();
         let counts = &worker.counts;
-        let ids = counts.ids.iter().map(|(id, count)| proto::IdCount {
+        let ids = counts.request_ids.iter().map(|(id, count)| proto::IdCount {
             id: id.to_string(),
             count: *count,
         });
         Ok(Response::new(proto::WorkerCountReply {
             requests: counts.requests,
-            peak: counts.peak,
-            overloads: counts.overloads,
-            fenced: counts.fenced,
-            doubled: counts.doubled,
+            peak: counts.peak_requests,
+            overloads: counts.capacity_refusals,
+            fenced: counts.fenced_calls,
+            doubled: counts.duplicate_starts,
             starts: counts.starts,
             ids: ids.collect(),
             running: worker
-                .tasks
+                .runs
                 .values()
                 .filter(|t| t.state == RunState::Running)
                 .count() as u32,
@@ -185,7 +189,7 @@
     }
 }
 
-fn shape(shape: Shape) -> proto::Shape {
+fn shape_message(shape: Shape) -> proto::Shape {
     proto::Shape {
         slots: shape.slots,
         connections: shape.connections,
@@ -195,7 +199,7 @@
     }
 }
 
-fn run(report: &RunReport) -> proto::Run {
+fn run_message(report: &RunReport) -> proto::Run {
     let state = match report.state {
         RunState::Running => proto::RunState::Running,
         RunState::Finished => proto::RunState::Finished,
@@ -222,12 +226,16 @@
 fn run_reply(result: Result<u64, Refusal>) -> proto::RunReply {
     proto::RunReply {
         done: result.is_ok(),
-        reason: result.err().map(word).unwrap_or_default().to_string(),
+        reason: result
+            .err()
+            .map(refusal_name)
+            .unwrap_or_default()
+            .to_string(),
         progress: result.unwrap_or(0),
     }
 }
 
-fn word(refusal: Refusal) -> &'static str {
+fn refusal_name(refusal: Refusal) -> &'static str {
     match refusal {
         Refusal::Fenced => "fenced",
         Refusal::Full => "full",
@@ -236,10 +244,10 @@
     }
 }
 
-async fn handle(shared: Shared, request: web::Request) -> Reply {
+async fn handle_request(shared: SharedWorker, request: web::Request) -> Reply {
     let headers = &request.headers;
     let ticket = number(headers, constants::TICKET);
-    let active = Active {
+    let active = ActiveRequest {
         ticket,
         epoch: number(headers, constants::EPOCH),
         service: text(headers, constants::SERVICE).into(),
@@ -250,32 +258,32 @@
         at => at,
     };
     let service = active.service.clone();
-    let began = {
+    let admitted = {
         let mut worker = shared.worker();
         worker
-            .begin(clock::now(), clock::wall(), active, not_after)
+            .begin_request(clock::now(), clock::wall(), active, not_after)
             .map(|()| worker.slowdown(&service))
     };
-    let slowdown = match began {
+    let slowdown = match admitted {
         Ok(slowdown) => slowdown,
-        Err(refusal) => return refused(refusal),
+        Err(refusal) => return refusal_reply(refusal),
     };
     let id = text(headers, constants::ID);
     if !id.is_empty() {
-        shared.worker().record(id.into());
+        shared.worker().record_request_id(id.into());
     }
-    let asked = number(headers, constants::WORK).max(shared.service);
-    let vary = 1_000 - JITTER / 2 + mix(ticket ^ epoch) % JITTER;
-    let micros = (asked as f64 * slowdown * vary as f64 / 1_000.0) as u64;
-    let slow = shared.worker().faults.slow * 1_000;
-    if micros + slow > 0 {
-        monoio::time::sleep(Duration::from_micros(micros + slow)).await;
+    let requested = number(headers, constants::WORK).max(shared.service_time);
+    let jitter = 1_000 - JITTER / 2 + mix(ticket ^ epoch) % JITTER;
+    let micros = (requested as f64 * slowdown * jitter as f64 / 1_000.0) as u64;
+    let delay = shared.worker().faults.request_delay * 1_000;
+    if micros + delay > 0 {
+        monoio::time::sleep(Duration::from_micros(micros + delay)).await;
     }
-    shared.worker().finish(ticket, epoch);
+    shared.worker().finish_request(ticket, epoch);
     let mut reply = Reply {
         status: StatusCode::OK,
         headers: HeaderMap::new(),
-        body: answer(id, &request.body),
+        body: echo(id, &request.body),
     };
     if let Some(trace) = headers.get(constants::TRACEPARENT) {
         reply.headers.insert(constants::TRACEPARENT, trace.clone());
@@ -284,17 +292,17 @@
 }
 
 /// Returns the id and the body again, so that a caller can tell its answer.
-fn answer(id: &str, body: &Bytes) -> Bytes {
+fn echo(id: &str, body: &Bytes) -> Bytes {
     if id.is_empty() {
         return body.clone();
     }
-    let mut whole = format!("{id}\n").into_bytes();
-    whole.extend_from_slice(body);
-    Bytes::from(whole)
+    let mut reply = format!("{id}\n").into_bytes();
+    reply.extend_from_slice(body);
+    Bytes::from(reply)
 }
 
-fn refused(refusal: Refusal) -> Reply {
-    let mut reply = Reply::text(StatusCode::SERVICE_UNAVAILABLE, word(refusal));
+fn refusal_reply(refusal: Refusal) -> Reply {
+    let mut reply = Reply::text(StatusCode::SERVICE_UNAVAILABLE, refusal_name(refusal));
     let verdict = http::HeaderValue::from_static("not-run");
     reply.headers.insert(constants::VERDICT, verdict);
     let reason = http::HeaderValue::from_static(Reason::Refused.as_str());
@@ -314,23 +322,23 @@
 }
 
 /// Serves a worker for ever.
-pub async fn serve(setup: Setup) -> eyre::Result<()> {
-    let mut worker = Worker::new(setup.shape);
-    worker.faults.fence = setup.fence;
-    let shared = Shared {
+pub async fn serve(options: Options) -> eyre::Result<()> {
+    let mut worker = Worker::new(options.shape);
+    worker.faults.fencing = options.fencing;
+    let shared = SharedWorker {
         worker: Arc::new(Mutex::new(worker)),
-        service: setup.service,
+        service_time: options.service_time,
     };
-    let web = listen::bind(setup.http)?;
-    let control = listen::bind(setup.rpc)?;
+    let web = listen::bind(options.http)?;
+    let control = listen::bind(options.rpc)?;
     let limits = Limits {
         head: 64 << 10,
         body: 64 << 20,
-        connections: setup.shape.connections as usize,
+        connections: options.shape.connections as usize,
         idle: 600_000,
     };
     let endpoint = shared.clone();
-    let handle = move |request| handle(endpoint.clone(), request);
+    let handle = move |request| handle_request(endpoint.clone(), request);
     monoio::spawn(web::server::serve(web, limits, Drain::never(), handle));
     let calls = worker_server::WorkerServer::new(shared.clone());
     let faults = worker_faults_server::WorkerFaultsServer::new(shared);
--- a/src/standin/worker/state.rs
+++ b/src/standin/worker/state.rs
@@ -10,11 +10,11 @@
 use crate::utils::hash::stable;
 
 /// Age in milliseconds that measurements have when they are reported.
-pub const LAG: Millis = 500;
+pub const SAMPLE_DELAY: Millis = 500;
 
 /// A run on the worker.
 #[derive(Clone, Debug)]
-pub struct Task {
+pub struct WorkerRun {
     /// Number of the run.
     pub id: RunId,
     /// Job of the task.
@@ -39,16 +39,16 @@
     pub lease: Millis,
 }
 
-impl Task {
+impl WorkerRun {
     /// Returns the size that the run holds, its throttle taken into account.
-    fn held(&self) -> Size {
+    fn allocated(&self) -> Size {
         self.size.with_core_share(self.share)
     }
 }
 
 /// A request in progress.
 #[derive(Clone, Debug)]
-pub struct Active {
+pub struct ActiveRequest {
     /// Ticket by the sending box.
     pub ticket: u64,
     /// Epoch under which it was sent.
@@ -63,17 +63,17 @@
     /// Requests that were run.
     pub requests: u64,
     /// Most requests that were in progress at once.
-    pub peak: u32,
+    pub peak_requests: u32,
     /// Starts and requests beyond the room.
-    pub overloads: u64,
+    pub capacity_refusals: u64,
     /// Calls refused for a lower epoch, an old round or their time.
-    pub fenced: u64,
+    pub fenced_calls: u64,
     /// Starts of a task that was running here already.
-    pub doubled: u64,
+    pub duplicate_starts: u64,
     /// Runs started.
     pub starts: u64,
     /// Ids of requests that were run, with how often.
-    pub ids: HashMap<Name, u32>,
+    pub request_ids: HashMap<Name, u32>,
 }
 
 /// Why the worker refuses.
@@ -93,11 +93,11 @@
 #[derive(Clone, Debug)]
 pub struct Faults {
     /// Every task fails soon after its start.
-    pub fail: bool,
+    pub fail_runs: bool,
     /// Milliseconds added to each request.
-    pub slow: Millis,
+    pub request_delay: Millis,
     /// False for a worker that fences nothing.
-    pub fence: bool,
+    pub fencing: bool,
 }
 
 /// A worker.
@@ -114,13 +114,13 @@
     /// Highest round seen under that epoch.
     pub round: u64,
     /// Runs that go on, and ended ones that are not acknowledged.
-    pub tasks: BTreeMap<RunId, Task>,
+    pub runs: BTreeMap<RunId, WorkerRun>,
     /// Requests in progress.
-    pub active: Vec<Active>,
+    pub active_requests: Vec<ActiveRequest>,
     /// What was counted.
     pub counts: Counts,
     samples: Vec<(Millis, Sample)>,
-    at: Millis,
+    advanced_to: Millis,
 }
 
 /// A start as asked for.
@@ -135,7 +135,7 @@
     /// Milliseconds since the Unix epoch beyond which it must not start.
     pub not_after: Millis,
     /// The run.
-    pub task: Task,
+    pub run: WorkerRun,
 }
 
 impl Worker {
@@ -144,18 +144,18 @@
         Self {
             shape,
             faults: Faults {
-                fail: false,
-                slow: 0,
-                fence: true,
+                fail_runs: false,
+                request_delay: 0,
+                fencing: true,
             },
             leaving: false,
             epoch: 0,
             round: 0,
-            tasks: BTreeMap::new(),
-            active: Vec::new(),
+            runs: BTreeMap::new(),
+            active_requests: Vec::new(),
             counts: Counts::default(),
             samples: Vec::new(),
-            at: 0,
+            advanced_to: 0,
         }
     }
 
@@ -178,48 +178,48 @@
         1.0 + interference.sum::<f64>()
     }
 
-    fn running(&self) -> impl Iterator<Item = &Task> {
-        self.tasks.values().filter(|t| t.state == RunState::Running)
+    fn running(&self) -> impl Iterator<Item = &WorkerRun> {
+        self.runs.values().filter(|r| r.state == RunState::Running)
     }
 
     /// Lets time pass: work is done, and lapsed leases end their runs.
     pub fn advance(&mut self, now: Millis) {
-        let from = self.at;
-        self.at = now.max(from);
-        let fail = self.faults.fail;
-        for task in self.tasks.values_mut() {
-            if task.state != RunState::Running {
+        let from = self.advanced_to;
+        self.advanced_to = now.max(from);
+        let fail = self.faults.fail_runs;
+        for run in self.runs.values_mut() {
+            if run.state != RunState::Running {
                 continue;
             }
-            let end = now.min(task.lease);
+            let end = now.min(run.lease);
             let span = end.saturating_sub(from) as f64;
-            task.done += span * f64::from(task.share) / f64::from(WHOLE);
-            if fail && task.done > task.saved as f64 + 20.0 {
-                task.state = RunState::Failed;
-            } else if task.done >= task.work as f64 {
-                task.state = RunState::Finished;
-                task.done = task.work as f64;
-            } else if now >= task.lease {
-                task.state = RunState::Stopped;
+            run.done += span * f64::from(run.share) / f64::from(WHOLE);
+            if fail && run.done > run.saved as f64 + 20.0 {
+                run.state = RunState::Failed;
+            } else if run.done >= run.work as f64 {
+                run.state = RunState::Finished;
+                run.done = run.work as f64;
+            } else if now >= run.lease {
+                run.state = RunState::Stopped;
             }
         }
     }
 
     /// Returns the slots, cores and memory in use.
-    fn used(&self) -> Size {
-        let mut used = Size::default();
-        for task in self.running() {
-            let held = task.held();
-            used.cores += held.cores;
-            used.memory += held.memory;
-            used.accelerators += held.accelerators;
+    fn allocated(&self) -> Size {
+        let mut allocated = Size::default();
+        for run in self.running() {
+            let size = run.allocated();
+            allocated.cores += size.cores;
+            allocated.memory += size.memory;
+            allocated.accelerators += size.accelerators;
         }
-        used
+        allocated
     }
 
-    fn fenced(&mut self, epoch: u64) -> bool {
-        if epoch < self.epoch && self.faults.fence {
-            self.counts.fenced += 1;
+    fn rejects_epoch(&mut self, epoch: u64) -> bool {
+        if epoch < self.epoch && self.faults.fencing {
+            self.counts.fenced_calls += 1;
             return true;
         }
         if epoch > self.epoch {
@@ -231,67 +231,72 @@
 
     /// Renews the leases of all runs, forgets acknowledged ones and reports;
     /// `None` refuses a lower epoch.
-    pub fn sync(&mut self, now: Millis, wall: Millis, sync: &Sync) -> Option<Vec<RunReport>> {
+    pub fn sync(
+        &mut self,
+        now: Millis,
+        wall: Millis,
+        sync: &SyncRequest,
+    ) -> Option<Vec<RunReport>> {
         self.advance(now);
-        if self.fenced(sync.epoch) {
+        if self.rejects_epoch(sync.epoch) {
             return None;
         }
         self.round = self.round.max(sync.round);
         for id in &sync.acks {
             let ended = self
-                .tasks
+                .runs
                 .get(id)
-                .is_some_and(|t| t.state != RunState::Running);
+                .is_some_and(|r| r.state != RunState::Running);
             if ended {
-                self.tasks.remove(id);
+                self.runs.remove(id);
             }
         }
         let left = sync.not_after.saturating_sub(wall);
-        for task in self.tasks.values_mut() {
-            if task.state == RunState::Running && sync.lease > 0 {
-                task.lease = task.lease.max(now + sync.lease.min(left));
+        for run in self.runs.values_mut() {
+            if run.state == RunState::Running && sync.lease > 0 {
+                run.lease = run.lease.max(now + sync.lease.min(left));
             }
         }
-        self.sample(now);
-        Some(self.tasks.values().map(report).collect())
+        self.record_samples(now);
+        Some(self.runs.values().map(report).collect())
     }
 
     /// Starts a run.
     pub fn start(&mut self, now: Millis, wall: Millis, start: Start) -> Result<(), Refusal> {
         self.advance(now);
-        if self.fenced(start.epoch) {
+        if self.rejects_epoch(start.epoch) {
             return Err(Refusal::Fenced);
         }
         let late = start.round < self.round || wall > start.not_after;
-        if late && self.faults.fence {
-            self.counts.fenced += 1;
+        if late && self.faults.fencing {
+            self.counts.fenced_calls += 1;
             return Err(Refusal::Fenced);
         }
-        if self.tasks.contains_key(&start.task.id) {
+        if self.runs.contains_key(&start.run.id) {
             return Ok(());
         }
         if self.leaving {
             return Err(Refusal::Leaving);
         }
-        let used = self.used();
-        let size = start.task.held();
+        let allocated = self.allocated();
+        let size = start.run.allocated();
         let total = Size {
-            cores: used.cores + size.cores,
-            memory: used.memory + size.memory,
-            accelerators: used.accelerators + size.accelerators,
+            cores: allocated.cores + size.cores,
+            memory: allocated.memory + size.memory,
+            accelerators: allocated.accelerators + size.accelerators,
         };
         if !self.shape.has_capacity_for(total) {
-            self.counts.overloads += 1;
+            self.counts.capacity_refusals += 1;
             return Err(Refusal::Full);
         }
-        let twin = self
+        let duplicate = self
             .running()
-            .any(|t| t.job == start.task.job && t.task == start.task.task);
-        self.counts.doubled += u64::from(twin);
+            .any(|r| r.job == start.run.job && r.task == start.run.task);
+        self.counts.duplicate_starts += u64::from(duplicate);
         self.counts.starts += 1;
-        let mut task = start.task;
-        task.lease = now + start.lease;
-        self.tasks.insert(task.id, task);
+        let mut run = start.run;
+        run.lease = now + start.lease;
+        self.runs.insert(run.id, run);
         Ok(())
     }
 
@@ -304,19 +309,19 @@
         checkpoint: bool,
     ) -> Result<Millis, Refusal> {
         self.advance(now);
-        if self.fenced(epoch) {
+        if self.rejects_epoch(epoch) {
             return Err(Refusal::Fenced);
         }
-        let task = self.tasks.get_mut(&id).ok_or(Refusal::Missing)?;
-        if task.state == RunState::Running {
-            task.state = RunState::Stopped;
+        let run = self.runs.get_mut(&id).ok_or(Refusal::Missing)?;
+        if run.state == RunState::Running {
+            run.state = RunState::Stopped;
             if checkpoint {
-                task.saved = task.done as Millis;
+                run.saved = run.done as Millis;
             }
         }
         // A run that ended otherwise is told by the next report.
-        match task.state {
-            RunState::Stopped => Ok(task.saved),
+        match run.state {
+            RunState::Stopped => Ok(run.saved),
             _ => Err(Refusal::Missing),
         }
     }
@@ -330,73 +335,83 @@
         share: u32,
     ) -> Result<(), Refusal> {
         self.advance(now);
-        if self.fenced(epoch) {
+        if self.rejects_epoch(epoch) {
             return Err(Refusal::Fenced);
         }
-        let task = self.tasks.get_mut(&id).ok_or(Refusal::Missing)?;
-        task.share = share.min(WHOLE);
+        let run = self.runs.get_mut(&id).ok_or(Refusal::Missing)?;
+        run.share = share.min(WHOLE);
         Ok(())
     }
 
     /// Takes in a request, or refuses it before it runs.
-    pub fn begin(
+    pub fn begin_request(
         &mut self,
         now: Millis,
         wall: Millis,
-        active: Active,
+        request: ActiveRequest,
         not_after: Millis,
     ) -> Result<(), Refusal> {
         self.advance(now);
-        if self.fenced(active.epoch) {
+        if self.rejects_epoch(request.epoch) {
             return Err(Refusal::Fenced);
         }
-        if wall > not_after && self.faults.fence {
-            self.counts.fenced += 1;
+        if wall > not_after && self.faults.fencing {
+            self.counts.fenced_calls += 1;
             return Err(Refusal::Fenced);
         }
         if self.leaving {
             return Err(Refusal::Leaving);
         }
-        if self.active.len() as u32 >= self.shape.slots {
-            self.counts.overloads += 1;
+        if self.active_requests.len() as u32 >= self.shape.slots {
+            self.counts.capacity_refusals += 1;
             return Err(Refusal::Full);
         }
-        self.active.push(active);
+        self.active_requests.push(request);
         self.counts.requests += 1;
-        self.counts.peak = self.counts.peak.max(self.active.len() as u32);
+        self.counts.peak_requests = self
+            .counts
+            .peak_requests
+            .max(self.active_requests.len() as u32);
         Ok(())
     }
 
     /// Records the id of a request that runs.
-    pub fn record(&mut self, id: Name) {
-        *self.counts.ids.entry(id).or_default() += 1;
+    pub fn record_request_id(&mut self, id: Name) {
+        *self.counts.request_ids.entry(id).or_default() += 1;
     }
 
     /// Takes in that a request has run.
-    pub fn finish(&mut self, ticket: u64, epoch: u64) {
+    pub fn finish_request(&mut self, ticket: u64, epoch: u64) {
         let index = self
-            .active
+            .active_requests
             .iter()
             .position(|a| a.ticket == ticket && a.epoch == epoch);
         if let Some(index) = index {
-            self.active.swap_remove(index);
+            self.active_requests.swap_remove(index);
         }
     }
 
     /// Returns tickets of the present epoch and the number of others.
-    pub fn tickets(&self) -> (Vec<u64>, u32) {
-        let own = self.active.iter().filter(|a| a.epoch == self.epoch);
+    pub fn request_tickets(&self) -> (Vec<u64>, u32) {
+        let own = self
+            .active_requests
+            .iter()
+            .filter(|a| a.epoch == self.epoch);
         let tickets: Vec<u64> = own.map(|a| a.ticket).collect();
-        let foreign = self.active.len() - tickets.len();
+        let foreign = self.active_requests.len() - tickets.len();
         (tickets, foreign as u32)
     }
 
-    fn sample(&mut self, now: Millis) {
-        let mut services: Vec<Name> = self.active.iter().map(|a| a.service.clone()).collect();
+    fn record_samples(&mut self, now: Millis) {
+        let mut services: Vec<Name> = self
+            .active_requests
+            .iter()
+            .map(|a| a.service.clone())
+            .collect();
         services.sort();
         services.dedup();
         let others: Vec<Name> = self.running().map(|t| t.kind.clone()).collect();
-        let busy = self.active.len() as u32 * 2 > self.shape.slots;
+        let busy = self.active_requests.len() as u32 * 2 > self.shape.slots;
         for service in services {
             let sample = Sample {
                 slowdown: self.slowdown(&service),
@@ -409,11 +424,11 @@
     }
 
     /// Returns measurements that are old enough to be reported, with their age.
-    pub fn late_samples(&mut self, now: Millis) -> Vec<(Millis, Sample)> {
+    pub fn take_due_samples(&mut self, now: Millis) -> Vec<(Millis, Sample)> {
         let ready = self
             .samples
             .iter()
-            .take_while(|(at, _)| at + LAG <= now)
+            .take_while(|(at, _)| at + SAMPLE_DELAY <= now)
             .count();
         self.samples
             .drain(..ready)
@@ -424,7 +439,7 @@
 
 /// An exchange as asked for.
 #[derive(Clone, Debug)]
-pub struct Sync {
+pub struct SyncRequest {
     /// Epoch of the asking owner.
     pub epoch: u64,
     /// Counts its exchanges.
@@ -437,20 +452,20 @@
     pub acks: Vec<RunId>,
 }
 
-fn report(task: &Task) -> RunReport {
-    let progress = match task.state {
-        RunState::Stopped => task.saved,
-        _ => task.done as Millis,
+fn report(run: &WorkerRun) -> RunReport {
+    let progress = match run.state {
+        RunState::Stopped => run.saved,
+        _ => run.done as Millis,
     };
     RunReport {
-        id: task.id,
-        job: task.job.clone(),
-        task: task.task,
-        kind: task.kind.clone(),
-        size: task.size,
-        state: task.state,
+        id: run.id,
+        job: run.job.clone(),
+        task: run.task,
+        kind: run.kind.clone(),
+        size: run.size,
+        state: run.state,
         progress,
-        share: task.share,
-        usage: task.size.cores,
+        share: run.share,
+        usage: run.size.cores,
     }
 }
--- a/tools/trial/src/world.rs
+++ b/tools/trial/src/world.rs
@@ -283,7 +283,7 @@
             memory: 8_000,
             accelerators: 1,
         });
-        worker.faults.fence = self.schedule.fence;
+        worker.faults.fencing = self.schedule.fence;
         Host {
             worker,
             frozen: 0,
@@ -425,7 +425,7 @@
             });
         }
         for index in 0..WORKERS {
-            let overloads = self.hosts[index].worker.counts.overloads;
+            let overloads = self.hosts[index].worker.counts.capacity_refusals;
             self.truth.check(overloads == 0, Rule::Room, || {
                 format!("w{index} was given more than its room")
             });
--- a/tools/trial/src/world/ends.rs
+++ b/tools/trial/src/world/ends.rs
@@ -8,7 +8,7 @@
 use willowpoint::job::{JobShardRow, Phase};
 use willowpoint::lease::WriteOutcome;
 use willowpoint::request::Meta;
-use willowpoint::standin::worker::state::{Active, Start, Sync, Task};
+use willowpoint::standin::worker::state::{ActiveRequest, Start, SyncRequest, WorkerRun};
 use willowpoint::table::{Call as TableCall, Outcome, decode};
 use willowpoint::utils::Name;
 
@@ -281,14 +281,14 @@
         service: Name,
     ) {
         let wall = self.wall_of(worker);
-        let active = Active {
+        let active = ActiveRequest {
             ticket: request.ticket,
             epoch,
             service,
         };
         let began = self.hosts[worker]
             .worker
-            .begin(self.now, wall, active, not_after);
+            .begin_request(self.now, wall, active, not_after);
         let ticket = request.ticket;
         if began.is_err() {
             self.truth.counts.event("requests refused by workers");
@@ -327,7 +327,7 @@
             );
         }
         let Request { ticket, attempt } = request;
-        self.hosts[worker].worker.finish(ticket, epoch);
+        self.hosts[worker].worker.finish_request(ticket, epoch);
         let event = Event::SendEnded {
             ticket,
             outcome: SendOutcome::Answered,
@@ -348,7 +348,7 @@
             CellAction::Poll {
                 acks, renew, round, ..
             } => {
-                let sync = Sync {
+                let sync = SyncRequest {
                     epoch,
                     round: *round,
                     lease: if *renew { TASK } else { 0 },
@@ -357,8 +357,8 @@
                 };
                 let host = &mut self.hosts[worker].worker;
                 let runs = host.sync(now, wall, &sync);
-                let (tickets, foreign_requests) = host.tickets();
-                let samples = host.late_samples(now).into_iter().map(|(_, s)| s);
+                let (tickets, foreign_requests) = host.request_tickets();
+                let samples = host.take_due_samples(now).into_iter().map(|(_, s)| s);
                 let reply = PollReply {
                     refused: runs.is_none(),
                     shape: host.shape,
@@ -409,7 +409,7 @@
     ) -> CallOutcome {
         let wall = self.wall_of(worker);
         let before = self.hosts[worker].worker.counts.starts;
-        let task = Task {
+        let worker_run = WorkerRun {
             id: run.id,
             job: run.job.clone(),
             task: run.task,
@@ -427,7 +427,7 @@
             round: run.poll_round,
             lease: TASK,
             not_after,
-            task,
+            run: worker_run,
         };
         let result = self.hosts[worker].worker.start(self.now, wall, start);
         if self.hosts[worker].worker.counts.starts > before {
@@ -444,7 +444,7 @@
             // A frozen worker's tasks stand still with it.
             host.worker.advance(self.now);
             let same =
-                host.worker.tasks.values().filter(|t| {
+                host.worker.runs.values().filter(|t| {
                     t.state == RunState::Running && t.job == run.job && t.task == run.task
                 });
             twins.extend(same.map(|t| (index, t.id)));
--- a/tools/trial/src/world/faults.rs
+++ b/tools/trial/src/world/faults.rs
@@ -91,7 +91,7 @@
             Kind::Leave => return self.leave(worker, fault.span),
             Kind::RestartWorker => self.restart_worker(worker),
             Kind::FailTasks => {
-                self.hosts[worker].worker.faults.fail = !fault.span.is_multiple_of(4)
+                self.hosts[worker].worker.faults.fail_runs = !fault.span.is_multiple_of(4)
             }
             Kind::CancelWave => return self.cancel_all(),
             Kind::Submit => return self.submit(fault, false),
@@ -172,7 +172,7 @@
         for host in &mut self.hosts {
             host.left = None;
             host.worker.leaving = false;
-            host.worker.faults.fail = false;
+            host.worker.faults.fail_runs = false;
         }
     }
 }
