--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -115,7 +115,7 @@
     };
     let (leading, unserved) = (shared.local_epoch().is_some(), shared.unserved_ms());
     log::warn!(target: "daemon", "event=suspended span_ms={span} leading={leading} unserved_ms={unserved}");
-    crate::metrics::get().suspended.inc_by(span);
+    crate::metrics::get().suspended_time.inc_by(span);
 }
 
 /// Writes out buffered log lines until the process ends.
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -33,7 +33,9 @@
 /// Returns all metrics as text, after updating the gauges that no event updates.
 fn metrics_text(shared: &Shared) -> String {
     let metrics = metrics::get();
-    metrics.unserved.set(shared.unserved_ms() as i64);
-    metrics.others.set(shared.peer_addresses().count() as i64);
-    metrics.text()
+    metrics.unserved_time.set(shared.unserved_ms() as i64);
+    metrics
+        .other_boxes
+        .set(shared.peer_addresses().count() as i64);
+    metrics.encode()
 }
--- a/src/daemon/commits.rs
+++ b/src/daemon/commits.rs
@@ -28,7 +28,7 @@
     writes: &[Write],
     limit: Millis,
 ) -> CommitOutcome {
-    crate::metrics::get().calls.inc();
+    crate::metrics::get().table_calls.inc();
     let condition = (OWNER_TABLE, OWNER_KEY.into(), version);
     shared
         .store
--- a/src/daemon/frontend.rs
+++ b/src/daemon/frontend.rs
@@ -56,7 +56,9 @@
     let start = clock::micros();
     let answer = ask_owner(&shared, &job_request, caller_timeout).await;
     let took = clock::micros() - start;
-    crate::metrics::get().seconds.observe(took as f64 / 1e6);
+    crate::metrics::get()
+        .request_seconds
+        .observe(took as f64 / 1e6);
     if !matches!(job_request, JobRequest::Show(_) | JobRequest::Count(_)) {
         let (kind, id) = kind_and_subject(&job_request);
         let version = queues.version();
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -157,7 +157,7 @@
             return;
         }
         log::info!(target: "config", "event=config version={new} before={old} from={from}");
-        crate::metrics::get().config.set(new as i64);
+        crate::metrics::get().config_version.set(new as i64);
         *self.queues.borrow_mut() = Rc::new(queues);
         *self.config.borrow_mut() = Some(row);
     }
@@ -186,7 +186,7 @@
             let cordoned = halls.contains(hall);
             log::info!(target: "config", "event=cordon hall={hall} cordoned={cordoned} read={as_of:?}");
         }
-        crate::metrics::get().cordoned.set(halls.len() as i64);
+        crate::metrics::get().cordoned_halls.set(halls.len() as i64);
         if let Some(epoch) = self.local_epoch() {
             self.send_to_owner(Message::Event(epoch, Event::Cordoned(halls)));
         }
@@ -200,7 +200,7 @@
     /// Sets the owner as last known.
     pub fn set_owner(&self, known: Option<KnownOwner>) {
         let epoch = known.as_ref().map_or(0, |s| s.row.epoch);
-        crate::metrics::get().followed.set(epoch as i64);
+        crate::metrics::get().followed_epoch.set(epoch as i64);
         *self.owner.borrow_mut() = known;
     }
 
--- a/src/daemon/term.rs
+++ b/src/daemon/term.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::metrics::{self, End, Spent};
+use crate::metrics::{self, EventLabel, OwnerEndLabel};
 use crate::sched::owner::Owner;
 use crate::utils::clock::{self, Millis};
 use crate::utils::peak::Peak;
@@ -36,8 +36,8 @@
     pub fn begin(epoch: u64, load_ms: Millis, now: Millis) -> Self {
         let metrics = metrics::get();
         metrics.takeovers.inc();
-        metrics.epoch.set(epoch as i64);
-        metrics.load.set(load_ms as i64);
+        metrics.owner_epoch.set(epoch as i64);
+        metrics.load_time.set(load_ms as i64);
         Self {
             epoch,
             began: now,
@@ -63,7 +63,9 @@
         }
         self.flushed = now;
         for (event, micros) in std::mem::take(&mut self.spent) {
-            let counter = metrics::get().spent.get_or_create(&Spent { event });
+            let counter = metrics::get()
+                .decision_time
+                .get_or_create(&EventLabel { event });
             counter.inc_by(micros);
         }
     }
@@ -83,23 +85,26 @@
         let (jobs, workers, waiting) = owner.sizes();
         metrics.jobs.set(jobs as i64);
         metrics.workers.set(workers as i64);
-        metrics.waiting.set(waiting as i64);
+        metrics.waiting_tasks.set(waiting as i64);
         let age = now.saturating_sub(owner.last_confirmed());
-        metrics.unconfirmed.set(age as i64);
-        metrics.late.set(self.lateness.late() as i64);
-        metrics.leaving.set(self.leaving_ms(now) as i64);
+        metrics.unconfirmed_time.set(age as i64);
+        metrics.loop_delay.set(self.lateness.late() as i64);
+        metrics.release_time.set(self.leaving_ms(now) as i64);
     }
 
     /// Ends the term: logs its summary, and clears the gauges that would make this box look like
     /// the owner.
     pub fn end(self, owner: &Owner, reason: &'static str, now: Millis) {
         let metrics = metrics::get();
-        metrics.ends.get_or_create(&End { reason }).inc();
+        metrics
+            .owner_ends
+            .get_or_create(&OwnerEndLabel { reason })
+            .inc();
         let served = now.saturating_sub(self.began);
         let began = clock::wall().saturating_sub(served);
         let (jobs, workers, waiting) = owner.sizes();
         let (lapsed, leaving) = (owner.lapsed_runs(), self.leaving_ms(now));
         log::info!(target: "owner", "event=owner-ends epoch={} reason={reason} began={began} served_ms={served} load_ms={} jobs={jobs} workers={workers} waiting={waiting} lapsed={lapsed} leaving_ms={leaving} late_ms={}", self.epoch, self.load_ms, self.lateness.highest());
-        metrics.no_owner();
+        metrics.clear_owner_gauges();
     }
 }
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -6,7 +6,7 @@
 use super::shared::{KnownOwner, Shared};
 use super::takeover::decode_jobs;
 use super::term::Term;
-use crate::metrics::{self, End};
+use crate::metrics::{self, OwnerEndLabel};
 use crate::options::daemon;
 use crate::sched::failover::OwnerProgress;
 use crate::sched::history::HistoryRow;
@@ -118,19 +118,25 @@
     let metrics = metrics::get();
     let gauges = || {
         [
-            metrics.epoch.get(),
+            metrics.owner_epoch.get(),
             metrics.jobs.get(),
-            metrics.waiting.get(),
-            metrics.unconfirmed.get(),
-            metrics.late.get(),
-            metrics.leaving.get(),
+            metrics.waiting_tasks.get(),
+            metrics.unconfirmed_time.get(),
+            metrics.loop_delay.get(),
+            metrics.release_time.get(),
         ]
     };
     assert_eq!(gauges(), [7, 1, 1, 2_000, 250, 500]);
     term.end(&owner, "deposed", 3_100);
     assert_eq!(gauges(), [0; 6]);
-    assert_eq!(metrics.load.get(), 300, "the time of the last load stays");
-    let ends = metrics.ends.get_or_create(&End { reason: "deposed" });
+    assert_eq!(
+        metrics.load_time.get(),
+        300,
+        "the time of the last load stays"
+    );
+    let ends = metrics
+        .owner_ends
+        .get_or_create(&OwnerEndLabel { reason: "deposed" });
     assert_eq!(ends.get(), 1);
 }
 
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -22,7 +22,7 @@
     match request.uri.path() {
         "/health" => Reply::text(StatusCode::OK, "ok\n"),
         "/ready" => ready(&context).await,
-        "/metrics" => Reply::text(StatusCode::OK, metrics::get().text()),
+        "/metrics" => Reply::text(StatusCode::OK, metrics::get().encode()),
         _ => Reply::text(StatusCode::NOT_FOUND, "try /health, /ready or /metrics\n"),
     }
 }
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -10,7 +10,7 @@
 use crate::cell::Reason;
 use crate::constants;
 use crate::engine::Verdict;
-use crate::metrics::{self, Answer};
+use crate::metrics::{self, AnswerLabels};
 use crate::request;
 use crate::trace;
 use crate::utils::clock;
@@ -40,7 +40,7 @@
         Err(findings) => invalid(&findings),
     };
     let micros = clock::micros() - start;
-    metrics::get().seconds.observe(micros as f64 / 1e6);
+    metrics::get().request_seconds.observe(micros as f64 / 1e6);
     metrics::get().answers.get_or_create(&answer).inc();
     hop.end("entry", micros, answer.verdict);
     if hop.sampled {
@@ -60,11 +60,11 @@
     })
 }
 
-fn told(outcome: Outcome) -> (Reply, Answer) {
+fn told(outcome: Outcome) -> (Reply, AnswerLabels) {
     match (outcome.verdict, outcome.reply) {
         (Verdict::Answer, Some(mut reply)) => {
             set(&mut reply.headers, constants::VERDICT, "answer");
-            let answer = Answer {
+            let answer = AnswerLabels {
                 verdict: "answer",
                 reason: "",
             };
@@ -82,7 +82,7 @@
     }
 }
 
-fn not_run(reason: &'static str, after: u64) -> (Reply, Answer) {
+fn not_run(reason: &'static str, after: u64) -> (Reply, AnswerLabels) {
     let status = StatusCode::SERVICE_UNAVAILABLE;
     let text = format!("not run: {reason}; come back in {after} ms\n");
     let mut reply = Reply::text(status, text);
@@ -98,26 +98,26 @@
     if reason == Reason::Stopping.as_str() {
         set(&mut reply.headers, "connection", "close");
     }
-    let answer = Answer {
+    let answer = AnswerLabels {
         verdict: "not-run",
         reason,
     };
     (reply, answer)
 }
 
-fn unknown(reason: &'static str) -> (Reply, Answer) {
+fn unknown(reason: &'static str) -> (Reply, AnswerLabels) {
     let text = format!("unknown: it may have run ({reason})\n");
     let mut reply = Reply::text(StatusCode::GATEWAY_TIMEOUT, text);
     set(&mut reply.headers, constants::VERDICT, "unknown");
     set(&mut reply.headers, constants::REASON, reason);
-    let answer = Answer {
+    let answer = AnswerLabels {
         verdict: "unknown",
         reason,
     };
     (reply, answer)
 }
 
-fn invalid(findings: &[request::HeaderError]) -> (Reply, Answer) {
+fn invalid(findings: &[request::HeaderError]) -> (Reply, AnswerLabels) {
     metrics::get().malformed.inc();
     let mut text = String::from("not run: invalid\n");
     for finding in findings {
--- a/src/entry/store.rs
+++ b/src/entry/store.rs
@@ -31,7 +31,7 @@
 
     /// Calls the table.
     pub async fn call(&self, call: Call) -> Outcome {
-        crate::metrics::get().calls.inc();
+        crate::metrics::get().table_calls.inc();
         match call {
             Call::Read(keys) => self.read(keys).await,
             Call::Scan(prefix) => self.scan(prefix).await,
--- a/src/logs/sink.rs
+++ b/src/logs/sink.rs
@@ -78,7 +78,7 @@
 
     fn drop_lines(&mut self, count: u64) {
         self.dropped += count;
-        crate::metrics::get().dropped.inc_by(count);
+        crate::metrics::get().dropped_lines.inc_by(count);
     }
 
     /// Returns true when a line can be written without waiting.
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -21,7 +21,7 @@
 
 /// Labels of an answer to a caller.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub struct Answer {
+pub struct AnswerLabels {
     /// `answer`, `not-run` or `unknown`.
     pub verdict: &'static str,
     /// Why, for what is not the endpoint's answer.
@@ -30,21 +30,21 @@
 
 /// Label of an owner's end in this process.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub struct End {
+pub struct OwnerEndLabel {
     /// `released`, `deposed` or `superseded`.
     pub reason: &'static str,
 }
 
 /// Label of the time that the owner's decisions took.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub struct Spent {
+pub struct EventLabel {
     /// Kind of the event that they took in.
     pub event: &'static str,
 }
 
 /// Label of a call between programs.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub struct Call {
+pub struct ProtocolLabel {
     /// `http` to store, workers and advisor, `grpc` to boxes.
     pub by: &'static str,
 }
@@ -57,7 +57,7 @@
 
 /// Label of the image that a task runs.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub struct Image {
+pub struct ImageLabel {
     /// Its name.
     pub image: String,
 }
@@ -66,41 +66,41 @@
 pub struct Metrics {
     registry: Registry,
     /// Answers to callers.
-    pub answers: Family<Answer, Counter>,
+    pub answers: Family<AnswerLabels, Counter>,
     /// Seconds from a caller's request to its answer.
-    pub seconds: Histogram,
+    pub request_seconds: Histogram,
     /// Requests handed to other boxes.
     pub forwards: Counter,
     /// Rows that did not decode.
-    pub undecoded: Counter,
+    pub rows_undecoded: Counter,
     /// Messages that were malformed or too large.
     pub malformed: Counter,
     /// Cells owned.
     pub cells: Gauge<i64, AtomicI64>,
     /// Version of the configuration in force.
-    pub config: Gauge<i64, AtomicI64>,
+    pub config_version: Gauge<i64, AtomicI64>,
     /// Seconds from a commit to its answer.
     pub commit_seconds: Histogram,
     /// Seconds from a job's acceptance to its first start.
-    pub start_seconds: Histogram,
+    pub first_start_seconds: Histogram,
     /// Epoch of the owner in this process, 0 for none.
-    pub epoch: Gauge<i64, AtomicI64>,
+    pub owner_epoch: Gauge<i64, AtomicI64>,
     /// Epoch of the owner that this box follows, 0 for none.
-    pub followed: Gauge<i64, AtomicI64>,
+    pub followed_epoch: Gauge<i64, AtomicI64>,
     /// Other boxes that this one may ask for the owner.
-    pub others: Gauge<i64, AtomicI64>,
+    pub other_boxes: Gauge<i64, AtomicI64>,
     /// Milliseconds since an owner last served this box, 0 while one does.
-    pub unserved: Gauge<i64, AtomicI64>,
+    pub unserved_time: Gauge<i64, AtomicI64>,
     /// Milliseconds by which the owner's loop was late, the highest of late.
-    pub late: Gauge<i64, AtomicI64>,
+    pub loop_delay: Gauge<i64, AtomicI64>,
     /// Milliseconds since the owner was told to give the cell up, 0 before.
-    pub leaving: Gauge<i64, AtomicI64>,
+    pub release_time: Gauge<i64, AtomicI64>,
     /// Milliseconds from the last commit that made this box the owner until it served.
-    pub load: Gauge<i64, AtomicI64>,
+    pub load_time: Gauge<i64, AtomicI64>,
     /// Microseconds that the owner's decisions took, by kind of event.
-    pub spent: Family<Spent, Counter>,
+    pub decision_time: Family<EventLabel, Counter>,
     /// Owners that ended in this process.
-    pub ends: Family<End, Counter>,
+    pub owner_ends: Family<OwnerEndLabel, Counter>,
     /// Times that this box became the owner.
     pub takeovers: Counter,
     /// Jobs held by the owner in this process.
@@ -108,45 +108,45 @@
     /// Workers known to the owner in this process.
     pub workers: Gauge<i64, AtomicI64>,
     /// Tasks that wait for a worker.
-    pub waiting: Gauge<i64, AtomicI64>,
+    pub waiting_tasks: Gauge<i64, AtomicI64>,
     /// Milliseconds since the store confirmed the owner in this process.
-    pub unconfirmed: Gauge<i64, AtomicI64>,
+    pub unconfirmed_time: Gauge<i64, AtomicI64>,
     /// Runs freed as the lease of their worker had ended.
-    pub lapsed: Counter,
+    pub lapsed_runs: Counter,
     /// Workers that crashed, as far as the owner can tell.
-    pub crashes: Counter,
+    pub worker_crashes: Counter,
     /// Lives of workers that took the place of a known one.
-    pub lives: Counter,
+    pub new_incarnations: Counter,
     /// News of earlier lives that were passed over.
-    pub earlier_lives: Counter,
+    pub stale_reports: Counter,
     /// Tasks given up after crashes of their workers.
-    pub given_up: Counter,
+    pub abandoned_tasks: Counter,
     /// Runs that went with the life of their worker, without an end.
-    pub orphaned: Counter,
+    pub orphaned_runs: Counter,
     /// Halls that are cordoned, as far as this box knows.
-    pub cordoned: Gauge<i64, AtomicI64>,
+    pub cordoned_halls: Gauge<i64, AtomicI64>,
     /// Starts withdrawn before they were sent, as their worker could not take them any more.
-    pub withdrawn: Counter,
+    pub withdrawn_starts: Counter,
     /// Calls without an answer in time, though the connection was open.
-    pub unanswered: Family<Call, Counter>,
+    pub unanswered_calls: Family<ProtocolLabel, Counter>,
     /// Milliseconds for which the machine was suspended.
-    pub suspended: Counter,
+    pub suspended_time: Counter,
     /// Milliseconds of the longest spell of a serving task over its target that goes on.
-    pub over: Gauge<i64, AtomicI64>,
+    pub longest_breach: Gauge<i64, AtomicI64>,
     /// Seconds of spells of serving tasks over their target that have ended.
-    pub over_seconds: Family<Image, Histogram>,
+    pub breach_seconds: Family<ImageLabel, Histogram>,
     /// Orders on the pace of fillers.
-    pub paces: Counter,
+    pub throttle_orders: Counter,
     /// Orders on the pace of fillers that were not answered well.
-    pub paces_missed: Counter,
+    pub failed_throttles: Counter,
     /// Log lines that were dropped.
-    pub dropped: Counter,
+    pub dropped_lines: Counter,
     /// Calls to the table.
-    pub calls: Counter<u64, AtomicU64>,
+    pub table_calls: Counter<u64, AtomicU64>,
     /// Tasks evicted.
-    pub evictions: Gauge<i64, AtomicI64>,
+    pub evicted_tasks: Gauge<i64, AtomicI64>,
     /// Tasks finished.
-    pub finished: Gauge<i64, AtomicI64>,
+    pub finished_tasks: Gauge<i64, AtomicI64>,
     checks: Family<RuleLabel, Gauge>,
     violations: Family<RuleLabel, Gauge>,
 }
@@ -159,33 +159,39 @@
 }
 
 /// Counts a row that did not decode.
-pub fn undecoded() {
-    METRICS.undecoded.inc();
+pub fn count_undecoded_row() {
+    METRICS.rows_undecoded.inc();
 }
 
 /// Counts a call without an answer in time on an open connection.
-pub fn unanswered(by: &'static str) {
-    METRICS.unanswered.get_or_create(&Call { by }).inc();
+pub fn count_unanswered_call(by: &'static str) {
+    METRICS
+        .unanswered_calls
+        .get_or_create(&ProtocolLabel { by })
+        .inc();
 }
 
 /// Images that have a label of their own; the others share one.
-const IMAGES: usize = 64;
+const MAX_IMAGES: usize = 64;
 
 /// Counts a spell over target of a serving task that runs an image.
-pub fn observe_over_target(image: &str, seconds: f64) {
-    static SEEN: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
-    let mut seen = SEEN.lock().unwrap_or_else(PoisonError::into_inner);
-    if seen.len() < IMAGES && !seen.contains(image) {
-        seen.insert(image.to_string());
+pub fn observe_breach(image: &str, seconds: f64) {
+    static LABELED: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
+    let mut labeled = LABELED.lock().unwrap_or_else(PoisonError::into_inner);
+    if labeled.len() < MAX_IMAGES && !labeled.contains(image) {
+        labeled.insert(image.to_string());
     }
-    let image = match seen.contains(image) {
+    let image = match labeled.contains(image) {
         true => image,
         false => "other",
     };
-    let label = Image {
+    let label = ImageLabel {
         image: image.to_string(),
     };
-    METRICS.over_seconds.get_or_create(&label).observe(seconds);
+    METRICS
+        .breach_seconds
+        .get_or_create(&label)
+        .observe(seconds);
 }
 
 impl Metrics {
@@ -194,52 +200,54 @@
         let metrics = Self {
             registry: Registry::default(),
             answers: Family::default(),
-            seconds: Histogram::new(registration::REQUEST_SPANS),
+            request_seconds: Histogram::new(registration::REQUEST_BUCKETS),
             forwards: Counter::default(),
-            undecoded: Counter::default(),
+            rows_undecoded: Counter::default(),
             malformed: Counter::default(),
             cells: Gauge::default(),
-            config: Gauge::default(),
-            commit_seconds: Histogram::new(registration::COMMIT_SPANS),
-            start_seconds: Histogram::new(registration::START_SPANS),
-            epoch: Gauge::default(),
-            followed: Gauge::default(),
-            others: Gauge::default(),
-            unserved: Gauge::default(),
-            late: Gauge::default(),
-            leaving: Gauge::default(),
-            load: Gauge::default(),
-            spent: Family::default(),
-            ends: Family::default(),
+            config_version: Gauge::default(),
+            commit_seconds: Histogram::new(registration::COMMIT_BUCKETS),
+            first_start_seconds: Histogram::new(registration::FIRST_START_BUCKETS),
+            owner_epoch: Gauge::default(),
+            followed_epoch: Gauge::default(),
+            other_boxes: Gauge::default(),
+            unserved_time: Gauge::default(),
+            loop_delay: Gauge::default(),
+            release_time: Gauge::default(),
+            load_time: Gauge::default(),
+            decision_time: Family::default(),
+            owner_ends: Family::default(),
             takeovers: Counter::default(),
             jobs: Gauge::default(),
             workers: Gauge::default(),
-            waiting: Gauge::default(),
-            unconfirmed: Gauge::default(),
-            lapsed: Counter::default(),
-            orphaned: Counter::default(),
-            crashes: Counter::default(),
-            lives: Counter::default(),
-            earlier_lives: Counter::default(),
-            given_up: Counter::default(),
-            cordoned: Gauge::default(),
-            withdrawn: Counter::default(),
-            unanswered: Family::default(),
-            suspended: Counter::default(),
-            over: Gauge::default(),
-            over_seconds: Family::new_with_constructor(|| Histogram::new(registration::OVER_SPANS)),
-            paces: Counter::default(),
-            paces_missed: Counter::default(),
-            dropped: Counter::default(),
-            calls: Counter::default(),
-            evictions: Gauge::default(),
-            finished: Gauge::default(),
+            waiting_tasks: Gauge::default(),
+            unconfirmed_time: Gauge::default(),
+            lapsed_runs: Counter::default(),
+            orphaned_runs: Counter::default(),
+            worker_crashes: Counter::default(),
+            new_incarnations: Counter::default(),
+            stale_reports: Counter::default(),
+            abandoned_tasks: Counter::default(),
+            cordoned_halls: Gauge::default(),
+            withdrawn_starts: Counter::default(),
+            unanswered_calls: Family::default(),
+            suspended_time: Counter::default(),
+            longest_breach: Gauge::default(),
+            breach_seconds: Family::new_with_constructor(|| {
+                Histogram::new(registration::BREACH_BUCKETS)
+            }),
+            throttle_orders: Counter::default(),
+            failed_throttles: Counter::default(),
+            dropped_lines: Counter::default(),
+            table_calls: Counter::default(),
+            evicted_tasks: Gauge::default(),
+            finished_tasks: Gauge::default(),
             checks: Family::default(),
             violations: Family::default(),
         };
-        registration::owner(&mut registry, &metrics);
-        registration::spans(&mut registry, &metrics);
-        registration::older(&mut registry, &metrics);
+        registration::register_owner(&mut registry, &metrics);
+        registration::register_histograms(&mut registry, &metrics);
+        registration::register_engine(&mut registry, &metrics);
         Self {
             registry,
             ..metrics
@@ -248,16 +256,16 @@
 
     /// Sets the gauges of an owner to 0: kept, they would make a box that was the
     /// owner once look like a second one.
-    pub fn no_owner(&self) {
+    pub fn clear_owner_gauges(&self) {
         let gauges = [
-            &self.epoch,
-            &self.late,
-            &self.leaving,
-            &self.unconfirmed,
-            &self.waiting,
+            &self.owner_epoch,
+            &self.loop_delay,
+            &self.release_time,
+            &self.unconfirmed_time,
+            &self.waiting_tasks,
             &self.jobs,
             &self.workers,
-            &self.over,
+            &self.longest_breach,
         ];
         for gauge in gauges {
             gauge.set(0);
@@ -265,7 +273,7 @@
     }
 
     /// Returns all metrics as text.
-    pub fn text(&self) -> String {
+    pub fn encode(&self) -> String {
         for rule in RULES {
             let label = RuleLabel {
                 rule: format!("{rule:?}").to_lowercase(),
--- a/src/metrics/registration.rs
+++ b/src/metrics/registration.rs
@@ -10,102 +10,122 @@
 
 /// Bounds of a request's time, in seconds. Here as below, three times as wide as
 /// the one before: a quantile is known within a factor of 3.3.
-pub(super) const REQUEST_SPANS: [f64; 12] = [
+pub(super) const REQUEST_BUCKETS: [f64; 12] = [
     0.000_1, 0.000_3, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0,
 ];
 /// Bounds of a commit's time, in seconds.
-pub(super) const COMMIT_SPANS: [f64; 9] = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0];
+pub(super) const COMMIT_BUCKETS: [f64; 9] = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0];
 /// Bounds of the time to a job's first start, in seconds.
-pub(super) const START_SPANS: [f64; 10] =
+pub(super) const FIRST_START_BUCKETS: [f64; 10] =
     [0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0, 100.0];
 
 /// Bounds of a spell over target, in seconds.
-pub(super) const OVER_SPANS: [f64; 8] = [0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0];
+pub(super) const BREACH_BUCKETS: [f64; 8] = [0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0];
 
 /// Registers what tells the owner, and how it fares.
-pub(super) fn owner(registry: &mut Registry, m: &Metrics) {
-    registry.register("owner_epoch", "Epoch of the owner here", m.epoch.clone());
+pub(super) fn register_owner(registry: &mut Registry, m: &Metrics) {
+    registry.register(
+        "owner_epoch",
+        "Epoch of the owner here",
+        m.owner_epoch.clone(),
+    );
     registry.register(
         "followed_epoch",
         "Epoch of the owner followed",
-        m.followed.clone(),
+        m.followed_epoch.clone(),
     );
     registry.register(
         "owner_unserved_ms",
         "Milliseconds without an owner",
-        m.unserved.clone(),
+        m.unserved_time.clone(),
     );
     registry.register("takeovers", "Takeovers", m.takeovers.clone());
     registry.register(
         "unconfirmed_ms",
         "Milliseconds since confirmed",
-        m.unconfirmed.clone(),
+        m.unconfirmed_time.clone(),
+    );
+    registry.register(
+        "runs_lapsed",
+        "Runs whose lease ended",
+        m.lapsed_runs.clone(),
     );
-    registry.register("runs_lapsed", "Runs whose lease ended", m.lapsed.clone());
     registry.register(
         "runs_orphaned",
         "Runs lost with a worker",
-        m.orphaned.clone(),
+        m.orphaned_runs.clone(),
     );
     registry.register(
         "worker_lives",
         "Workers that started again",
-        m.lives.clone(),
+        m.new_incarnations.clone(),
     );
     registry.register(
         "earlier_lives",
         "Late news passed over",
-        m.earlier_lives.clone(),
+        m.stale_reports.clone(),
+    );
+    registry.register(
+        "worker_crashes",
+        "Workers that crashed",
+        m.worker_crashes.clone(),
     );
-    registry.register("worker_crashes", "Workers that crashed", m.crashes.clone());
     registry.register(
         "tasks_given_up",
         "Tasks given up after crashes",
-        m.given_up.clone(),
+        m.abandoned_tasks.clone(),
     );
-    registry.register("halls_cordoned", "Halls cordoned", m.cordoned.clone());
+    registry.register("halls_cordoned", "Halls cordoned", m.cordoned_halls.clone());
     registry.register(
         "starts_withdrawn",
         "Starts withdrawn unsent",
-        m.withdrawn.clone(),
+        m.withdrawn_starts.clone(),
     );
     registry.register(
         "calls_unanswered",
         "Calls not answered in time",
-        m.unanswered.clone(),
+        m.unanswered_calls.clone(),
     );
-    registry.register("owner_late_ms", "Milliseconds late", m.late.clone());
+    registry.register("owner_late_ms", "Milliseconds late", m.loop_delay.clone());
     registry.register(
         "owner_leaving_ms",
         "Milliseconds of giving up",
-        m.leaving.clone(),
+        m.release_time.clone(),
     );
-    registry.register("load_ms", "Milliseconds of the last load", m.load.clone());
-    registry.register("owner_ends", "Owners that ended here", m.ends.clone());
-    registry.register("tasks_waiting", "Tasks that wait", m.waiting.clone());
+    registry.register(
+        "load_ms",
+        "Milliseconds of the last load",
+        m.load_time.clone(),
+    );
+    registry.register("owner_ends", "Owners that ended here", m.owner_ends.clone());
+    registry.register("tasks_waiting", "Tasks that wait", m.waiting_tasks.clone());
     registry.register(
         "over_target_ms",
         "Longest spell over target",
-        m.over.clone(),
+        m.longest_breach.clone(),
     );
     registry.register("jobs", "Jobs held by the owner", m.jobs.clone());
     registry.register("workers", "Workers known", m.workers.clone());
     registry.register(
         "suspended_ms",
         "Milliseconds suspended",
-        m.suspended.clone(),
+        m.suspended_time.clone(),
+    );
+    registry.register("log_dropped", "Log lines dropped", m.dropped_lines.clone());
+    registry.register(
+        "config_version",
+        "Version in force",
+        m.config_version.clone(),
     );
-    registry.register("log_dropped", "Log lines dropped", m.dropped.clone());
-    registry.register("config_version", "Version in force", m.config.clone());
     registry.register(
         "rows_undecoded",
         "Rows that did not decode",
-        m.undecoded.clone(),
+        m.rows_undecoded.clone(),
     );
 }
 
 /// Registers histograms of time.
-pub(super) fn spans(registry: &mut Registry, m: &Metrics) {
+pub(super) fn register_histograms(registry: &mut Registry, m: &Metrics) {
     registry.register(
         "commit_seconds",
         "Time of a commit",
@@ -114,35 +134,39 @@
     registry.register(
         "first_start_seconds",
         "Time from acceptance to the first start",
-        m.start_seconds.clone(),
+        m.first_start_seconds.clone(),
     );
     registry.register(
         "over_target_seconds",
         "Spells of serving tasks over target, by image",
-        m.over_seconds.clone(),
+        m.breach_seconds.clone(),
+    );
+    registry.register(
+        "request_seconds",
+        "Time to the answer",
+        m.request_seconds.clone(),
     );
-    registry.register("request_seconds", "Time to the answer", m.seconds.clone());
-    registry.register("paces", "Orders on paces", m.paces.clone());
+    registry.register("paces", "Orders on paces", m.throttle_orders.clone());
     registry.register(
         "paces_missed",
         "Orders on paces without a good answer",
-        m.paces_missed.clone(),
+        m.failed_throttles.clone(),
     );
     registry.register(
         "owner_spent_us",
         "Microseconds that the owner's decisions took",
-        m.spent.clone(),
+        m.decision_time.clone(),
     );
     registry.register(
         "other_boxes",
         "Boxes that may be asked for the owner",
-        m.others.clone(),
+        m.other_boxes.clone(),
     );
 }
 
 /// Registers what the older design counts for the most part.
-pub(super) fn older(registry: &mut Registry, m: &Metrics) {
-    registry.register("table_calls", "Calls to the table", m.calls.clone());
+pub(super) fn register_engine(registry: &mut Registry, m: &Metrics) {
+    registry.register("table_calls", "Calls to the table", m.table_calls.clone());
     registry.register("answers", "Answers to callers", m.answers.clone());
     registry.register(
         "forwards",
@@ -154,12 +178,12 @@
     registry.register(
         "tasks_evicted",
         "Tasks evicted by present owners",
-        m.evictions.clone(),
+        m.evicted_tasks.clone(),
     );
     registry.register(
         "tasks_finished",
         "Tasks finished under present owners",
-        m.finished.clone(),
+        m.finished_tasks.clone(),
     );
     registry.register("invariant_checks", "Checks of invariants", m.checks.clone());
     registry.register(
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeSet;
 
-use super::{Call, End, Metrics, Spent};
+use super::{EventLabel, Metrics, OwnerEndLabel, ProtocolLabel};
 
 /// Bytes of an answer that a collector keeps in any case.
-const KEPT: usize = 3_500;
+const COLLECTED_BYTES: usize = 3_500;
 /// Rows that tell the owner and how it fares.
-const OWNER: [&str; 26] = [
+const OWNER_METRICS: [&str; 26] = [
     "owner_epoch",
     "followed_epoch",
     "owner_unserved_ms",
@@ -37,36 +37,45 @@
 ];
 
 /// Returns where a row with a value ends in a text.
-fn end_of(text: &str, name: &str) -> Option<usize> {
+fn row_end(text: &str, name: &str) -> Option<usize> {
     let begin = |sign| text.find(&format!("\nwillowpoint_{name}{sign}"));
     let begin = begin(' ').or_else(|| begin('{'))? + 1;
     Some(begin + text[begin..].find('\n')?)
 }
 
 #[test]
-fn what_tells_the_owner_stands_where_collectors_keep_it() {
+fn owner_metrics_come_within_the_bytes_that_collectors_keep() {
     let metrics = Metrics::new();
     // The longest values that these rows have in practice.
-    for gauge in [&metrics.unconfirmed, &metrics.jobs, &metrics.waiting] {
+    for gauge in [
+        &metrics.unconfirmed_time,
+        &metrics.jobs,
+        &metrics.waiting_tasks,
+    ] {
         gauge.set(99_999_999);
     }
     for by in ["http", "grpc"] {
-        let calls = metrics.unanswered.get_or_create(&Call { by });
+        let calls = metrics
+            .unanswered_calls
+            .get_or_create(&ProtocolLabel { by });
         calls.inc_by(99_999_999);
     }
     for reason in ["released", "deposed", "superseded"] {
-        let ends = metrics.ends.get_or_create(&End { reason });
+        let ends = metrics.owner_ends.get_or_create(&OwnerEndLabel { reason });
         ends.inc_by(9_999);
     }
-    let text = metrics.text();
-    for name in OWNER {
-        let end = end_of(&text, name);
-        assert!(end.is_some_and(|e| e < KEPT), "{name} ends at {end:?}");
+    let text = metrics.encode();
+    for name in OWNER_METRICS {
+        let end = row_end(&text, name);
+        assert!(
+            end.is_some_and(|e| e < COLLECTED_BYTES),
+            "{name} ends at {end:?}"
+        );
     }
 }
 
 /// Returns the names in the page's table of metrics.
-fn listed() -> BTreeSet<&'static str> {
+fn documented_names() -> BTreeSet<&'static str> {
     let page = include_str!("../../docs/OPERATIONS.md");
     let (_, rest) = page.split_once("### Metrics").expect("the table");
     let (table, _) = rest.split_once("### ").expect("its end");
@@ -76,27 +85,39 @@
 }
 
 #[test]
-fn the_page_and_the_rows_before_the_histograms_are_alike() {
+fn documented_metrics_are_those_before_the_histograms() {
     let metrics = Metrics::new();
-    metrics.ends.get_or_create(&End { reason: "deposed" }).inc();
-    metrics.unanswered.get_or_create(&Call { by: "http" }).inc();
-    let text = metrics.text();
+    metrics
+        .owner_ends
+        .get_or_create(&OwnerEndLabel { reason: "deposed" })
+        .inc();
+    metrics
+        .unanswered_calls
+        .get_or_create(&ProtocolLabel { by: "http" })
+        .inc();
+    let text = metrics.encode();
     let types = text
         .lines()
         .filter_map(|l| l.strip_prefix("# TYPE willowpoint_"));
     let named = types.filter_map(|l| l.split_once(' '));
     let first = named.take_while(|(_, kind)| *kind != "histogram");
     let names: BTreeSet<&str> = first.map(|(name, _)| name).collect();
-    assert_eq!(names, listed());
-    assert_eq!(names.len(), OWNER.len(), "all of them are looked for");
+    assert_eq!(names, documented_names());
+    assert_eq!(
+        names.len(),
+        OWNER_METRICS.len(),
+        "all of them are looked for"
+    );
 }
 
 #[test]
-fn the_time_of_decisions_is_told_by_event() {
+fn decision_time_is_counted_by_event() {
     let metrics = Metrics::new();
-    let spent = metrics.spent.get_or_create(&Spent { event: "held" });
+    let spent = metrics
+        .decision_time
+        .get_or_create(&EventLabel { event: "held" });
     spent.inc_by(1_234);
     drop(spent);
     let row = "willowpoint_owner_spent_us_total{event=\"held\"} 1234";
-    assert!(metrics.text().contains(row));
+    assert!(metrics.encode().contains(row));
 }
--- a/src/rpc/client.rs
+++ b/src/rpc/client.rs
@@ -137,7 +137,7 @@
             Ok(Err(status)) => Err(self.classify_failure(status, generation)),
             Err(_) => {
                 log::debug!(target: "rpc", "event=unanswered address={} limit_ms={limit}", self.address);
-                crate::metrics::unanswered("grpc");
+                crate::metrics::count_unanswered_call("grpc");
                 // A connection that stays silent may be cut; the next call opens another.
                 self.disconnect(generation);
                 Err(CallError::Lost("timed out".into()))
--- a/src/rpc/tests.rs
+++ b/src/rpc/tests.rs
@@ -9,7 +9,7 @@
 
 use super::client::{CallError, Channel};
 use super::server;
-use crate::metrics::{self, Call};
+use crate::metrics::{self, ProtocolLabel};
 use crate::program::block_on;
 use crate::proto::{self, peer_client::PeerClient};
 use crate::utils::drain::Drain;
@@ -84,8 +84,13 @@
 #[test]
 fn a_call_without_an_answer_on_an_open_connection_is_counted() {
     let channel = Channel::new(silent());
-    let calls = metrics::get();
-    let count = || calls.unanswered.get_or_create(&Call { by: "grpc" }).get();
+    let metrics = metrics::get();
+    let count = || {
+        metrics
+            .unanswered_calls
+            .get_or_create(&ProtocolLabel { by: "grpc" })
+            .get()
+    };
     let before = count();
     let request = proto::HintRequest::default();
     let call = |c| async move { PeerClient::new(c).hint(request).await };
--- a/src/sched/breaches.rs
+++ b/src/sched/breaches.rs
@@ -92,7 +92,7 @@
             }
             (Some(breach), None) => {
                 let seconds = breach.duration(breach.last) as f64 / 1_000.0;
-                metrics::observe_over_target(&placement.image, seconds);
+                metrics::observe_breach(&placement.image, seconds);
                 if breach.logged {
                     let beside = self.best_effort_text(worker);
                     log::info!(target: "task", "task={task} run={run} event=under-target worker={name} tail_ms={tail} target_ms={target} over_ms={} own_load={own:.2} beside={beside}", breach.duration(breach.last));
@@ -160,7 +160,7 @@
     pub(super) fn export_longest_breach(&self) {
         let breaches = self.workers.values().filter_map(|w| w.over_target_since);
         let longest = breaches.min().map_or(0, |since| self.now.steady - since);
-        metrics::get().over.set(longest as i64);
+        metrics::get().longest_breach.set(longest as i64);
     }
 }
 
--- a/src/sched/crashes.rs
+++ b/src/sched/crashes.rs
@@ -199,7 +199,7 @@
             .filter(|a| a.cause.makes_suspect())
             .count();
         let tasks = worker.placements.len();
-        crate::metrics::get().crashes.inc();
+        crate::metrics::get().worker_crashes.inc();
         log::info!(target: "worker", "worker={name} event=crashed how={evidence:?} tasks={tasks} suspects={suspects} others={others}");
         self.crash_times.push_back(self.now.steady);
         for attribution in attributions {
@@ -282,7 +282,7 @@
         let task = self.task_name(key);
         log::info!(target: "task", "task={task} run={run} event=crash-counted worker={name} cause={cause:?} count={category:?} crashes={crashes} losses={losses} outages={outages}");
         if gives_up {
-            crate::metrics::get().given_up.inc();
+            crate::metrics::get().abandoned_tasks.inc();
             log::warn!(target: "task", "task={task} run={run} event=abandoned crashes={crashes} losses={losses} cause={cause:?}");
             self.finish_job(key.job, Outcome::Failed);
         }
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -151,7 +151,7 @@
         let doubtful: Vec<TaskKey> = doubtful.map(|(key, _)| *key).collect();
         let (boot, tasks) = (worker.boot, carried.len());
         log::info!(target: "worker", "worker={name} event=started-again boot={:?} before={boot:?} carried={tasks} doubtful={}", report.boot, doubtful.len());
-        crate::metrics::get().lives.inc();
+        crate::metrics::get().new_incarnations.inc();
         let entry = worker.ignored_listing.take();
         let lost: Vec<TaskKey> = worker.placements.keys().copied().collect();
         self.forget_permits(name);
@@ -210,7 +210,7 @@
         by: &str,
     ) {
         log::info!(target: "worker", "worker={name} event=passed-over by={by} reason=earlier-life boot={boot:?} known={known:?}");
-        crate::metrics::get().earlier_lives.inc();
+        crate::metrics::get().stale_reports.inc();
     }
 
     /// Polls a worker at once that may be another incarnation than the known one.
--- a/src/sched/lost_workers.rs
+++ b/src/sched/lost_workers.rs
@@ -50,7 +50,7 @@
         let silent = self.now.steady - worker.last_answer;
         let incarnation = worker.incarnation();
         log::info!(target: "worker", "worker={incarnation} event=over reason={} tasks={tasks} presence={presence:?} silent_ms={silent}", end.reason());
-        crate::metrics::get().orphaned.inc_by(tasks as u64);
+        crate::metrics::get().orphaned_runs.inc_by(tasks as u64);
         for (key, run) in &worker.placements {
             let task = self.task_name(*key);
             let age = listed_for(worker, run);
@@ -132,7 +132,7 @@
     /// Counts runs that were freed because the lease of their silent worker had ended.
     fn count_lapsed_runs(&mut self, runs: usize) {
         self.lapsed_runs += runs as u64;
-        crate::metrics::get().lapsed.inc_by(runs as u64);
+        crate::metrics::get().lapsed_runs.inc_by(runs as u64);
     }
 }
 
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -68,7 +68,7 @@
             (lease, permit, worker.placements.get_mut(&key))
         else {
             log::info!(target: "task", "task={} run={run} event=withdrawn worker={name} fits={fits} cordoned={cordoned} over_target={over_target}", job.task_name(key));
-            crate::metrics::get().withdrawn.inc();
+            crate::metrics::get().withdrawn_starts.inc();
             self.unplace(key);
             return;
         };
@@ -91,7 +91,7 @@
         let age = self.now.wall.saturating_sub(job.row.accepted);
         if (key.step, key.index, run) == (0, 0, 1) {
             let seconds = age as f64 / 1_000.0;
-            crate::metrics::get().start_seconds.observe(seconds);
+            crate::metrics::get().first_start_seconds.observe(seconds);
         }
         log::info!(target: "task", "task={task} run={run} event=start worker={incarnation} job_age_ms={age}");
         self.actions.push(Action::Start(Start {
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -197,7 +197,7 @@
             placement.throttle_pending = true;
             placement.throttled_at = self.now.steady;
             log::debug!(target: "task", "task={} run={} event=pace percent={wanted}", job.task_name(run.key), placement.run);
-            metrics::get().paces.inc();
+            metrics::get().throttle_orders.inc();
             self.actions.push(Action::Throttle(Throttle {
                 key: run.key,
                 run: placement.run,
@@ -236,7 +236,7 @@
             reply => {
                 // The worker may still apply the order, now or seconds later.
                 placement.speed_confirmed = false;
-                metrics::get().paces_missed.inc();
+                metrics::get().failed_throttles.inc();
                 log::info!(target: "task", "task={} run={run} event=pace-missed percent={percent} worker={name} reply={reply:?}", self.task_name(key));
                 // The next report orders the speed again; a halt does not wait for that.
                 if reply == Reply::Lost && percent == 0 {
--- a/src/table.rs
+++ b/src/table.rs
@@ -116,7 +116,7 @@
         Ok(value) => Some(value),
         Err(e) => {
             log::error!(target: "table", "row {} does not decode: {e}", row.key);
-            crate::metrics::undecoded();
+            crate::metrics::count_undecoded_row();
             None
         }
     }
--- a/src/web/client.rs
+++ b/src/web/client.rs
@@ -122,7 +122,7 @@
         let result = timeout(span, exchange(connection, request, self.limit)).await;
         let Ok(result) = result else {
             log::debug!(target: "web", "event=unanswered address={address} limit_ms={limit}");
-            crate::metrics::unanswered("http");
+            crate::metrics::count_unanswered_call("http");
             // What silenced this connection may have silenced all of its age.
             self.clear(address);
             return Err(WebError::Lost("timed out".into()));
--- a/src/web/tests.rs
+++ b/src/web/tests.rs
@@ -7,7 +7,7 @@
 
 use super::client::Pool;
 use super::{Request, WebError, length};
-use crate::metrics::{self, Call};
+use crate::metrics::{self, ProtocolLabel};
 
 fn headers(lines: &[(&'static str, &'static str)]) -> HeaderMap {
     let mut map = HeaderMap::new();
@@ -61,7 +61,10 @@
 
 /// Returns how many calls have had no answer in time on an open connection.
 fn unanswered(by: &'static str) -> u64 {
-    metrics::get().unanswered.get_or_create(&Call { by }).get()
+    metrics::get()
+        .unanswered_calls
+        .get_or_create(&ProtocolLabel { by })
+        .get()
 }
 
 #[test]
