--- a/src/claim.rs
+++ b/src/claim.rs
@@ -5,13 +5,13 @@
 //! of owner. A cell may be claimed when its owner's row is gone; the commit
 //! expects just that, so that no stale view can take a cell from a live box.
 
-mod plan;
+mod assignment;
 mod state;
 
 #[cfg(test)]
 mod tests;
 
-pub use plan::{Host, plan};
+pub use assignment::{Host, plan};
 pub use state::{Claims, Mine};
 
 use serde::{Deserialize, Serialize};
--- a/src/claim/state.rs
+++ b/src/claim/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::plan::{Host, plan};
+use super::assignment::{Host, plan};
 use super::{Action, CellRow, VersionedCell};
 use crate::lease::WriteOutcome;
 use crate::utils::Name;
