--- a/src/claim/assignment.rs
+++ b/src/claim/assignment.rs
@@ -1,61 +1,62 @@
-//! The spread of cells over live boxes.
+//! Assignment of cells to live boxes.
 
 use std::collections::BTreeMap;
 
 use crate::utils::Name;
 use crate::utils::hash::stable;
 
-/// A live box for the plan.
+/// A box to which cells may be assigned.
 #[derive(Clone, Debug)]
-pub struct Host {
-    /// Incarnation.
+pub struct LiveBox {
+    /// Incarnation of the box.
     pub id: Name,
-    /// Name that stays the same after a restart.
+    /// Name of the box, which it keeps after a restart.
     pub name: Name,
-    /// Hall in which it stands.
+    /// Hall of the box.
     pub hall: Name,
 }
 
-/// Returns the box that each cell should belong to.
+/// Returns the incarnation that should own each cell.
 ///
-/// Rendezvous hashing with a bounded load: all boxes that see the same cells
-/// and hosts agree, and a change of one host moves few cells. Boxes in the
-/// cell's hall go first.
-pub fn plan(cells: &[Name], hosts: &[Host]) -> BTreeMap<Name, Name> {
-    let mut plan = BTreeMap::new();
-    if hosts.is_empty() {
-        return plan;
+/// Uses rendezvous hashing with a bounded load, so that all boxes that see the same cells and live
+/// boxes compute the same assignment, and the loss of one box moves few cells. Boxes in the cell's
+/// hall are preferred.
+pub fn assign(cells: &[Name], boxes: &[LiveBox]) -> BTreeMap<Name, Name> {
+    let mut owners = BTreeMap::new();
+    if boxes.is_empty() {
+        return owners;
     }
     let mut order: Vec<&Name> = cells.iter().collect();
     order.sort_by_key(|c| (stable(&[c]), (*c).clone()));
-    // Dedup shards cost little, so they are spread apart from the others.
+    // Dedup shards cost little, so the limit of cells per box is separate for them.
     let (dedup, racks): (Vec<_>, Vec<_>) = order
         .into_iter()
         .partition(|c| c.starts_with(super::DEDUP_PREFIX));
     for group in [dedup, racks] {
-        let bound = group.len().div_ceil(hosts.len()).max(1);
+        let limit = group.len().div_ceil(boxes.len()).max(1);
         let mut load: BTreeMap<&Name, usize> = BTreeMap::new();
         for cell in group {
-            let host = choose(cell, hosts, &load, bound);
-            *load.entry(&host.id).or_default() += 1;
-            plan.insert(cell.clone(), host.id.clone());
+            let owner = choose_box(cell, boxes, &load, limit);
+            *load.entry(&owner.id).or_default() += 1;
+            owners.insert(cell.clone(), owner.id.clone());
         }
     }
-    plan
+    owners
 }
 
-fn choose<'h>(
+/// Returns the box with the highest rank for a cell among those below the limit of cells.
+fn choose_box<'b>(
     cell: &Name,
-    hosts: &'h [Host],
+    boxes: &'b [LiveBox],
     load: &BTreeMap<&Name, usize>,
-    bound: usize,
-) -> &'h Host {
+    limit: usize,
+) -> &'b LiveBox {
     let hall = cell.split('/').next().unwrap_or("");
-    let rank = |host: &&Host| {
-        let full = load.get(&host.id).copied().unwrap_or(0) >= bound;
-        let far = &*host.hall != hall;
-        (full, far, stable(&[cell, &host.name]), host.id.clone())
+    let rank = |b: &&LiveBox| {
+        let full = load.get(&b.id).copied().unwrap_or(0) >= limit;
+        let other_hall = &*b.hall != hall;
+        (full, other_hall, stable(&[cell, &b.name]), b.id.clone())
     };
-    // `hosts` is not empty: `plan` returns before otherwise.
-    hosts.iter().min_by_key(rank).unwrap_or(&hosts[0])
+    // `boxes` is not empty: `assign` has returned before if it is.
+    boxes.iter().min_by_key(rank).unwrap_or(&boxes[0])
 }
--- a/src/claim/state.rs
+++ b/src/claim/state.rs
@@ -1,106 +1,115 @@
-//! The state machine of one box's claims.
+//! State machine of the cells that a box claims, owns and releases.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::assignment::{Host, plan};
+use super::assignment::{LiveBox, assign};
 use super::{Action, CellRow, VersionedCell};
 use crate::lease::WriteOutcome;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Claims in progress at once, so that a takeover does not flood the table.
-const PENDING: usize = 8;
-/// Milliseconds between two reads of all cells that changes ask for.
-const REFRESH: Millis = 250;
-/// Polls between two reads of all cells that nothing asks for: other boxes
-/// tell of moves, and a missed one asks for a read.
-const CALM: u64 = 5;
-/// Cells that are given away at once.
-const MOVES: usize = 4;
-/// Milliseconds that a free cell is left to the box it should belong to.
-const PATIENCE: Millis = 2_000;
-/// Milliseconds that the hosts must be unchanged before a cell is given away.
-const SETTLED: Millis = 3_000;
-
-/// Moves of cells that are kept to be told to other boxes.
-const RECENT: usize = 32;
-
-/// A cell that is owned.
+/// Largest number of claims in progress, so that a takeover does not overload the table.
+const MAX_PENDING_CLAIMS: usize = 8;
+/// Time between two reads of all cells when a read is requested, in ms.
+const REQUESTED_READ_INTERVAL: Millis = 250;
+/// Number of polls between two reads of all cells when none is requested. Few reads are needed, as
+/// other boxes report moves, and a missed report requests a read.
+const POLLS_PER_READ: u64 = 5;
+/// Largest number of cells that are leaving at the same time.
+const MAX_LEAVING_CELLS: usize = 4;
+/// Time for which a free cell is left to its assigned box before any box claims it, in ms.
+const CLAIM_DELAY: Millis = 2_000;
+/// Time for which cells and live boxes must be unchanged before a cell is moved, in ms.
+const SETTLE_TIME: Millis = 3_000;
+
+/// Number of recent moves of cells that are kept for reports to other boxes.
+const MAX_RECENT_MOVES: usize = 32;
+
+/// A cell that this box owns.
 #[derive(Clone, Debug)]
-pub struct Mine {
+pub struct OwnedCell {
     /// Epoch of the ownership.
     pub epoch: u64,
-    /// True while it takes nothing new, before its release.
+    /// True if the cell accepts no new work, as it is about to be released.
     pub leaving: bool,
 }
 
-/// A cell that is given up.
+/// Release of a cell that this box no longer acts for.
 #[derive(Clone, Debug)]
-struct Releasing {
-    /// True while a write of its row has no outcome.
-    writing: bool,
-    /// True once a write that names the next owner has failed.
-    alone: bool,
+struct Release {
+    /// True while a write of the row has no outcome.
+    write_pending: bool,
+    /// True if the row is written without a new owner, as a write with one had a conflict.
+    ownerless: bool,
 }
 
+/// Newest known row of a cell.
 #[derive(Clone, Debug)]
-struct View {
+struct KnownRow {
     version: u64,
     row: CellRow,
 }
 
-/// The cells, their owners as last read, and the own ones.
+/// All cells with their last known owners, and the cells that this box owns.
 #[derive(Clone, Debug)]
 pub struct Claims {
-    me: Name,
+    own_id: Name,
     cells: BTreeSet<Name>,
-    views: BTreeMap<Name, View>,
-    mine: BTreeMap<Name, Mine>,
-    pending: BTreeMap<Name, u64>,
-    /// Cells that are given up and whose rows may still name this box.
-    releasing: BTreeMap<Name, Releasing>,
-    free: BTreeMap<Name, Millis>,
-    hosts: Vec<Host>,
-    changed: Millis,
-    targets: BTreeMap<Name, Name>,
-    read: Option<Millis>,
-    reading: bool,
-    read_sent: Millis,
-    complete: bool,
+    known_rows: BTreeMap<Name, KnownRow>,
+    owned: BTreeMap<Name, OwnedCell>,
+    /// Epochs of the claims in progress, by cell.
+    pending_claims: BTreeMap<Name, u64>,
+    /// Released cells whose rows may still name this box.
+    releasing: BTreeMap<Name, Release>,
+    /// Times at which cells without a live owner were first seen.
+    free_since: BTreeMap<Name, Millis>,
+    boxes: Vec<LiveBox>,
+    /// Time of the last change of the cells or the live boxes.
+    assignment_changed: Millis,
+    /// Incarnation that should own each cell.
+    assignment: BTreeMap<Name, Name>,
+    /// Time at which the last read was requested.
+    last_read: Option<Millis>,
+    read_pending: bool,
+    /// Time at which the newest applied read was sent.
+    applied_read: Millis,
+    /// True once all cells were read.
+    loaded: bool,
     stopping: bool,
-    wanted: bool,
-    moves: u64,
-    recent: VecDeque<VersionedCell>,
+    read_wanted: bool,
+    /// Number of cells that were acquired or released.
+    move_count: u64,
+    recent_moves: VecDeque<VersionedCell>,
 }
 
 impl Claims {
     /// Returns the claims of an incarnation that owns nothing yet.
-    pub fn new(me: Name) -> Self {
+    pub fn new(own_id: Name) -> Self {
         Self {
-            me,
+            own_id,
             cells: BTreeSet::new(),
-            views: BTreeMap::new(),
-            mine: BTreeMap::new(),
-            pending: BTreeMap::new(),
+            known_rows: BTreeMap::new(),
+            owned: BTreeMap::new(),
+            pending_claims: BTreeMap::new(),
             releasing: BTreeMap::new(),
-            free: BTreeMap::new(),
-            hosts: Vec::new(),
-            changed: 0,
-            targets: BTreeMap::new(),
-            read: None,
-            reading: false,
-            read_sent: 0,
-            complete: false,
+            free_since: BTreeMap::new(),
+            boxes: Vec::new(),
+            assignment_changed: 0,
+            assignment: BTreeMap::new(),
+            last_read: None,
+            read_pending: false,
+            applied_read: 0,
+            loaded: false,
             stopping: false,
-            wanted: false,
-            moves: 0,
-            recent: VecDeque::new(),
+            read_wanted: false,
+            move_count: 0,
+            recent_moves: VecDeque::new(),
         }
     }
 
-    /// Returns the owned cells with their epochs.
-    pub fn mine(&self) -> &BTreeMap<Name, Mine> {
-        &self.mine
+    /// Returns the cells that this box owns.
+    pub fn owned(&self) -> &BTreeMap<Name, OwnedCell> {
+        &self.owned
     }
 
     /// Returns the names of all cells.
@@ -108,101 +117,112 @@
         &self.cells
     }
 
-    /// Returns the owner of a cell and the epoch, as last read.
+    /// Returns the last known owner of a cell and its epoch.
     pub fn owner(&self, cell: &str) -> Option<(&Name, u64)> {
-        let view = self.views.get(cell)?;
-        Some((view.row.owner.as_ref()?, view.row.epoch))
+        let known_row = self.known_rows.get(cell)?;
+        Some((known_row.row.owner.as_ref()?, known_row.row.epoch))
     }
 
-    /// Returns the version of an owned cell's row.
-    pub fn version(&self, cell: &str) -> Option<u64> {
-        let owned = self.mine.contains_key(cell);
-        let view = self.views.get(cell).filter(|_| owned)?;
-        Some(view.version)
+    /// Returns the version of a cell's row if this box owns the cell.
+    pub fn owned_version(&self, cell: &str) -> Option<u64> {
+        let owned = self.owned.contains_key(cell);
+        let known_row = self.known_rows.get(cell).filter(|_| owned)?;
+        Some(known_row.version)
     }
 
-    /// Returns true when all cells were read at least once.
-    pub fn complete(&self) -> bool {
-        self.complete
+    /// Returns true once all cells were read.
+    pub fn is_loaded(&self) -> bool {
+        self.loaded
     }
 
-    /// Sets the names of all cells and the live boxes, the own included.
-    pub fn observe(&mut self, now: Millis, cells: BTreeSet<Name>, mut hosts: Vec<Host>) {
-        hosts.sort_by(|a, b| a.id.cmp(&b.id));
-        let same_hosts = self
-            .hosts
+    /// Assigns cells anew if the names of all cells or the live boxes, this one included, differ.
+    pub fn update_assignment(
+        &mut self,
+        now: Millis,
+        cells: BTreeSet<Name>,
+        mut boxes: Vec<LiveBox>,
+    ) {
+        boxes.sort_by(|a, b| a.id.cmp(&b.id));
+        let same_boxes = self
+            .boxes
             .iter()
-            .map(|h| &h.id)
-            .eq(hosts.iter().map(|h| &h.id));
-        if same_hosts && self.cells == cells {
+            .map(|b| &b.id)
+            .eq(boxes.iter().map(|b| &b.id));
+        if same_boxes && self.cells == cells {
             return;
         }
-        self.changed = now;
+        self.assignment_changed = now;
         self.cells = cells;
-        self.hosts = hosts;
+        self.boxes = boxes;
         let cells: Vec<Name> = self.cells.iter().cloned().collect();
-        self.targets = plan(&cells, &self.hosts);
+        self.assignment = assign(&cells, &self.boxes);
     }
 
-    /// Asks for a read of all cells soon; many wishes are met by one read.
-    pub fn refresh(&mut self) {
-        self.wanted = true;
+    /// Requests a read of all cells; one read serves all requests before it.
+    pub fn request_read(&mut self) {
+        self.read_wanted = true;
     }
 
-    /// Stops claiming and gives away what is owned.
+    /// Stops claiming cells and marks all owned ones as leaving at the next tick.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Returns what is due at `now`; `gone` tells whether a box's row is gone.
+    /// Returns the actions that are due at `now`.
+    ///
+    /// `interval` is the time between two polls in ms, and `is_gone` returns true if the row of an
+    /// incarnation is absent from the table.
     pub fn tick(
         &mut self,
         now: Millis,
         interval: Millis,
-        gone: impl Fn(&Name) -> bool,
+        is_gone: impl Fn(&Name) -> bool,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        let pause = if self.wanted {
-            REFRESH.min(interval)
+        let read_interval = if self.read_wanted {
+            REQUESTED_READ_INTERVAL.min(interval)
         } else {
-            interval * CALM
+            interval * POLLS_PER_READ
         };
-        if !self.reading && self.read.is_none_or(|at| now >= at + pause) {
-            self.wanted = false;
-            self.reading = true;
-            self.read = Some(now);
+        if !self.read_pending && self.last_read.is_none_or(|at| now >= at + read_interval) {
+            self.read_wanted = false;
+            self.read_pending = true;
+            self.last_read = Some(now);
             actions.push(Action::Read);
         }
-        if self.complete && !self.stopping {
-            actions.extend(self.claim(now, gone));
+        if self.loaded && !self.stopping {
+            actions.extend(self.claim_free_cells(now, is_gone));
         }
-        self.leave(now);
+        self.mark_leaving(now);
         actions.extend(self.write_releases());
         actions
     }
 
-    fn claim(&mut self, now: Millis, gone: impl Fn(&Name) -> bool) -> Vec<Action> {
+    /// Returns claims of cells without a live owner.
+    fn claim_free_cells(&mut self, now: Millis, is_gone: impl Fn(&Name) -> bool) -> Vec<Action> {
         let mut actions = Vec::new();
         let cells: Vec<Name> = self.cells.iter().cloned().collect();
         for cell in cells {
-            let view = self.views.get(&cell);
-            let old = view.and_then(|v| v.row.owner.clone());
-            let free = old.as_ref().is_none_or(&gone);
-            if !free || self.mine.contains_key(&cell) || self.pending.contains_key(&cell) {
-                self.free.remove(&cell);
+            let known_row = self.known_rows.get(&cell);
+            let old = known_row.and_then(|v| v.row.owner.clone());
+            let free = old.as_ref().is_none_or(&is_gone);
+            if !free || self.owned.contains_key(&cell) || self.pending_claims.contains_key(&cell) {
+                self.free_since.remove(&cell);
                 continue;
             }
-            let since = *self.free.entry(cell.clone()).or_insert(now);
-            let wanted = self.targets.get(&cell) == Some(&self.me);
-            if self.pending.len() >= PENDING || (!wanted && now < since + PATIENCE) {
+            let since = *self.free_since.entry(cell.clone()).or_insert(now);
+            let assigned = self.assignment.get(&cell) == Some(&self.own_id);
+            if self.pending_claims.len() >= MAX_PENDING_CLAIMS
+                || (!assigned && now < since + CLAIM_DELAY)
+            {
                 continue;
             }
             let row = CellRow {
-                owner: Some(self.me.clone()),
-                epoch: view.map_or(0, |v| v.row.epoch) + 1,
+                owner: Some(self.own_id.clone()),
+                epoch: known_row.map_or(0, |v| v.row.epoch) + 1,
             };
-            let expect = view.map_or(0, |v| v.version);
-            self.pending.insert(cell.clone(), row.epoch);
+            let expect = known_row.map_or(0, |v| v.version);
+            self.pending_claims.insert(cell.clone(), row.epoch);
             actions.push(Action::Claim {
                 cell,
                 expect,
@@ -213,221 +233,224 @@
         actions
     }
 
-    /// Marks a few owned cells that should belong to other boxes as leaving.
-    fn leave(&mut self, now: Millis) {
+    /// Marks owned cells that are assigned to other boxes as leaving, a few at a time.
+    fn mark_leaving(&mut self, now: Millis) {
         if self.stopping {
-            for mine in self.mine.values_mut() {
-                mine.leaving = true;
+            for owned_cell in self.owned.values_mut() {
+                owned_cell.leaving = true;
             }
             return;
         }
-        let leaving = self.mine.values().filter(|m| m.leaving).count();
-        if now < self.changed + SETTLED {
+        let leaving = self.owned.values().filter(|m| m.leaving).count();
+        if now < self.assignment_changed + SETTLE_TIME {
             return;
         }
-        let me = &self.me;
-        let targets = &self.targets;
-        let strays = self
-            .mine
-            .iter_mut()
-            .filter(|(cell, mine)| !mine.leaving && targets.get(*cell).is_some_and(|t| t != me));
-        for (_, mine) in strays.take(MOVES.saturating_sub(leaving)) {
-            mine.leaving = true;
+        let own_id = &self.own_id;
+        let assignment = &self.assignment;
+        let misplaced = self.owned.iter_mut().filter(|(cell, owned_cell)| {
+            !owned_cell.leaving && assignment.get(*cell).is_some_and(|t| t != own_id)
+        });
+        for (_, owned_cell) in misplaced.take(MAX_LEAVING_CELLS.saturating_sub(leaving)) {
+            owned_cell.leaving = true;
         }
     }
 
-    /// Gives up a leaving cell in which nothing is in progress: from now on
-    /// this box does not act for it, whatever becomes of the write.
+    /// Releases a leaving cell in which nothing is in progress. From now on this box does not act
+    /// for the cell, whatever the outcome of the write.
     pub fn release(&mut self, cell: &Name) -> Vec<Action> {
-        if !self.mine.get(cell).is_some_and(|m| m.leaving) {
+        if !self.owned.get(cell).is_some_and(|m| m.leaving) {
             return Vec::new();
         }
-        self.mine.remove(cell);
-        let releasing = Releasing {
-            writing: false,
-            alone: false,
+        self.owned.remove(cell);
+        let release = Release {
+            write_pending: false,
+            ownerless: false,
         };
-        self.releasing.insert(cell.clone(), releasing);
+        self.releasing.insert(cell.clone(), release);
         let mut actions = vec![Action::Lost { cell: cell.clone() }];
         actions.extend(self.write_releases());
         actions
     }
 
-    /// Writes the rows of cells that are given up, until the table tells that
-    /// they have no owner or another one.
+    /// Returns writes for released cells whose last known rows still name this box.
     fn write_releases(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
-        for (cell, releasing) in &mut self.releasing {
-            let Some(view) = self.views.get(cell).filter(|_| !releasing.writing) else {
+        for (cell, release) in &mut self.releasing {
+            let Some(known_row) = self.known_rows.get(cell).filter(|_| !release.write_pending)
+            else {
                 continue;
             };
-            releasing.writing = true;
-            let target = self.targets.get(cell).filter(|t| **t != self.me);
-            let owner = target.filter(|_| !releasing.alone).cloned();
-            // A new owner has a new epoch; without one the next claim counts on.
-            // The cell may have come back under a later one than was given up.
-            let epoch = view.row.epoch + u64::from(owner.is_some());
+            release.write_pending = true;
+            let target = self.assignment.get(cell).filter(|t| **t != self.own_id);
+            let owner = target.filter(|_| !release.ownerless).cloned();
+            // A new owner needs a new epoch; without an owner the next claim raises it. The known
+            // row counts, as this box may have got the cell back under a later epoch than the one
+            // that it released.
+            let epoch = known_row.row.epoch + u64::from(owner.is_some());
             actions.push(Action::Release {
                 cell: cell.clone(),
-                expect: view.version,
+                expect: known_row.version,
                 row: CellRow { owner, epoch },
             });
         }
         actions
     }
 
-    /// Returns the number of cells won and given away, by which others learn
-    /// whether they have missed one.
-    pub fn moves(&self) -> u64 {
-        self.moves
+    /// Returns the number of cells that were acquired or released, from which other boxes detect
+    /// that they have missed the report of a move.
+    pub fn move_count(&self) -> u64 {
+        self.move_count
     }
 
-    /// Returns the rows of the last of these cells, the newest last.
-    pub fn recent(&self) -> impl Iterator<Item = &VersionedCell> {
-        self.recent.iter()
+    /// Returns the rows of the most recently moved cells, the newest last.
+    pub fn recent_moves(&self) -> impl Iterator<Item = &VersionedCell> {
+        self.recent_moves.iter()
     }
 
-    /// Takes in a committed row that another box tells of. Like a read it may
-    /// be old: a newer version that is known stands.
-    pub fn told(&mut self, versioned: VersionedCell) -> Option<Action> {
-        self.saw(versioned)
+    /// Applies a committed row that another box has reported. It may be outdated, so it is ignored
+    /// if a newer version is known.
+    pub fn apply_move(&mut self, versioned: VersionedCell) -> Option<Action> {
+        self.apply_row(versioned)
     }
 
-    fn moved(&mut self, versioned: VersionedCell) {
-        self.moves += 1;
-        self.recent.push_back(versioned);
-        if self.recent.len() > RECENT {
-            self.recent.pop_front();
+    /// Adds a row to the recent moves.
+    fn record_move(&mut self, versioned: VersionedCell) {
+        self.move_count += 1;
+        self.recent_moves.push_back(versioned);
+        if self.recent_moves.len() > MAX_RECENT_MOVES {
+            self.recent_moves.pop_front();
         }
     }
 
-    /// Returns true when nothing is owned and no row names this box.
-    pub fn empty(&self) -> bool {
-        self.mine.is_empty() && self.releasing.is_empty()
+    /// Returns true if this box owns no cell and no row may still name it.
+    pub fn owns_nothing(&self) -> bool {
+        self.owned.is_empty() && self.releasing.is_empty()
     }
 
-    /// Takes in the rows of all cells, read by a call sent at `sent`; `None`
-    /// when the read failed.
-    pub fn read(&mut self, sent: Millis, rows: Option<Vec<VersionedCell>>) -> Vec<Action> {
-        self.reading = false;
+    /// Applies the rows of all cells, read by a call that was sent at `sent`; `None` if the read
+    /// failed.
+    pub fn apply_read(&mut self, sent: Millis, rows: Option<Vec<VersionedCell>>) -> Vec<Action> {
+        self.read_pending = false;
         let Some(rows) = rows else {
             return Vec::new();
         };
-        if sent < self.read_sent {
+        if sent < self.applied_read {
             return Vec::new();
         }
-        self.read_sent = sent;
-        self.complete = true;
-        rows.into_iter().filter_map(|v| self.saw(v)).collect()
+        self.applied_read = sent;
+        self.loaded = true;
+        rows.into_iter().filter_map(|v| self.apply_row(v)).collect()
     }
 
-    fn saw(&mut self, versioned: VersionedCell) -> Option<Action> {
+    /// Stores a row unless a newer version is known, and returns the change of ownership if any.
+    fn apply_row(&mut self, versioned: VersionedCell) -> Option<Action> {
         let VersionedCell { cell, version, row } = versioned;
-        let known = self.views.get(&cell).map_or(0, |v| v.version);
-        if version < known {
+        let known_version = self.known_rows.get(&cell).map_or(0, |v| v.version);
+        if version < known_version {
             return None;
         }
-        let ours = row.owner.as_ref() == Some(&self.me);
-        let view = View {
+        let names_this_box = row.owner.as_ref() == Some(&self.own_id);
+        let known_row = KnownRow {
             version,
             row: row.clone(),
         };
-        self.views.insert(cell.clone(), view);
-        if !ours {
+        self.known_rows.insert(cell.clone(), known_row);
+        if !names_this_box {
             self.releasing.remove(&cell);
         }
-        if ours && !self.mine.contains_key(&cell) && !self.releasing.contains_key(&cell) {
+        if names_this_box && !self.owned.contains_key(&cell) && !self.releasing.contains_key(&cell)
+        {
             let versioned = VersionedCell { cell, version, row };
-            return Some(self.win(versioned));
+            return Some(self.acquire(versioned));
         }
-        if !ours && self.mine.contains_key(&cell) {
+        if !names_this_box && self.owned.contains_key(&cell) {
             return Some(self.lose(&cell));
         }
-        if version > known {
-            self.pending.remove(&cell);
+        if version > known_version {
+            self.pending_claims.remove(&cell);
         }
         None
     }
 
-    fn win(&mut self, versioned: VersionedCell) -> Action {
+    fn acquire(&mut self, versioned: VersionedCell) -> Action {
         let (cell, epoch) = (versioned.cell.clone(), versioned.row.epoch);
-        self.moved(versioned);
-        self.pending.remove(&cell);
-        let mine = Mine {
+        self.record_move(versioned);
+        self.pending_claims.remove(&cell);
+        let owned_cell = OwnedCell {
             epoch,
             leaving: self.stopping,
         };
-        self.mine.insert(cell.clone(), mine);
-        Action::Won { cell, epoch }
+        self.owned.insert(cell.clone(), owned_cell);
+        Action::Acquired { cell, epoch }
     }
 
     fn lose(&mut self, cell: &Name) -> Action {
-        self.mine.remove(cell);
+        self.owned.remove(cell);
         self.releasing.remove(cell);
         Action::Lost { cell: cell.clone() }
     }
 
-    /// Takes in how a claim ended.
-    pub fn claimed(
+    /// Applies the outcome of a claim.
+    pub fn finish_claim(
         &mut self,
         cell: &Name,
         expect: u64,
         row: CellRow,
-        written: WriteOutcome,
+        outcome: WriteOutcome,
     ) -> Option<Action> {
-        match written {
+        match outcome {
             WriteOutcome::Committed => {
                 let version = expect + 1;
-                let known = self.views.get(cell).map_or(0, |v| v.version);
-                if known > version {
+                let known_version = self.known_rows.get(cell).map_or(0, |v| v.version);
+                if known_version > version {
                     return None;
                 }
-                self.saw(VersionedCell {
+                self.apply_row(VersionedCell {
                     cell: cell.clone(),
                     version,
                     row,
                 })
             }
             WriteOutcome::Conflict | WriteOutcome::NotSent => {
-                self.pending.remove(cell);
-                self.wanted = true;
+                self.pending_claims.remove(cell);
+                self.read_wanted = true;
                 None
             }
-            // The next read tells; until then the claim stays pending, and a
-            // second try expects the same version, so only one can win.
+            // The next read shows the outcome. A second claim before it expects the same version,
+            // so at most one of the two takes effect.
             WriteOutcome::Unknown => {
-                self.pending.remove(cell);
-                self.wanted = true;
+                self.pending_claims.remove(cell);
+                self.read_wanted = true;
                 None
             }
         }
     }
 
-    /// Takes in how a release ended.
-    pub fn released(
+    /// Applies the outcome of a release.
+    pub fn finish_release(
         &mut self,
         cell: &Name,
         expect: u64,
         row: CellRow,
-        written: WriteOutcome,
+        outcome: WriteOutcome,
     ) -> Option<Action> {
-        match written {
+        match outcome {
             WriteOutcome::Committed => {
                 let versioned = VersionedCell {
                     cell: cell.clone(),
                     version: expect + 1,
                     row,
                 };
-                self.moved(versioned.clone());
-                self.saw(versioned)
+                self.record_move(versioned.clone());
+                self.apply_row(versioned)
             }
-            // The next tick tries again with what the next read shows.
+            // The next tick writes again, with the row from the latest read.
             WriteOutcome::Conflict | WriteOutcome::NotSent | WriteOutcome::Unknown => {
-                if let Some(releasing) = self.releasing.get_mut(cell) {
-                    releasing.writing = false;
-                    releasing.alone |= written == WriteOutcome::Conflict;
+                if let Some(release) = self.releasing.get_mut(cell) {
+                    release.write_pending = false;
+                    release.ownerless |= outcome == WriteOutcome::Conflict;
                 }
-                self.wanted = true;
+                self.read_wanted = true;
                 None
             }
         }
--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -16,7 +16,7 @@
     pub(super) fn tick_cells(&mut self, now: Now, out: &mut Vec<Action>) {
         let names: Vec<Name> = self.cells.keys().cloned().collect();
         for name in names {
-            let leaving = self.claims.mine().get(&name).is_none_or(|m| m.leaving);
+            let leaving = self.claims.owned().get(&name).is_none_or(|m| m.leaving);
             let Some(cell) = self.cells.get_mut(&name) else {
                 continue;
             };
@@ -58,7 +58,7 @@
 
     /// Returns true when this box may act for a cell under an epoch.
     fn may_act_for(&self, now: Now, cell: &Name, epoch: u64) -> bool {
-        let owned = self.claims.mine().get(cell);
+        let owned = self.claims.owned().get(cell);
         let rules = self.lease.may_act(now.millis) && owned.is_some_and(|m| m.epoch == epoch);
         let detail = || format!("{} acts for {cell} under epoch {epoch}", self.id());
         invariant::check(rules, Rule::Owner, detail)
--- a/src/engine/job_shards.rs
+++ b/src/engine/job_shards.rs
@@ -45,7 +45,7 @@
         ops: &mut Vec<Op>,
         shards: &mut Vec<(Name, u64, Name)>,
     ) {
-        let Some(version) = self.claims.version(name) else {
+        let Some(version) = self.claims.owned_version(name) else {
             return;
         };
         let Some(cell) = self.cells.get_mut(name) else {
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -6,7 +6,7 @@
 use super::table_calls::Purpose;
 use super::{Action, Now};
 use crate::cell::{Cell, Reason, Timings};
-use crate::claim::{self, Claims, DEDUP_PREFIX, Host};
+use crate::claim::{self, Claims, DEDUP_PREFIX, LiveBox};
 use crate::constants::DEDUP_SHARDS;
 use crate::dedup::DedupShard;
 use crate::lease::{self, BoxRow, Lease};
@@ -77,8 +77,8 @@
         if !self.lease.is_registered() {
             return;
         }
-        let (cells, hosts) = (self.cell_names(), self.hosts(now.millis));
-        self.claims.observe(now.millis, cells, hosts);
+        let (cells, boxes) = (self.cell_names(), self.live_boxes(now.millis));
+        self.claims.update_assignment(now.millis, cells, boxes);
         let lease = &self.lease;
         let me = lease.id().clone();
         let gone = |owner: &Name| *owner != me && lease.other_box(owner).is_none();
@@ -98,15 +98,15 @@
         names
     }
 
-    fn hosts(&self, now: Millis) -> Vec<Host> {
+    fn live_boxes(&self, now: Millis) -> Vec<LiveBox> {
         let stays =
             |b: &&BoxRow| self.lease.is_fresh(&b.id, now) && !self.stopping_peers.contains(&b.id);
         let others = self.lease.other_boxes().filter(stays);
-        let mut hosts: Vec<Host> = others.map(host).collect();
+        let mut boxes: Vec<LiveBox> = others.map(live_box).collect();
         if self.stopping_since.is_none() {
-            hosts.push(host(self.lease.own_row()));
+            boxes.push(live_box(self.lease.own_row()));
         }
-        hosts
+        boxes
     }
 
     pub(super) fn apply_claim_action(
@@ -142,7 +142,7 @@
                     out,
                 );
             }
-            claim::Action::Won { cell, epoch } => self.start_owning(now, cell, epoch, out),
+            claim::Action::Acquired { cell, epoch } => self.start_owning(now, cell, epoch, out),
             claim::Action::Lost { cell } => self.stop_owning(now, &cell, Reason::NotOwner, out),
         }
     }
@@ -193,9 +193,9 @@
     pub(super) fn release_dedup_shards(&mut self, now: Now, out: &mut Vec<Action>) {
         let leaving: Vec<Name> = self
             .claims
-            .mine()
+            .owned()
             .iter()
-            .filter(|(cell, mine)| mine.leaving && cell.starts_with(DEDUP_PREFIX))
+            .filter(|(cell, owned)| owned.leaving && cell.starts_with(DEDUP_PREFIX))
             .map(|(cell, _)| cell.clone())
             .collect();
         for shard in leaving {
@@ -226,8 +226,8 @@
     format!("{}{cell}", claim::PREFIX).into()
 }
 
-fn host(row: &BoxRow) -> Host {
-    Host {
+fn live_box(row: &BoxRow) -> LiveBox {
+    LiveBox {
         id: row.id.clone(),
         name: row.name.clone(),
         hall: row.hall.clone(),
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -20,8 +20,8 @@
             .filter_map(|b| b.rpc.parse().ok().map(|rpc| (b.id.clone(), rpc)))
             .collect();
         // A cell that has moved is told at once.
-        if self.announced_moves != self.claims.moves() {
-            self.announced_moves = self.claims.moves();
+        if self.announced_moves != self.claims.move_count() {
+            self.announced_moves = self.claims.move_count();
             self.announce_until = now.millis + interval * MOVE_HEARTBEATS;
             self.greeted_at.clear();
         }
@@ -55,7 +55,7 @@
             stopping: self.stopping_since.is_some(),
             ask: None,
             sent: now,
-            moves: self.claims.moves(),
+            moves: self.claims.move_count(),
             moved: self.recent_moves(now),
             loads: self.own_loads(now),
         }
@@ -64,7 +64,7 @@
     /// Returns the last own moves of cells, while they are news.
     fn recent_moves(&self, now: Millis) -> Vec<VersionedCell> {
         match now < self.announce_until {
-            true => self.claims.recent().cloned().collect(),
+            true => self.claims.recent_moves().cloned().collect(),
             false => Vec::new(),
         }
     }
@@ -131,7 +131,7 @@
 
     fn apply_greeting(&mut self, now: Now, greeting: &Greeting, out: &mut Vec<Action>) {
         for versioned in &greeting.moved {
-            if let Some(action) = self.claims.told(versioned.clone()) {
+            if let Some(action) = self.claims.apply_move(versioned.clone()) {
                 self.apply_claim_action(now, action, out);
             }
         }
@@ -140,7 +140,7 @@
             .insert(greeting.from.clone(), greeting.moves);
         let complete = |known: u64| known + greeting.moved.len() as u64 >= greeting.moves;
         if known.is_some_and(|known| !complete(known)) {
-            self.claims.refresh();
+            self.claims.request_read();
         }
         if greeting.stopping {
             self.stopping_peers.insert(greeting.from.clone());
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -110,7 +110,7 @@
         let shard = dedup_shard_name(stable(&[&id]) % DEDUP_SHARDS);
         let acts = self.lease.may_act(now.millis);
         if let Some(dedup) = self.dedup_shards.get_mut(&shard).filter(|_| acts) {
-            let leaving = self.claims.mine().get(&shard).is_none_or(|m| m.leaving);
+            let leaving = self.claims.owned().get(&shard).is_none_or(|m| m.leaving);
             if leaving {
                 return self.finish_not_run(now, ticket, Reason::Stopping, RETRY_AFTER, out);
             }
@@ -163,7 +163,7 @@
         if !in_time || !self.spend_retry(now, ticket) {
             return self.finish_not_run(now, ticket, reason, RETRY_AFTER, out);
         }
-        self.claims.refresh();
+        self.claims.request_read();
         if let Some(request) = self.in_flight.get_mut(&ticket) {
             request.stage = Stage::Backoff(until);
             request.tried.clear();
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -132,9 +132,9 @@
     /// Returns the owned cells with their epochs.
     pub fn owned_cells(&self) -> impl Iterator<Item = (&Name, u64)> {
         self.claims
-            .mine()
+            .owned()
             .iter()
-            .map(|(cell, mine)| (cell, mine.epoch))
+            .map(|(cell, owned)| (cell, owned.epoch))
     }
 
     /// Returns the version of the configuration in force.
@@ -237,7 +237,7 @@
         let Some(since) = self.stopping_since else {
             return;
         };
-        let busy = !self.in_flight.is_empty() || !self.claims.empty();
+        let busy = !self.in_flight.is_empty() || !self.claims.owns_nothing();
         if busy {
             self.idle_since = None;
         }
--- a/src/engine/table_calls.rs
+++ b/src/engine/table_calls.rs
@@ -72,7 +72,7 @@
             }
             Purpose::ReadCells => {
                 let rows = rows(&outcome).map(|r| decode_cells(r));
-                let actions = self.claims.read(sent, rows);
+                let actions = self.claims.apply_read(sent, rows);
                 for action in actions {
                     self.apply_claim_action(now, action, out);
                 }
@@ -80,15 +80,15 @@
             Purpose::Claim(cell, expect, row) => {
                 let action = self
                     .claims
-                    .claimed(&cell, expect, row, write_outcome(&outcome));
+                    .finish_claim(&cell, expect, row, write_outcome(&outcome));
                 if let Some(action) = action {
                     self.apply_claim_action(now, action, out);
                 }
             }
             Purpose::Release(cell, expect, row) => {
-                let action = self
-                    .claims
-                    .released(&cell, expect, row, write_outcome(&outcome));
+                let action =
+                    self.claims
+                        .finish_release(&cell, expect, row, write_outcome(&outcome));
                 if let Some(action) = action {
                     self.apply_claim_action(now, action, out);
                 }
--- a/src/engine/views.rs
+++ b/src/engine/views.rs
@@ -145,7 +145,7 @@
             hall: self.settings.hall.clone(),
             ready: self.ready(),
             config: self.config.version(),
-            cells: self.claims.mine().len(),
+            cells: self.claims.owned().len(),
             boxes: self.lease.other_boxes().count() + 1,
             may_act: self.lease.may_act(now),
             table_silence: now.saturating_sub(self.answered_at),
