--- a/src/cell.rs
+++ b/src/cell.rs
@@ -1,8 +1,8 @@
-//! What the owner of a cell decides: which worker runs a request or a task,
-//! who waits, who yields and who is refused.
+//! Decisions of a cell's owner: which worker gets a request or a task, which requests wait
+//! or are refused, and which runs are throttled or evicted.
 //!
-//! One [`Cell`] counts the room of its workers in one place. It is plain
-//! state: events and the time go in, actions come out.
+//! A [`Cell`] accounts for the resources of all its workers. It does no I/O: its methods
+//! take events and the time, and return actions.
 
 mod outcome;
 mod requests;
@@ -33,7 +33,7 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Declared size of one task or request.
+/// Declared resources of one task or request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Size {
     /// Thousandths of a core.
@@ -45,7 +45,7 @@
 }
 
 impl Size {
-    /// Returns what is held of it at a share of its cores, in thousandths.
+    /// Returns the size with its cores scaled to `share` thousandths.
     pub fn with_core_share(self, share: u32) -> Self {
         let cores = u64::from(self.cores) * u64::from(share) / u64::from(WHOLE);
         Self {
@@ -70,12 +70,12 @@
     }
 }
 
-/// What a worker has.
+/// Capacity of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shape {
-    /// Requests at once.
+    /// Concurrent requests.
     pub slots: u32,
-    /// Connections at once, from all boxes.
+    /// Concurrent connections from all boxes.
     pub connections: u32,
     /// Thousandths of a core.
     pub cores: u32,
@@ -86,7 +86,7 @@
 }
 
 impl Shape {
-    /// Returns true when an empty worker of this shape could run it.
+    /// Returns true when an empty worker of this shape has the resources for `size`.
     pub fn has_capacity_for(&self, size: Size) -> bool {
         size.cores <= self.cores
             && size.memory <= self.memory
@@ -94,43 +94,43 @@
     }
 }
 
-/// How a worker is chosen among those with room.
+/// How a worker is chosen among those with enough free resources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Selection {
-    /// By learned interference, latency and load: the policy.
+    /// By learned interference, latency and load: the production policy.
     Learned,
-    /// The first that fits: a baseline.
+    /// The first by name; a baseline for benchmarks.
     First,
-    /// The one with the least in progress: a baseline.
+    /// The one with the fewest requests or the most free cores; a baseline for benchmarks.
     LeastLoaded,
-    /// Any, by a seeded generator: a baseline.
+    /// A random one, from a seeded generator; a baseline for benchmarks.
     Random,
-    /// Each in turn: a baseline.
+    /// Each in turn; a baseline for benchmarks.
     RoundRobin,
 }
 
-/// Settings of the decisions.
+/// Settings of a cell's decisions.
 #[derive(Clone, Debug)]
 pub struct Policy {
-    /// Weight of the services' tail against batch throughput, from 0 to 1.
+    /// Weight of the services' tail latency against batch throughput, from 0 to 1.
     pub tail_weight: f64,
-    /// Requests that may wait in a cell.
+    /// Most requests that may wait in a cell.
     pub queue_limit: usize,
-    /// Further sends that one request may make over all hops.
+    /// Most retries of one request over all hops.
     pub retries: u32,
-    /// Deadline in milliseconds of a request that gives none.
+    /// Deadline in milliseconds of a request that declares none.
     pub default_deadline: Millis,
-    /// Share of a worker's cores that batch tasks leave free.
+    /// Fraction of a worker's cores that tasks leave free, unless they are urgent.
     pub reserve: f64,
-    /// Choice of the worker for a request.
+    /// Selection of the worker for a request.
     pub request_selection: Selection,
-    /// Choice of the worker for a task.
+    /// Selection of the worker for a task.
     pub task_selection: Selection,
-    /// True when tasks that hurt are throttled, and evicted only after that.
+    /// True when runs that slow down services are throttled before they are evicted.
     pub throttling: bool,
-    /// Failed runs after which a task is given up.
+    /// Failed runs after which a task has failed.
     pub failure_limit: u32,
-    /// Milliseconds of a worker's first quarantine; each further one doubles it.
+    /// Milliseconds of a worker's first quarantine; each further quarantine doubles it.
     pub first_quarantine: Millis,
 }
 
@@ -154,32 +154,32 @@
 /// Why a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
-    /// No worker has room and the queue is too long.
+    /// No worker accepts requests, or the queue is full.
     NoRoom,
-    /// The deadline has passed or can't be met.
+    /// The deadline has passed or cannot be met.
     Deadline,
-    /// Batch gave way to latency-critical requests.
+    /// A batch request was removed from a full queue for a latency-critical one.
     Shed,
-    /// The box does not own the cell, or not any more.
+    /// The box does not own the cell, or no longer owns it.
     NotOwner,
     /// The lease lapsed before the request was sent.
     Lapsed,
     /// No endpoint could be reached.
     Unreachable,
-    /// The endpoint refused it before running it.
+    /// The endpoint refused the request before running it.
     Refused,
-    /// The box is stopping or moving the cell.
+    /// The box is stopping or releasing the cell.
     Stopping,
-    /// The box has no configuration or no view of the cells yet.
+    /// The box has no configuration or knows no cell yet.
     NotReady,
     /// The service is not in the configuration.
     NoService,
-    /// The request itself is malformed.
+    /// The request is malformed.
     Invalid,
 }
 
 impl Reason {
-    /// Returns the word for headers, logs and metrics.
+    /// Returns the name used in headers, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoRoom => "no-room",
@@ -196,8 +196,8 @@
         }
     }
 
-    /// Returns the reason for a word, or [`Reason::Refused`].
-    pub fn parse(word: &str) -> Self {
+    /// Returns the reason with a name, or [`Reason::Refused`] for an unknown name.
+    pub fn parse(name: &str) -> Self {
         let all = [
             Self::NoRoom,
             Self::Deadline,
@@ -212,17 +212,17 @@
             Self::Invalid,
         ];
         all.into_iter()
-            .find(|r| r.as_str() == word)
+            .find(|r| r.as_str() == name)
             .unwrap_or(Self::Refused)
     }
 }
 
-/// What a cell asks to be done.
+/// An action that the cell's caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a request to a worker.
     Send {
-        /// The request.
+        /// Number of the request.
         ticket: u64,
         /// Name of the worker.
         worker: Name,
@@ -231,24 +231,24 @@
     },
     /// Answer a request as not run.
     Refuse {
-        /// The request.
+        /// Number of the request.
         ticket: u64,
-        /// Why.
+        /// Why the request was not run.
         reason: Reason,
-        /// Milliseconds after which to come back.
+        /// Milliseconds after which the caller may retry.
         retry_after: Millis,
     },
-    /// Exchange state with a worker and renew the leases of its runs.
+    /// Poll a worker for its state, and renew the leases of its runs.
     Poll {
         /// Name of the worker.
         worker: Name,
         /// Address of its control RPC.
         rpc: SocketAddr,
-        /// Runs whose end is recorded.
+        /// Runs whose end is recorded, so that the worker may forget them.
         acks: Vec<RunId>,
         /// True to renew the leases of its runs.
         renew: bool,
-        /// Counts exchanges; starts of an earlier round are void after it.
+        /// Number of the poll; the worker then refuses starts of earlier rounds.
         round: u64,
     },
     /// Start a run.
@@ -259,7 +259,7 @@
         rpc: SocketAddr,
         /// The run.
         run: Run,
-        /// Milliseconds of work to do in all.
+        /// Milliseconds of work of the whole task.
         work: Millis,
     },
     /// Stop a run.
@@ -270,10 +270,10 @@
         rpc: SocketAddr,
         /// The run.
         run: RunId,
-        /// True to keep its work.
+        /// True to save a checkpoint of its work.
         checkpoint: bool,
     },
-    /// Set the share of its cores that a run may use.
+    /// Set the share of its declared cores that a run may use.
     Throttle {
         /// Name of the worker.
         worker: Name,
@@ -284,11 +284,11 @@
         /// Thousandths.
         share: u32,
     },
-    /// Write a job shard's row.
+    /// Write the row of a job shard.
     Write {
         /// Key of the row.
         key: Name,
-        /// Version the row must have.
+        /// Version that the row must have.
         expected_version: u64,
         /// New contents.
         row: job::JobShardRow,
--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -180,7 +180,7 @@
     fn dispatch(&mut self, now: Millis, micros: u64, ask: &PendingRequest) -> Option<Action> {
         let name = self.select_worker(now, ask)?;
         let worker = self.workers.get_mut(&name)?;
-        if !worker.check_stays() {
+        if !worker.check_not_leaving() {
             return None;
         }
         let active = ActiveRequest {
--- a/src/cell/runs.rs
+++ b/src/cell/runs.rs
@@ -1,29 +1,30 @@
-//! Runs: one task on one worker for one time.
+//! Runs: single executions of tasks on workers.
 
 use super::Size;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Number of a run, unique for ever within its cell: the epoch, then a counter.
+/// Id of a run, unique within its cell: the owner's epoch in the upper 32 bits, then a
+/// counter.
 pub type RunId = u64;
 
-/// How far a run is, as its owner knows.
+/// Phase of a run, as far as the owner of the cell knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPhase {
-    /// Its start was sent.
+    /// The start was sent.
     Starting,
-    /// Its start may have taken effect.
+    /// The start was not answered; it may have taken effect.
     InDoubt,
-    /// It runs.
+    /// The worker confirmed the start.
     Running,
-    /// Its stop was sent.
+    /// The stop was sent.
     Stopping,
 }
 
-/// A run as its owner counts it.
+/// A run as the owner of the cell accounts for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Run {
-    /// Number of the run.
+    /// Id of the run.
     pub id: RunId,
     /// Job of the task.
     pub job: Name,
@@ -31,53 +32,53 @@
     pub task: u32,
     /// Kind of work.
     pub kind: Name,
-    /// Size that is reserved, before the throttle.
+    /// Size of the run at its full share.
     pub size: Size,
-    /// Thousandths of its cores that it may use.
+    /// Thousandths of its cores that the run may use.
     pub share: u32,
-    /// Thousandths of its cores that it may come to use by a raise without an
-    /// answer; never counted less.
+    /// Thousandths of its cores that are always accounted for: an unanswered call may have
+    /// raised the share to this value.
     pub share_floor: u32,
-    /// True while a change of its share has no outcome.
+    /// True while a call that changes the share is in progress.
     pub throttle_pending: bool,
-    /// How far it is.
+    /// Phase of the run.
     pub phase: RunPhase,
-    /// Milliseconds of work done before it started.
+    /// Milliseconds of work saved by checkpoints before the run started.
     pub saved: Millis,
     /// Milliseconds of work done, as last reported.
     pub progress: Millis,
-    /// When its present phase was confirmed.
+    /// When the phase or the share was last confirmed, or else when the start was sent.
     pub phase_since: Millis,
-    /// Round of the exchange before its start.
+    /// Number of the last poll sent before the start.
     pub poll_round: u64,
     /// True for work that must start within seconds.
     pub urgent: bool,
 }
 
 impl Run {
-    /// Returns true when its start may or may not have taken effect.
+    /// Returns true when the worker has not confirmed the start.
     pub fn is_start_unconfirmed(&self) -> bool {
         matches!(self.phase, RunPhase::Starting | RunPhase::InDoubt)
     }
 }
 
-/// How a run ended or goes on, as its worker says.
+/// State of a run, as its worker reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
-    /// It runs.
+    /// The run is in progress.
     Running,
-    /// It finished.
+    /// The task is done.
     Finished,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was stopped or its lease lapsed.
+    /// The run was stopped or its lease lapsed.
     Stopped,
 }
 
-/// A worker's word on one run.
+/// A worker's report on one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunReport {
-    /// Number of the run.
+    /// Id of the run.
     pub id: RunId,
     /// Job of the task.
     pub job: Name,
@@ -85,25 +86,25 @@
     pub task: u32,
     /// Kind of work.
     pub kind: Name,
-    /// Size that it was started with.
+    /// Size that the run was started with.
     pub size: Size,
-    /// How it ended or goes on.
+    /// State of the run.
     pub state: RunState,
-    /// Milliseconds of work done; for an ended run, those that are kept.
+    /// Milliseconds of work done; for an ended run, those saved by a checkpoint.
     pub progress: Millis,
-    /// Thousandths of its cores that it may use.
+    /// Thousandths of its cores that the run may use.
     pub share: u32,
-    /// Thousandths of a core used, as measured late.
+    /// Measured use in thousandths of a core; measurements arrive late.
     pub usage: u32,
 }
 
-/// How a call about one run ended.
+/// How a call to start, stop or throttle a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It took effect; milliseconds of work kept, for a stop.
+    /// The call took effect; for a stop, with the milliseconds of work saved by a checkpoint.
     Done(Millis),
-    /// It had no effect.
+    /// The call had no effect.
     Refused,
-    /// It may have had its effect.
+    /// The call was not answered; it may have taken effect.
     Lost,
 }
--- a/src/cell/start.rs
+++ b/src/cell/start.rs
@@ -115,7 +115,7 @@
             shunned,
         };
         let (name, share) = self.select_task_worker(now, wanted)?;
-        if self.has_run(&spec.id, task) || !self.workers.get(&name)?.check_stays() {
+        if self.has_run(&spec.id, task) || !self.workers.get(&name)?.check_not_leaving() {
             return None;
         }
         self.run_counter += 1;
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -1,4 +1,4 @@
-//! The room of one worker, as its cell's owner counts it.
+//! A worker and its allocated resources, as the owner of its cell accounts for them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,25 +9,26 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Weight of a new measurement in a moving average.
-const SMOOTH: f64 = 0.1;
-/// Failures in a row after which a worker is ejected.
-const STRIKES: u32 = 3;
-/// Milliseconds of a first ejection; each further one doubles it.
-const EJECTION: Millis = 1_000;
+/// Weight of a new measurement in the moving average of latencies.
+const LATENCY_WEIGHT: f64 = 0.1;
+/// Consecutive failures of requests after which a worker is ejected.
+const EJECTION_FAILURES: u32 = 3;
+/// Milliseconds of a first ejection; each further ejection doubles it.
+const FIRST_EJECTION: Millis = 1_000;
 /// Longest ejection in milliseconds.
 const EJECTION_LIMIT: Millis = 60_000;
 
 /// A request in progress on a worker.
 #[derive(Clone, Debug)]
 pub struct ActiveRequest {
-    /// Service that is asked for.
+    /// Requested service.
     pub service: Name,
-    /// Size that is reserved.
+    /// Reserved size.
     pub size: Size,
-    /// When it was sent, in microseconds.
+    /// When the request was sent, in microseconds.
     pub sent_us: u64,
-    /// Set when its answer was lost: when the worker would not start it any more.
+    /// Set when the answer was lost: the time after which the worker no longer starts the
+    /// request.
     pub start_deadline: Option<Millis>,
 }
 
@@ -40,64 +41,64 @@
     pub http: SocketAddr,
     /// Address of its control RPC.
     pub rpc: SocketAddr,
-    /// What it has.
+    /// Capacity of the worker.
     pub shape: Shape,
-    /// True once it answered under this epoch and while it keeps answering.
+    /// True once the worker has answered under this epoch, while it keeps answering.
     pub responsive: bool,
-    /// True when it takes nothing new.
+    /// True when the directory or an operator says that the worker takes nothing new.
     pub leaving: bool,
-    /// True while the list of live workers names it.
+    /// True while the worker is in the list of live workers.
     pub listed: bool,
     /// Requests sent under this epoch, by ticket.
     pub requests: BTreeMap<u64, ActiveRequest>,
-    /// Requests of earlier epochs that still run.
+    /// Number of requests of earlier epochs in progress.
     pub foreign_requests: u32,
     /// Runs that may be running.
     pub runs: BTreeMap<RunId, Run>,
-    /// Runs that have ended, and when that was learned: an exchange sent
-    /// before may still report them as running.
+    /// Runs that have ended, with the time when the owner learned of the end: a poll sent
+    /// before that time may still report them as running.
     pub ended_runs: BTreeMap<RunId, Millis>,
-    /// Runs whose end is recorded and may be forgotten by the worker.
+    /// Runs whose end is recorded, so that the worker may forget them.
     pub acks: Vec<RunId>,
     /// Moving average of answer times in microseconds; 0 before the first.
     pub mean_latency: f64,
-    /// When an exchange with it was last sent.
+    /// When the last poll was sent.
     pub last_poll: Option<Millis>,
-    /// True while an exchange is in progress.
+    /// True while a poll is in progress.
     pub polling: bool,
-    /// Until when its last answer is relied on.
+    /// When the worker's last answer to a poll becomes too old to rely on.
     pub valid_until: Millis,
-    /// When it began to answer after a silence: what was sent to it before may
-    /// take effect for some time more.
+    /// When the worker answered again after a silence. Calls sent before may still take
+    /// effect for some time after.
     pub responsive_since: Millis,
-    /// When a renewal that it may have got was last sent.
+    /// When the last renewal of leases that the worker may have received was sent.
     pub lease_renewed: Millis,
     /// When the renewal in progress was sent, or 0.
     pub renewal_sent: Millis,
-    /// True when it says itself that it takes nothing new.
+    /// True when the worker itself reports that it takes nothing new.
     pub retiring: bool,
-    /// Request failures in a row.
+    /// Consecutive failures of requests.
     pub consecutive_failures: u32,
-    /// Ejections without a success between.
+    /// Ejections since the last answered request.
     pub ejections: u32,
-    /// No request goes there before this time.
+    /// No request is sent to the worker before this time.
     pub ejected_until: Millis,
-    /// Jobs whose runs failed there, without a success between.
+    /// Jobs of the runs that failed on the worker since the last finished run.
     pub failed_jobs: Vec<Name>,
-    /// No task goes there before this time.
+    /// No task is started on the worker before this time.
     pub quarantined_until: Millis,
-    /// Quarantines without a success between.
+    /// Quarantines since the last finished run.
     pub quarantines: u32,
-    /// When a run there was last evicted.
+    /// When a run was last evicted.
     pub last_eviction: Millis,
-    /// When a run there was last throttled or released.
+    /// When the share of a run was last changed.
     pub last_throttle: Millis,
-    /// Cores and memory in use, kept in step with `active` and `runs`.
+    /// Sum of the sizes of `requests` and `runs`.
     allocated: Size,
 }
 
 impl Worker {
-    /// Returns a worker that has not answered yet, and so counts as full.
+    /// Returns a worker that has not answered yet and therefore counts as full.
     pub fn new(name: Name, http: SocketAddr, rpc: SocketAddr) -> Self {
         Self {
             name,
@@ -132,20 +133,21 @@
         }
     }
 
-    /// Returns true when anything new may go there: its last answer is young
-    /// enough to be relied on, and it is not leaving.
+    /// Returns true when the worker may get requests and tasks: its last answer is recent
+    /// enough and it is not leaving.
     pub fn accepts_work(&self, now: Millis) -> bool {
         self.responsive && now < self.valid_until && !self.leaving && !self.retiring && self.listed
     }
 
-    /// Returns true unless the worker is leaving and so gets nothing new.
-    pub fn check_stays(&self) -> bool {
-        let stays = self.listed && !self.leaving && !self.retiring;
-        let detail = || format!("{} is leaving and was chosen", self.name);
-        invariant::check(stays, Rule::Leaving, detail)
+    /// Checks the invariant that a leaving worker gets nothing new; returns false when the
+    /// worker is leaving.
+    pub fn check_not_leaving(&self) -> bool {
+        let staying = self.listed && !self.leaving && !self.retiring;
+        let detail = || format!("worker {} was chosen although it is leaving", self.name);
+        invariant::check(staying, Rule::Leaving, detail)
     }
 
-    /// Returns the slots in use, those of earlier epochs included.
+    /// Returns the slots in use, including those of requests of earlier epochs.
     pub fn used_slots(&self) -> u32 {
         self.requests.len() as u32 + self.foreign_requests
     }
@@ -160,7 +162,7 @@
         self.shape.cores.saturating_sub(self.allocated.cores)
     }
 
-    /// Returns true when the rest of the room holds `size`.
+    /// Returns true when the free resources are enough for `size`.
     pub fn has_free(&self, size: Size) -> bool {
         self.allocated.cores + size.cores <= self.shape.cores
             && self.allocated.memory + size.memory <= self.shape.memory
@@ -172,105 +174,105 @@
         self.used_slots() * 2 > self.shape.slots
     }
 
-    /// Adds a request.
-    pub fn add_request(&mut self, ticket: u64, active: ActiveRequest) {
-        self.allocated = plus(self.allocated, active.size);
-        self.requests.insert(ticket, active);
-        let held = self.used_slots() <= self.shape.slots && self.is_within_capacity();
+    /// Adds a request and checks that the worker is not overcommitted.
+    pub fn add_request(&mut self, ticket: u64, request: ActiveRequest) {
+        self.allocated = add(self.allocated, request.size);
+        self.requests.insert(ticket, request);
+        let fits = self.used_slots() <= self.shape.slots && self.is_within_capacity();
         let detail = || format!("{} has {} requests", self.name, self.used_slots());
-        invariant::check(held, Rule::Room, detail);
+        invariant::check(fits, Rule::Room, detail);
     }
 
     /// Removes a request.
     pub fn remove_request(&mut self, ticket: u64) -> Option<ActiveRequest> {
-        let active = self.requests.remove(&ticket)?;
-        self.allocated = minus(self.allocated, active.size);
-        Some(active)
+        let request = self.requests.remove(&ticket)?;
+        self.allocated = subtract(self.allocated, request.size);
+        Some(request)
     }
 
     /// Adds a run.
     pub fn add_run(&mut self, run: Run) {
-        self.allocated = plus(self.allocated, run.allocated());
+        self.allocated = add(self.allocated, run.allocated());
         self.runs.insert(run.id, run);
     }
 
-    /// Removes a run that has ended.
+    /// Removes a run and remembers that it has ended.
     pub fn end_run(&mut self, now: Millis, id: RunId) -> Option<Run> {
         self.ended_runs.insert(id, now);
         self.remove_run(id)
     }
 
-    /// Forgets ended runs that no exchange sent after `sent` can report.
+    /// Forgets runs that ended before `sent`: polls sent later do not report them as running.
     pub fn forget_ended_runs(&mut self, sent: Millis) {
         self.ended_runs.retain(|_, at| *at >= sent);
     }
 
-    /// Returns true when a run had ended before an exchange was answered.
+    /// Returns true when a run has ended, even if a poll sent earlier reports it as running.
     pub fn has_ended_run(&self, id: RunId) -> bool {
         self.ended_runs.contains_key(&id)
     }
 
-    /// Takes a run out of the count.
+    /// Removes a run and frees its resources.
     pub fn remove_run(&mut self, id: RunId) -> Option<Run> {
         let run = self.runs.remove(&id)?;
-        self.allocated = minus(self.allocated, run.allocated());
+        self.allocated = subtract(self.allocated, run.allocated());
         Some(run)
     }
 
-    /// Changes a run and keeps the count of room in step.
+    /// Changes a run and updates the allocated resources.
     pub fn update_run<T>(&mut self, id: RunId, change: impl FnOnce(&mut Run) -> T) -> Option<T> {
         let run = self.runs.get_mut(&id)?;
         let before = run.allocated();
         let result = change(run);
         let after = run.allocated();
-        self.allocated = plus(minus(self.allocated, before), after);
+        self.allocated = add(subtract(self.allocated, before), after);
         Some(result)
     }
 
-    /// Returns true while what is counted is within the worker's shape.
+    /// Returns true when the allocated resources do not exceed the worker's capacity.
     pub fn is_within_capacity(&self) -> bool {
-        let used = self.allocated;
-        self.shape.has_capacity_for(used)
+        let allocated = self.allocated;
+        self.shape.has_capacity_for(allocated)
     }
 
-    /// Takes in that a request was answered after `micros`.
+    /// Records a request that was answered after `micros` microseconds.
     pub fn record_answer(&mut self, micros: u64) {
         self.consecutive_failures = 0;
         self.ejections = 0;
         let value = micros as f64;
         self.mean_latency = match self.mean_latency {
             0.0 => value,
-            old => old + SMOOTH * (value - old),
+            old => old + LATENCY_WEIGHT * (value - old),
         };
     }
 
-    /// Takes in that a request failed there; true ejects the worker.
+    /// Records a failed request; returns true when that ejects the worker.
     pub fn record_failure(&mut self, now: Millis) -> bool {
         self.consecutive_failures += 1;
-        if self.consecutive_failures < STRIKES || self.ejected_until > now {
+        if self.consecutive_failures < EJECTION_FAILURES || self.ejected_until > now {
             return false;
         }
-        let span = EJECTION << self.ejections.min(10);
-        self.ejected_until = now + span.min(EJECTION_LIMIT);
+        let duration = FIRST_EJECTION << self.ejections.min(10);
+        self.ejected_until = now + duration.min(EJECTION_LIMIT);
         self.ejections += 1;
-        self.consecutive_failures = STRIKES - 1;
+        self.consecutive_failures = EJECTION_FAILURES - 1;
         true
     }
 
-    /// Returns runs that batch could be made to yield with.
+    /// Returns the runs that may be throttled or stopped.
     pub fn running_runs(&self) -> impl Iterator<Item = &Run> {
         self.runs.values().filter(|r| r.phase == RunPhase::Running)
     }
 }
 
 impl Run {
-    /// Returns the size that the run holds, its throttle taken into account.
+    /// Returns the resources that the run holds at its present share of its cores.
     pub fn allocated(&self) -> Size {
         self.size.with_core_share(self.share.max(self.share_floor))
     }
 }
 
-fn plus(a: Size, b: Size) -> Size {
+fn add(a: Size, b: Size) -> Size {
     Size {
         cores: a.cores + b.cores,
         memory: a.memory + b.memory,
@@ -278,7 +280,7 @@
     }
 }
 
-fn minus(a: Size, b: Size) -> Size {
+fn subtract(a: Size, b: Size) -> Size {
     Size {
         cores: a.cores - b.cores,
         memory: a.memory - b.memory,
