--- a/src/cell/outcome.rs
+++ b/src/cell/outcome.rs
@@ -357,7 +357,7 @@
         let Some((shard, index)) = self.find_task(&run.job, run.task) else {
             return;
         };
-        let count = shard.vanished_runs.entry(index).or_insert(0);
+        let count = shard.lost_runs.entry(index).or_insert(0);
         *count += 1;
         let task = &mut shard.row.tasks[index];
         if *count < VANISHED || task.phase != Phase::Open {
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -14,11 +14,11 @@
 use crate::utils::random::Random;
 
 /// Weight of a new measurement in a moving average.
-const SMOOTH: f64 = 0.2;
-/// Intervals between exchanges for which an answer is relied on.
-pub(super) const SILENT: u64 = 3;
+const SAMPLE_WEIGHT: f64 = 0.2;
+/// Poll intervals after which a worker without an answer counts as silent.
+pub(super) const SILENT_POLLS: u64 = 3;
 
-/// A worker in the list of live and leaving ones.
+/// A worker in the directory's list of live and leaving workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedWorker {
     /// Name of the worker.
@@ -29,68 +29,68 @@
     pub http: SocketAddr,
     /// Address of its control RPC.
     pub rpc: SocketAddr,
-    /// True when it takes nothing new.
+    /// True when the worker takes nothing new.
     pub leaving: bool,
 }
 
-/// A worker's answer to an exchange.
+/// A worker's answer to a poll.
 #[derive(Clone, Debug, Default)]
 pub struct PollReply {
     /// True when the worker knows a higher epoch.
     pub refused: bool,
-    /// What it has.
+    /// Capacity of the worker.
     pub shape: Shape,
-    /// Requests of this epoch in progress.
+    /// Tickets of the requests of this epoch in progress.
     pub tickets: Vec<u64>,
-    /// Requests of earlier epochs in progress.
+    /// Number of requests of earlier epochs in progress.
     pub foreign_requests: u32,
-    /// Runs that go on, and ended ones that are not acknowledged.
+    /// Runs in progress, and ended runs that are not yet acknowledged.
     pub runs: Vec<RunReport>,
-    /// Late measurements.
+    /// Measured slowdowns; they arrive late.
     pub samples: Vec<Sample>,
-    /// True when it takes nothing new.
+    /// True when the worker takes nothing new.
     pub leaving: bool,
 }
 
-/// An exchange with a worker as it was sent.
+/// A poll of a worker as it was sent.
 #[derive(Clone, Debug)]
 pub struct SentPoll {
-    /// When it was sent.
+    /// When the poll was sent.
     pub sent: Millis,
-    /// Its round.
+    /// Number of the poll.
     pub round: u64,
-    /// Ends that it acknowledged.
+    /// Ends of runs that the poll acknowledged.
     pub acks: Vec<RunId>,
 }
 
-/// How an exchange with a worker ended.
+/// How a poll of a worker ended.
 #[derive(Clone, Debug)]
 pub enum PollOutcome {
     /// The worker answered.
     Reply(PollReply),
-    /// No byte of it left.
+    /// Nothing was sent.
     NotSent,
-    /// The worker may have got it.
+    /// No answer arrived; the worker may have received the poll.
     Lost,
 }
 
-/// What a team may use.
+/// Quota of a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quota {
     /// Thousandths of cores in the whole deployment.
     pub cores: u64,
-    /// Weight against other teams.
+    /// Weight relative to other teams.
     pub weight: u32,
 }
 
-/// Times that a cell needs, in milliseconds.
+/// Durations that a cell depends on, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timings {
     /// Lease of runs on workers.
     pub run_lease: Millis,
     /// Margin for slow sends and clock drift.
     pub margin: Millis,
-    /// Between two exchanges with the same worker.
+    /// Time between two polls of the same worker.
     pub poll_interval: Millis,
 }
 
@@ -101,19 +101,19 @@
     pub name: Name,
     /// Epoch of the ownership.
     pub epoch: u64,
-    /// True while it takes nothing new, before its release.
+    /// True while the cell takes nothing new because it is about to be released.
     pub leaving: bool,
     /// Settings of the decisions.
     pub policy: Policy,
-    /// What teams may use.
+    /// Quotas by team.
     pub quotas: BTreeMap<Name, Quota>,
-    /// The cell's part of the deployment's cores, from 0 to 1.
+    /// The cell's fraction of the deployment's capacity, from 0 to 1.
     pub capacity_share: f64,
     /// Workers by name.
     pub workers: BTreeMap<Name, Worker>,
     /// Job shards by key.
     pub shards: BTreeMap<Name, JobShard>,
-    /// Versions of the rows of job shards that ended under this epoch.
+    /// Row versions of the job shards that ended under this epoch, by key.
     pub ended_shards: BTreeMap<Name, u64>,
     /// Tasks evicted under this epoch.
     pub evictions: u64,
@@ -123,19 +123,24 @@
     pub interference: InterferenceEstimates,
     /// Mean answer time of each service in microseconds.
     pub mean_latencies: HashMap<Name, f64>,
-    /// When a request to each service last came.
+    /// When each service was last requested.
     pub(super) last_requests: BTreeMap<Name, Millis>,
+    /// Moving average of the slowdowns measured on each worker.
     pub(super) slowdowns: BTreeMap<Name, f64>,
+    /// Measured over declared cores of each kind of task.
     pub(super) usage_factors: BTreeMap<Name, f64>,
+    /// Thousandths of cores that the runs of each team use.
     pub(super) team_cores: BTreeMap<Name, u64>,
     pub(super) queue: Queue,
+    /// Worker of each request in progress, by ticket.
     pub(super) tickets: BTreeMap<u64, Name>,
     pub(super) random: Random,
     pub(super) next_turn: u64,
     pub(super) run_counter: u64,
     pub(super) poll_round: u64,
+    /// When all leases of an earlier owner's runs have lapsed.
     pub(super) hold_until: Millis,
-    /// When the job shards were read: what workers told before settled nothing.
+    /// When the job shards were read. Reports that arrived earlier settled no task.
     pub(super) loaded_at: Millis,
     pub(super) loaded: bool,
     pub(super) margin: Millis,
@@ -143,7 +148,7 @@
 }
 
 impl Cell {
-    /// Returns a cell that was just won; its workers are yet to be asked.
+    /// Returns a cell that this box has just become the owner of, without workers.
     pub fn new(name: Name, epoch: u64, now: Millis, policy: Policy, timings: Timings) -> Self {
         let random = Random::new(crate::utils::hash::stable(&[&name]) ^ epoch);
         Self {
@@ -178,22 +183,23 @@
         }
     }
 
-    /// Sets the list of the cell's workers and those drained by operators.
-    pub fn set_workers(&mut self, places: &[ListedWorker], drained: &BTreeSet<Name>) {
+    /// Updates the workers from the directory's list and the set of workers that operators
+    /// drained. A worker that is no longer listed stays while it has runs or requests.
+    pub fn set_workers(&mut self, list: &[ListedWorker], drained: &BTreeSet<Name>) {
         for worker in self.workers.values_mut() {
             worker.listed = false;
         }
-        for place in places.iter().filter(|p| p.cell == self.name) {
+        for listed in list.iter().filter(|p| p.cell == self.name) {
             let worker = self
                 .workers
-                .entry(place.name.clone())
-                .or_insert_with(|| Worker::new(place.name.clone(), place.http, place.rpc));
-            let moved = worker.rpc != place.rpc || worker.http != place.http;
+                .entry(listed.name.clone())
+                .or_insert_with(|| Worker::new(listed.name.clone(), listed.http, listed.rpc));
+            let moved = worker.rpc != listed.rpc || worker.http != listed.http;
             if moved && worker.runs.is_empty() && worker.requests.is_empty() {
-                *worker = Worker::new(place.name.clone(), place.http, place.rpc);
+                *worker = Worker::new(listed.name.clone(), listed.http, listed.rpc);
             }
             worker.listed = true;
-            worker.leaving = place.leaving || drained.contains(&place.name);
+            worker.leaving = listed.leaving || drained.contains(&listed.name);
         }
         self.workers
             .retain(|_, w| w.listed || !w.runs.is_empty() || !w.requests.is_empty());
@@ -211,25 +217,26 @@
         open.map(|w| u64::from(w.free_cores())).sum()
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of queued requests.
     pub fn queued_requests(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns true when no request waits or is in progress.
+    /// Returns true when nothing is queued or in progress: no request, no start or stop of a
+    /// run, no write or read of a job shard.
     pub fn is_idle(&self) -> bool {
         let sent = self.workers.values().any(|w| !w.requests.is_empty());
-        let calling = |w: &Worker| {
+        let has_calls = |w: &Worker| {
             let phases = w.runs.values().map(|r| r.phase);
             phases
                 .into_iter()
                 .any(|p| p == RunPhase::Starting || p == RunPhase::Stopping)
         };
-        let journal = self.shards.values().all(JobShard::is_settled);
-        self.queue.len() == 0 && !sent && journal && !self.workers.values().any(calling)
+        let settled = self.shards.values().all(JobShard::is_settled);
+        self.queue.len() == 0 && !sent && settled && !self.workers.values().any(has_calls)
     }
 
-    /// Returns what is due at `now`.
+    /// Returns the actions that are due at `now`, given in milliseconds and as `micros`.
     pub fn tick(&mut self, now: Millis, micros: u64) -> Vec<Action> {
         let mut actions = self.poll_workers(now);
         self.end_lapsed_runs(now);
@@ -241,6 +248,7 @@
         actions
     }
 
+    /// Polls the workers whose interval has passed.
     fn poll_workers(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         self.poll_round += 1;
@@ -256,7 +264,7 @@
             }
             worker.polling = true;
             worker.last_poll = Some(now);
-            // A silent worker's runs are left to lapse: it is asked, not renewed.
+            // The leases of a silent worker's runs are not renewed, so that they lapse.
             let renew = worker.responsive;
             if renew {
                 worker.renewal_sent = now;
@@ -272,25 +280,25 @@
         actions
     }
 
-    /// Takes in how an exchange ended. Returns true when a higher epoch rules the worker.
+    /// Handles the outcome of a poll. Returns true when the worker knows a higher epoch.
     pub fn finish_poll(
         &mut self,
         now: Millis,
         micros: u64,
         name: &Name,
-        asked: SentPoll,
-        exchange: PollOutcome,
+        poll: SentPoll,
+        outcome: PollOutcome,
     ) -> (bool, Vec<Action>) {
-        let SentPoll { sent, acks, .. } = asked;
+        let SentPoll { sent, acks, .. } = poll;
         let Some(worker) = self.workers.get_mut(name) else {
             return (false, Vec::new());
         };
         worker.polling = false;
         let renewing = std::mem::take(&mut worker.renewal_sent);
-        if !matches!(exchange, PollOutcome::NotSent) {
+        if !matches!(outcome, PollOutcome::NotSent) {
             worker.lease_renewed = worker.lease_renewed.max(renewing);
         }
-        let PollOutcome::Reply(reply) = exchange else {
+        let PollOutcome::Reply(reply) = outcome else {
             worker.acks.extend(acks);
             return (false, Vec::new());
         };
@@ -301,23 +309,23 @@
         if !worker.responsive || now >= worker.valid_until {
             worker.responsive_since = now;
         }
-        worker.valid_until = sent + self.timings.poll_interval * SILENT;
+        worker.valid_until = sent + self.timings.poll_interval * SILENT_POLLS;
         worker.responsive = true;
         worker.shape = reply.shape;
         worker.retiring = reply.leaving;
         worker.foreign_requests = reply.foreign_requests;
-        let gone: Vec<u64> = worker
+        let finished: Vec<u64> = worker
             .requests
             .iter()
-            .filter(|(ticket, a)| {
-                a.start_deadline.is_some_and(|g| sent > g) && !reply.tickets.contains(ticket)
+            .filter(|(ticket, r)| {
+                r.start_deadline.is_some_and(|at| sent > at) && !reply.tickets.contains(ticket)
             })
             .map(|(ticket, _)| *ticket)
             .collect();
-        for ticket in gone {
+        for ticket in finished {
             worker.remove_request(ticket);
         }
-        let missing = absent(worker, sent, self.margin, &reply.runs);
+        let missing = missing_runs(worker, sent, self.margin, &reply.runs);
         let mut actions = Vec::new();
         for id in missing {
             self.lose_run(now, name, id);
@@ -333,11 +341,12 @@
         (false, actions)
     }
 
+    /// Learns from the slowdowns and the use of cores that a worker reports.
     fn record_measurements(&mut self, name: &Name, reply: &PollReply) {
         for sample in &reply.samples {
             self.interference.learn(sample);
-            let slow = self.slowdowns.entry(name.clone()).or_insert(1.0);
-            *slow += SMOOTH * (sample.slowdown - *slow);
+            let slowdown = self.slowdowns.entry(name.clone()).or_insert(1.0);
+            *slowdown += SAMPLE_WEIGHT * (sample.slowdown - *slowdown);
         }
         if reply.runs.is_empty() {
             self.slowdowns.remove(name);
@@ -348,28 +357,28 @@
             }
             let ratio = f64::from(report.usage) / f64::from(report.size.cores);
             let factor = self.usage_factors.entry(report.kind.clone()).or_insert(1.0);
-            *factor += SMOOTH * (ratio - *factor);
+            *factor += SAMPLE_WEIGHT * (ratio - *factor);
         }
     }
 
-    /// Ends the runs of workers that can't have renewed them.
+    /// Ends the runs of silent workers whose leases have lapsed.
     ///
-    /// A start in doubt may lie unread before a worker that stands still, and
-    /// not all workers refuse it later: it is over only when the worker has
-    /// answered, or is gone from the list.
+    /// An unconfirmed start may still be unread at a worker that is suspended, and not all
+    /// workers refuse it later. It ends only when the worker has answered or is no longer
+    /// listed.
     fn end_lapsed_runs(&mut self, now: Millis) {
-        let span = self.timings.run_lease + self.timings.margin;
+        let lease = self.timings.run_lease + self.timings.margin;
         let mut lapsed: Vec<(Name, RunId)> = Vec::new();
         for worker in self.workers.values() {
-            // An earlier owner may have renewed them until this one won.
+            // An earlier owner may have renewed the leases until this box became the owner.
             let end = self
                 .hold_until
-                .max(worker.lease_renewed.max(worker.renewal_sent) + span);
+                .max(worker.lease_renewed.max(worker.renewal_sent) + lease);
             if worker.responsive || now <= end {
                 continue;
             }
-            let over = |r: &&Run| !worker.listed || !r.is_start_unconfirmed();
-            let runs = worker.runs.values().filter(over);
+            let ended = |r: &&Run| !worker.listed || !r.is_start_unconfirmed();
+            let runs = worker.runs.values().filter(ended);
             lapsed.extend(runs.map(|r| (worker.name.clone(), r.id)));
         }
         for (name, id) in lapsed {
@@ -378,18 +387,23 @@
     }
 }
 
-/// Returns runs that should be on the worker and are not, by an exchange that
-/// was sent at `sent`.
-fn absent(worker: &Worker, sent: Millis, margin: Millis, reports: &[RunReport]) -> Vec<RunId> {
+/// Returns the runs that are missing from a worker's answer to a poll sent at `sent`,
+/// although they must have started.
+fn missing_runs(
+    worker: &Worker,
+    sent: Millis,
+    margin: Millis,
+    reports: &[RunReport],
+) -> Vec<RunId> {
     let reported: BTreeSet<RunId> = reports.iter().map(|r| r.id).collect();
-    let gone = worker.runs.values().filter(|run| {
+    let missing = worker.runs.values().filter(|run| {
         let confirmed = match run.phase {
             RunPhase::Running | RunPhase::Stopping => run.phase_since < sent,
-            // What was sent before has taken effect by now, or never will.
+            // After this time a call sent earlier has either taken effect or never will.
             RunPhase::InDoubt => sent > run.phase_since.max(worker.responsive_since) + margin,
             RunPhase::Starting => false,
         };
         confirmed && !reported.contains(&run.id)
     });
-    gone.map(|run| run.id).collect()
+    missing.map(|run| run.id).collect()
 }
--- a/src/cell/writes.rs
+++ b/src/cell/writes.rs
@@ -1,14 +1,14 @@
-//! Records: the rows of changed job shards, and what their writes settle.
+//! Writes the rows of changed job shards and handles the outcomes.
 
 use super::Action;
-use super::shard::{PendingWrite, TaskState, end_waiting};
+use super::shard::{PendingWrite, TaskState, cancel_waiting};
 use super::state::Cell;
 use crate::job::VersionedShard;
 use crate::lease::WriteOutcome;
 use crate::utils::Name;
 
 impl Cell {
-    /// Writes the rows of changed job shards.
+    /// Returns the writes of changed job shards. A shard has at most one write in progress.
     pub fn write_shards(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.loaded {
@@ -22,7 +22,7 @@
             shard.row.epoch = self.epoch;
             shard.row.seq += 1;
             let recorded = shard.states.iter().enumerate();
-            let recorded = recorded.filter(|(_, l)| **l == TaskState::Recording);
+            let recorded = recorded.filter(|(_, s)| **s == TaskState::Recording);
             shard.pending_write = Some(PendingWrite {
                 seq: shard.row.seq,
                 recorded: recorded.map(|(i, _)| i).collect(),
@@ -37,12 +37,13 @@
         actions
     }
 
-    /// Takes in how the write of a job shard's row ended.
-    pub fn finish_write(&mut self, key: &Name, written: WriteOutcome) {
+    /// Handles the outcome of a write. After a conflict or without an answer, the row must be
+    /// read.
+    pub fn finish_write(&mut self, key: &Name, outcome: WriteOutcome) {
         let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
-        match written {
+        match outcome {
             WriteOutcome::Committed => {
                 shard.version += 1;
                 self.confirm_write(key);
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Takes in a job shard's row as read after a write in doubt.
+    /// Resolves a write in doubt by the row that was read after it: the write succeeded when
+    /// the row has its epoch and sequence number.
     pub fn resolve_write(&mut self, key: &Name, row: Option<&VersionedShard>) {
         let Some(shard) = self.shards.get_mut(key) else {
             return;
@@ -70,23 +72,25 @@
         }
     }
 
+    /// Lets recorded tasks start again and acknowledges recorded ends to workers. Removes
+    /// the shard when all of its tasks have ended.
     fn confirm_write(&mut self, key: &Name) {
         let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
-        let Some(writing) = shard.pending_write.take() else {
+        let Some(write) = shard.pending_write.take() else {
             return;
         };
-        for index in writing.recorded {
+        for index in write.recorded {
             if shard.states[index] == TaskState::Recording {
                 shard.states[index] = TaskState::Waiting;
             }
         }
         if shard.cancelled {
-            end_waiting(shard);
+            cancel_waiting(shard);
         }
         let ended = shard.is_ended();
-        for (name, id) in writing.acks {
+        for (name, id) in write.acks {
             if let Some(worker) = self.workers.get_mut(&name) {
                 worker.acks.push(id);
             }
@@ -96,12 +100,13 @@
         }
     }
 
+    /// Marks the shard as changed again after a write that had no effect.
     fn retry_write(&mut self, key: &Name) {
         let Some(shard) = self.shards.get_mut(key) else {
             return;
         };
-        if let Some(writing) = shard.pending_write.take() {
-            shard.acks.extend(writing.acks);
+        if let Some(write) = shard.pending_write.take() {
+            shard.acks.extend(write.acks);
             shard.dirty = true;
         }
     }
