--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -54,7 +54,7 @@
     log::info!(target: "daemon", "event=start box={} life={incarnation} web={} rpc={}", settings.name, settings.web, settings.rpc);
     let limits = settings.limits;
     let drain_limit = settings
-        .stop
+        .stop_timeout
         .saturating_sub(LEAVE_DELAY.as_millis() as Millis);
     let (owner_sender, messages) = mpsc::unbounded();
     let (check_sender, checks) = mpsc::unbounded();
@@ -144,5 +144,5 @@
     let cores_changed = settings.cores != old.cores;
     let restart_needed = addresses_changed || cores_changed;
     log::info!(target: "daemon", "event=reload addresses_changed={addresses_changed} cores_changed={cores_changed} restart_needed={restart_needed}");
-    shared.set_owner_settings(settings.bounds);
+    shared.set_owner_settings(settings.owner);
 }
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -100,9 +100,9 @@
     ) -> Self {
         Self {
             store: Store::new(settings.store),
-            workers: Workers::new(settings.idle),
+            workers: Workers::new(settings.idle_connections),
             advisor: Advisor::new(settings.advisor),
-            owner_settings: Cell::new(settings.bounds),
+            owner_settings: Cell::new(settings.owner),
             settings,
             incarnation,
             owner_sender,
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -23,7 +23,7 @@
 use crate::config::Config;
 use crate::dedup::DedupTimings;
 use crate::lease::LeaseTimings;
-use crate::options::Pace;
+use crate::options::Intervals;
 use crate::request::Meta;
 use crate::route::CellLoad;
 use crate::table::{Call, Outcome};
@@ -47,7 +47,7 @@
     /// Lease and promises.
     pub lease_timings: LeaseTimings,
     /// Intervals.
-    pub pace: Pace,
+    pub intervals: Intervals,
     /// Decisions about requests and tasks.
     pub policy: crate::cell::Policy,
     /// Retention and clock skew of deduplication.
--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -162,7 +162,7 @@
     }
 
     pub(super) fn poll_workers(&mut self, now: Now, out: &mut Vec<Action>) {
-        let interval = self.settings.pace.poll;
+        let interval = self.settings.intervals.poll;
         let due = self.listed_at.is_none_or(|at| now.millis >= at + interval);
         if due && !self.listing {
             self.listing = true;
--- a/src/engine/config_sync.rs
+++ b/src/engine/config_sync.rs
@@ -17,7 +17,7 @@
 impl Engine {
     /// Reads the head row when that is due.
     pub(super) fn poll_config(&mut self, now: Now, out: &mut Vec<Action>) {
-        let interval = self.settings.pace.poll;
+        let interval = self.settings.intervals.poll;
         let due = self.polled_at.is_none_or(|at| now.millis >= at + interval);
         if due && !self.polling {
             self.polling = true;
@@ -146,7 +146,7 @@
             return;
         }
         self.polled_at = None;
-        let patience = self.settings.pace.poll * MAX_SILENT_POLLS;
+        let patience = self.settings.intervals.poll * MAX_SILENT_POLLS;
         let silent = now.millis >= self.answered_at + patience;
         let due = self
             .snapshot_at
--- a/src/engine/job_shards.rs
+++ b/src/engine/job_shards.rs
@@ -19,7 +19,7 @@
 impl Engine {
     /// Commits changed job shards of all cells in one group.
     pub(super) fn write_job_shards(&mut self, now: Now, out: &mut Vec<Action>) {
-        if now.millis < self.flushed_at + self.settings.pace.journal {
+        if now.millis < self.flushed_at + self.settings.intervals.journal {
             return;
         }
         self.flushed_at = now.millis;
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -16,7 +16,9 @@
 
 impl Engine {
     pub(super) fn tick_lease(&mut self, now: Now, out: &mut Vec<Action>) {
-        let actions = self.lease.tick(now.millis, self.settings.pace.heartbeat);
+        let actions = self
+            .lease
+            .tick(now.millis, self.settings.intervals.heartbeat);
         self.apply_lease_actions(now, actions, out);
     }
 
@@ -82,7 +84,7 @@
         let lease = &self.lease;
         let me = lease.id().clone();
         let gone = |owner: &Name| *owner != me && lease.other_box(owner).is_none();
-        let interval = self.settings.pace.poll;
+        let interval = self.settings.intervals.poll;
         let actions = self.claims.tick(now.millis, interval, gone);
         for action in actions {
             self.apply_claim_action(now, action, out);
@@ -154,11 +156,11 @@
             self.dedup_shards.insert(cell, shard);
             return;
         }
-        let pace = self.settings.pace;
+        let intervals = self.settings.intervals;
         let times = Timings {
-            run_lease: pace.task,
+            run_lease: intervals.task_lease,
             margin: self.settings.lease_timings.margin,
-            poll_interval: pace.sync,
+            poll_interval: intervals.worker_poll,
         };
         let policy = self.settings.policy.clone();
         let mut won = Cell::new(cell.clone(), epoch, now.millis, policy, times);
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -13,7 +13,7 @@
 impl Engine {
     /// Greets the other boxes when that is due.
     pub(super) fn greet_peers(&mut self, now: Now, out: &mut Vec<Action>) {
-        let interval = self.settings.pace.heartbeat;
+        let interval = self.settings.intervals.heartbeat;
         let others: Vec<(Name, _)> = self
             .lease
             .other_boxes()
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -199,7 +199,7 @@
     }
 
     fn tick(&mut self, now: Now, out: &mut Vec<Action>) {
-        let pace = self.settings.pace;
+        let intervals = self.settings.intervals;
         self.tick_lease(now, out);
         self.poll_workers(now, out);
         self.poll_config(now, out);
@@ -215,7 +215,7 @@
         self.rescan_due_cells(now, out);
         self.read_jobs(now, out);
         self.report_own_loads(now.millis);
-        let oldest = now.millis.saturating_sub(pace.heartbeat * LOAD_EXPIRY);
+        let oldest = now.millis.saturating_sub(intervals.heartbeat * LOAD_EXPIRY);
         self.router.forget_before(oldest);
         self.finish_stop(now, out);
     }
@@ -242,11 +242,12 @@
             self.idle_since = None;
         }
         let idle = *self.idle_since.get_or_insert(now.millis);
-        let quiet = !busy && now.millis >= idle + self.settings.pace.heartbeat * LINGER_HEARTBEATS;
-        let over = now.millis >= since + self.settings.pace.stop;
+        let quiet =
+            !busy && now.millis >= idle + self.settings.intervals.heartbeat * LINGER_HEARTBEATS;
+        let over = now.millis >= since + self.settings.intervals.stop_timeout;
         if (quiet || over) && !self.exited {
             self.exited = true;
-            let end = since + self.settings.pace.stop;
+            let end = since + self.settings.intervals.stop_timeout;
             let within = end.saturating_sub(now.millis).max(MIN_DRAIN);
             out.push(Action::Exit { within });
         }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -43,7 +43,7 @@
         rpc: settings.rpc,
         hall: settings.hall.clone(),
         lease_timings: settings.lease_timings,
-        pace: settings.pace,
+        intervals: settings.intervals,
         policy: settings.policy.clone(),
         dedup_timings: DedupTimings::default(),
     });
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -56,7 +56,7 @@
         .and_then(trace::Context::parse);
     given.unwrap_or_else(|| {
         let draw = crate::utils::hash::mix(clock::micros()) as f64 / u64::MAX as f64;
-        trace::Context::new(draw < context.settings.sample)
+        trace::Context::new(draw < context.settings.trace_share)
     })
 }
 
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -143,7 +143,7 @@
 ) -> Option<(Greeting, bool)> {
     let message = convert::to_greeting(greeting);
     let call = |c| async move { PeerClient::new(c).greet(message).await };
-    let limit = context.settings.pace.heartbeat.max(100);
+    let limit = context.settings.intervals.heartbeat.max(100);
     let reply = context.channel(rpc).call(limit, call).await.ok()?;
     let greeting = convert::greeting(reply.greeting?).ok()?;
     Some((greeting, reply.promised))
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -117,7 +117,7 @@
         let limit = settings.limits.body + settings.limits.head;
         Self {
             pool: Pool::new(limit),
-            store: store::Store::new(settings.platform, settings.patience),
+            store: store::Store::new(settings.platform, settings.call_timeout),
             channels: Default::default(),
             fence: Cell::new(0),
             settings,
--- a/src/entry/workers.rs
+++ b/src/entry/workers.rs
@@ -85,7 +85,7 @@
     /// Returns the milliseconds since the epoch beyond which a call is void:
     /// with the lease, and before the owner takes a lost start to be over.
     fn not_after(&self) -> Millis {
-        let task = self.context.settings.pace.task;
+        let task = self.context.settings.intervals.task_lease;
         clock::wall() + self.context.left().min(task)
     }
 
@@ -101,7 +101,7 @@
 }
 
 async fn sync(place: Place, acks: Vec<RunId>, renew: bool, round: u64) -> WorkerCallOutcome {
-    let task = place.context.settings.pace.task;
+    let task = place.context.settings.intervals.task_lease;
     let sent = clock::now();
     let request = proto::SyncRequest {
         cell: place.cell.to_string(),
@@ -135,7 +135,7 @@
     let request = proto::StartRequest {
         cell: place.cell.to_string(),
         epoch: place.epoch,
-        lease: place.context.settings.pace.task,
+        lease: place.context.settings.intervals.task_lease,
         run: run.id,
         job: run.job.to_string(),
         task: run.task,
--- a/src/options.rs
+++ b/src/options.rs
@@ -23,9 +23,9 @@
 /// Checks a settings file of either kind of daemon: one that names a store is
 /// for a box on the platform.
 pub fn check_file(path: &str) -> Result<(), Vec<Finding>> {
-    let text = entry::text(path)?;
+    let text = entry::read_file(path)?;
     let mut reader = reader::Reader::new(path, &text).map_err(|f| vec![f])?;
-    match reader.has("platform.store") {
+    match reader.contains("platform.store") {
         true => daemon::parse(path, &text).map(drop),
         false => entry::parse(path, &text).map(drop),
     }
@@ -47,34 +47,34 @@
     /// Address of the platform's RPC.
     pub platform: SocketAddr,
     /// Bound of one call to the platform, in milliseconds.
-    pub patience: Millis,
+    pub call_timeout: Millis,
     /// Lease of the box and promises.
     pub lease_timings: LeaseTimings,
     /// Times of the control work.
-    pub pace: Pace,
+    pub intervals: Intervals,
     /// Bounds for callers' requests.
     pub limits: Limits,
     /// Decisions about requests and tasks.
     pub policy: Policy,
     /// Part of requests without a trace context that are traced, from 0 to 1.
-    pub sample: f64,
+    pub trace_share: f64,
     /// Logs.
     pub logs: Logs,
 }
 
-/// Intervals of the control work, in milliseconds.
+/// Intervals and timeouts of background work, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Intervals {
     /// Between two greetings to the same box.
     pub heartbeat: Millis,
     /// Between two reads of the table's head rows.
     pub poll: Millis,
     /// Between two exchanges with the same worker.
-    pub sync: Millis,
+    pub worker_poll: Millis,
     /// Between two commits of the journal.
     pub journal: Millis,
     /// Lease of tasks on workers.
-    pub task: Millis,
+    pub task_lease: Millis,
     /// Longest wait of a planned stop for what is in progress.
-    pub stop: Millis,
+    pub stop_timeout: Millis,
 }
--- a/src/options/check.rs
+++ b/src/options/check.rs
@@ -6,12 +6,12 @@
 use super::{Settings, daemon};
 
 /// Records a finding for each pair of settings that do not fit together.
-pub fn settings(settings: &Settings, reader: &mut Reader) {
-    addresses(settings, reader);
-    let (lease_timings, pace) = (settings.lease_timings, settings.pace);
-    let mut check = |holds: bool, key: &str, wrong: &str, right: &str| {
+pub fn entry(settings: &Settings, reader: &mut Reader) {
+    check_addresses(settings, reader);
+    let (lease_timings, intervals) = (settings.lease_timings, settings.intervals);
+    let mut check = |holds: bool, key: &str, problem: &str, hint: &str| {
         if !holds {
-            reader.find(key, wrong, right);
+            reader.report(key, problem, hint);
         }
     };
     check(
@@ -27,19 +27,19 @@
         "make it smaller, or the lease longer",
     );
     check(
-        pace.heartbeat * 3 <= lease_timings.promise,
+        intervals.heartbeat * 3 <= lease_timings.promise,
         "pace.heartbeat",
         "is more than a third of lease.promise",
         "make it smaller, or the promise longer",
     );
     check(
-        pace.sync * 3 <= pace.task,
+        intervals.worker_poll * 3 <= intervals.task_lease,
         "pace.sync",
         "is more than a third of pace.task",
         "make it smaller, or the task lease longer",
     );
     check(
-        settings.patience < lease_timings.length,
+        settings.call_timeout < lease_timings.length,
         "platform.patience",
         "is not below lease.length",
         "make it smaller, or the lease longer",
@@ -57,50 +57,46 @@
     ];
     all.extend(settings.metrics.map(|a| ("box.metrics", a)));
     all.extend(settings.advisor.map(|a| ("platform.advisor", a)));
-    distinct(&all, reader);
-    reachable(&[all[1], all[3]], reader);
-    if settings.bounds.max_unconfirmed < settings.bounds.lease_length {
-        let wrong = "is below workers.lease";
-        let right = "make it longer, or the lease shorter";
-        reader.find("workers.unconfirmed", wrong, right);
+    check_distinct(&all, reader);
+    check_reachable(&[all[1], all[3]], reader);
+    if settings.owner.max_unconfirmed < settings.owner.lease_length {
+        let problem = "is below workers.lease";
+        let hint = "make it longer, or the lease shorter";
+        reader.report("workers.unconfirmed", problem, hint);
     }
 }
 
-fn addresses(settings: &Settings, reader: &mut Reader) {
+fn check_addresses(settings: &Settings, reader: &mut Reader) {
     let all = [
         ("box.web", settings.web),
         ("box.rpc", settings.rpc),
         ("box.admin", settings.admin),
         ("platform.rpc", settings.platform),
     ];
-    distinct(&all, reader);
-    reachable(&[all[1], all[3]], reader);
+    check_distinct(&all, reader);
+    check_reachable(&[all[1], all[3]], reader);
 }
 
 /// Records a finding for each address that stands twice or has no port.
-fn distinct(all: &[(&str, SocketAddr)], reader: &mut Reader) {
+fn check_distinct(all: &[(&str, SocketAddr)], reader: &mut Reader) {
     for (i, (key, address)) in all.iter().enumerate() {
         if address.port() == 0 && !address.ip().is_unspecified() {
-            reader.find(key, "has port 0", "give a port from 1 to 65535");
+            reader.report(key, "has port 0", "give a port from 1 to 65535");
         }
         let twin = all[..i].iter().find(|(_, a)| a == address && a.port() != 0);
         if let Some((other, _)) = twin {
-            let wrong = format!("clashes with {other} ({address})");
-            reader.find(key, wrong, "give each its own address");
+            let problem = format!("clashes with {other} ({address})");
+            reader.report(key, problem, "give each its own address");
         }
     }
 }
 
 /// Records a finding for each address that no other box can reach.
-fn reachable(all: &[(&str, SocketAddr)], reader: &mut Reader) {
+fn check_reachable(all: &[(&str, SocketAddr)], reader: &mut Reader) {
     for (key, address) in all {
         if address.ip().is_unspecified() && address.port() != 0 {
-            let right = "give the number that other boxes can reach";
-            reader.find(
-                key,
-                format!("`{address}` can't be reached by others"),
-                right,
-            );
+            let hint = "give the number that other boxes can reach";
+            reader.report(key, format!("`{address}` can't be reached by others"), hint);
         }
     }
 }
--- a/src/options/entry.rs
+++ b/src/options/entry.rs
@@ -3,7 +3,7 @@
 use log::LevelFilter;
 
 use super::reader::{Finding, Reader};
-use super::{Pace, Settings, check};
+use super::{Intervals, Settings, check};
 use crate::cell::Policy;
 use crate::lease::LeaseTimings;
 use crate::logs::{Format, Logs};
@@ -14,18 +14,18 @@
 
 /// Reads and checks a settings file; all findings are reported together.
 pub fn load(path: &str) -> Result<Settings, Vec<Finding>> {
-    parse(path, &text(path)?)
+    parse(path, &read_file(path)?)
 }
 
 /// Reads the text of a settings file.
-pub(super) fn text(path: &str) -> Result<String, Vec<Finding>> {
+pub(super) fn read_file(path: &str) -> Result<String, Vec<Finding>> {
     std::fs::read_to_string(path).map_err(|e| {
         vec![Finding {
             file: path.into(),
             line: 1,
             key: "(file)".into(),
-            wrong: format!("cannot be read: {e}"),
-            right: "name a readable file".into(),
+            problem: format!("cannot be read: {e}"),
+            hint: "name a readable file".into(),
         }]
     })
 }
@@ -40,15 +40,15 @@
         rpc: reader.address("box.rpc"),
         admin: reader.address("box.admin"),
         platform: reader.address("platform.rpc"),
-        patience: reader.duration("platform.patience", 2_000, 10..=MINUTE),
+        call_timeout: reader.duration("platform.patience", 2_000, 10..=MINUTE),
         lease_timings: lease_timings(&mut reader),
-        pace: pace(&mut reader),
+        intervals: intervals(&mut reader),
         limits: limits(&mut reader),
         policy: policy(&mut reader),
-        sample: reader.fraction("trace.sample", 0.01),
+        trace_share: reader.fraction("trace.sample", 0.01),
         logs: logs(&mut reader),
     };
-    check::settings(&settings, &mut reader);
+    check::entry(&settings, &mut reader);
     let findings = reader.finish();
     match findings.is_empty() {
         true => Ok(settings),
@@ -66,14 +66,14 @@
     }
 }
 
-fn pace(reader: &mut Reader) -> Pace {
-    Pace {
+fn intervals(reader: &mut Reader) -> Intervals {
+    Intervals {
         heartbeat: reader.duration("pace.heartbeat", 1_000, 20..=MINUTE),
         poll: reader.duration("pace.poll", 1_000, 20..=MINUTE),
-        sync: reader.duration("pace.sync", 1_000, 20..=MINUTE),
+        worker_poll: reader.duration("pace.sync", 1_000, 20..=MINUTE),
         journal: reader.duration("pace.journal", 300, 20..=MINUTE),
-        task: reader.duration("pace.task", 10_000, 200..=HOUR),
-        stop: reader.duration("pace.stop", 30_000, 0..=HOUR),
+        task_lease: reader.duration("pace.task", 10_000, 200..=HOUR),
+        stop_timeout: reader.duration("pace.stop", 30_000, 0..=HOUR),
     }
 }
 
@@ -106,21 +106,21 @@
 }
 
 pub(super) fn logs(reader: &mut Reader) -> Logs {
-    let format = match reader.text("log.format", Some("json")).as_str() {
+    let format = match reader.string("log.format", Some("json")).as_str() {
         "json" => Format::Json,
         "text" => Format::Text,
         other => {
-            let wrong = format!("`{other}` is no format");
-            reader.find("log.format", wrong, "write \"json\" or \"text\"");
+            let problem = format!("`{other}` is no format");
+            reader.report("log.format", problem, "write \"json\" or \"text\"");
             Format::Json
         }
     };
-    let text = reader.text("log.level", Some("info"));
-    let level = level(reader, "log.level", &text);
+    let text = reader.string("log.level", Some("info"));
+    let level = parse_level(reader, "log.level", &text);
     let mut modules = Vec::new();
-    for (module, text) in reader.texts("log.modules") {
+    for (module, text) in reader.strings("log.modules") {
         let key = format!("log.modules.{module}");
-        modules.push((module, self::level(reader, &key, &text)));
+        modules.push((module, parse_level(reader, &key, &text)));
     }
     Logs {
         format,
@@ -129,10 +129,10 @@
     }
 }
 
-fn level(reader: &mut Reader, key: &str, text: &str) -> LevelFilter {
+fn parse_level(reader: &mut Reader, key: &str, text: &str) -> LevelFilter {
     text.parse().unwrap_or_else(|_| {
-        let wrong = format!("`{text}` is no level");
-        reader.find(key, wrong, "write off, error, warn, info, debug or trace");
+        let problem = format!("`{text}` is no level");
+        reader.report(key, problem, "write off, error, warn, info, debug or trace");
         LevelFilter::Info
     })
 }
--- a/src/options/reader.rs
+++ b/src/options/reader.rs
@@ -8,7 +8,7 @@
 
 use crate::utils::clock::Millis;
 
-/// Something wrong in a settings file.
+/// A problem in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// Name of the file.
@@ -17,10 +17,10 @@
     pub line: usize,
     /// Key with its section, such as `lease.length`.
     pub key: String,
-    /// What is wrong.
-    pub wrong: String,
-    /// What would be right.
-    pub right: String,
+    /// What is wrong with the value.
+    pub problem: String,
+    /// How to correct it.
+    pub hint: String,
 }
 
 impl std::fmt::Display for Finding {
@@ -29,15 +29,15 @@
             file,
             line,
             key,
-            wrong,
-            right,
+            problem,
+            hint,
         } = self;
-        write!(f, "{file}:{line}: {key}: {wrong}; {right}")
+        write!(f, "{file}:{line}: {key}: {problem}; {hint}")
     }
 }
 
-const DURATIONS: [(&str, u64); 4] = [("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
-const SIZES: [(&str, u64); 4] = [
+const DURATION_UNITS: [(&str, u64); 4] = [("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
+const SIZE_UNITS: [(&str, u64); 4] = [
     ("KiB", 1 << 10),
     ("MiB", 1 << 20),
     ("GiB", 1 << 30),
@@ -49,7 +49,7 @@
     file: &'a str,
     text: &'a str,
     document: Document<&'a str>,
-    asked: BTreeSet<String>,
+    known_keys: BTreeSet<String>,
     /// What was found so far.
     pub findings: Vec<Finding>,
 }
@@ -59,40 +59,40 @@
     pub fn new(file: &'a str, text: &'a str) -> Result<Self, Finding> {
         let document = Document::parse(text).map_err(|e| Finding {
             file: file.into(),
-            line: line(text, e.span().map_or(0, |s| s.start)),
+            line: line_number(text, e.span().map_or(0, |s| s.start)),
             key: "(file)".into(),
-            wrong: e.message().to_string(),
-            right: "write valid TOML".into(),
+            problem: e.message().to_string(),
+            hint: "write valid TOML".into(),
         })?;
         Ok(Self {
             file,
             text,
             document,
-            asked: BTreeSet::new(),
+            known_keys: BTreeSet::new(),
             findings: Vec::new(),
         })
     }
 
     /// Records a finding at a key.
-    pub fn find(&mut self, key: &str, wrong: impl Into<String>, right: impl Into<String>) {
+    pub fn report(&mut self, key: &str, problem: impl Into<String>, hint: impl Into<String>) {
         let start = self.span(key);
         self.findings.push(Finding {
             file: self.file.into(),
-            line: line(self.text, start),
+            line: line_number(self.text, start),
             key: key.into(),
-            wrong: wrong.into(),
-            right: right.into(),
+            problem: problem.into(),
+            hint: hint.into(),
         });
     }
 
     /// Returns a text, or a finding when it is required and absent.
-    pub fn text(&mut self, key: &str, default: Option<&str>) -> String {
+    pub fn string(&mut self, key: &str, default: Option<&str>) -> String {
         let Some(item) = self.item(key) else {
-            return self.absent(key, default, "a text");
+            return self.default_or_missing(key, default, "a text");
         };
         let Some(text) = item.as_str().map(str::to_string) else {
             let got = item.type_name();
-            self.find(key, format!("is a {got}"), "write a text in quotes");
+            self.report(key, format!("is a {got}"), "write a text in quotes");
             return default.unwrap_or_default().into();
         };
         text
@@ -100,10 +100,10 @@
 
     /// Returns a name: letters, digits, `-`, `_` and `.`.
     pub fn name(&mut self, key: &str) -> String {
-        let text = self.text(key, None);
+        let text = self.string(key, None);
         if !text.is_empty() && !is_name(&text) {
-            let right = "use letters, digits, '-', '_' and '.', at most 128";
-            self.find(key, format!("`{text}` is no name"), right);
+            let hint = "use letters, digits, '-', '_' and '.', at most 128";
+            self.report(key, format!("`{text}` is no name"), hint);
         }
         text
     }
@@ -111,19 +111,19 @@
     /// Returns a socket address given by IP number and port.
     pub fn address(&mut self, key: &str) -> SocketAddr {
         let none = SocketAddr::from(([0, 0, 0, 0], 0));
-        let text = self.text(key, None);
+        let text = self.string(key, None);
         if text.is_empty() {
             return none;
         }
         text.parse().unwrap_or_else(|_| {
-            let right = "write IP:port, for example \"10.0.0.1:8080\"";
-            self.find(key, format!("`{text}` is no address"), right);
+            let hint = "write IP:port, for example \"10.0.0.1:8080\"";
+            self.report(key, format!("`{text}` is no address"), hint);
             none
         })
     }
 
     /// Returns true when a key is there.
-    pub fn has(&mut self, key: &str) -> bool {
+    pub fn contains(&mut self, key: &str) -> bool {
         self.item(key).is_some()
     }
 
@@ -140,14 +140,14 @@
         default: Millis,
         range: RangeInclusive<Millis>,
     ) -> Millis {
-        let right = "write a number with ms, s, m or h, for example \"500ms\"";
-        self.quantity(key, default, range, &DURATIONS, right)
+        let hint = "write a number with ms, s, m or h, for example \"500ms\"";
+        self.quantity(key, default, range, &DURATION_UNITS, hint)
     }
 
     /// Returns a size in bytes, written with its unit.
     pub fn size(&mut self, key: &str, default: u64, range: RangeInclusive<u64>) -> u64 {
-        let right = "write a number with B, KiB, MiB or GiB, for example \"16KiB\"";
-        self.quantity(key, default, range, &SIZES, right)
+        let hint = "write a number with B, KiB, MiB or GiB, for example \"16KiB\"";
+        self.quantity(key, default, range, &SIZE_UNITS, hint)
     }
 
     /// Returns a whole number.
@@ -160,11 +160,11 @@
         match value {
             Some(value) if range.contains(&value) => value,
             Some(value) => {
-                self.outside(key, &value.to_string(), &range);
+                self.report_out_of_range(key, &value.to_string(), &range);
                 default
             }
             None => {
-                self.find(
+                self.report(
                     key,
                     format!("is no whole number ({got})"),
                     "write a number from 0",
@@ -180,7 +180,7 @@
             return default;
         };
         item.as_bool().unwrap_or_else(|| {
-            self.find(key, "is neither true nor false", "write true or false");
+            self.report(key, "is neither true nor false", "write true or false");
             default
         })
     }
@@ -199,20 +199,20 @@
         match item.as_float().or(whole) {
             Some(value) if range.contains(&value) => value,
             _ => {
-                let right = format!("write a number from {} to {}", range.start(), range.end());
-                self.find(key, "is no number in range", right);
+                let hint = format!("write a number from {} to {}", range.start(), range.end());
+                self.report(key, "is no number in range", hint);
                 default
             }
         }
     }
 
     /// Returns the entries of a table of texts.
-    pub fn texts(&mut self, key: &str) -> Vec<(String, String)> {
+    pub fn strings(&mut self, key: &str) -> Vec<(String, String)> {
         let Some(item) = self.item(key) else {
             return Vec::new();
         };
         let Some(table) = item.as_table_like() else {
-            self.find(
+            self.report(
                 key,
                 "is no table",
                 "write `module = \"level\"` lines under it",
@@ -224,26 +224,29 @@
             .map(|(name, value)| (name.to_string(), value.as_str().unwrap_or("").to_string()))
             .collect();
         for (name, _) in &entries {
-            self.asked.insert(format!("{key}.{name}"));
+            self.known_keys.insert(format!("{key}.{name}"));
         }
         entries
     }
 
-    /// Records a finding for each key that nobody asked for.
+    /// Records a finding for each key that no setting has.
     pub fn finish(mut self) -> Vec<Finding> {
         let mut keys = Vec::new();
-        collect(self.document.as_table(), "", &mut keys);
+        collect_keys(self.document.as_table(), "", &mut keys);
         for key in keys {
-            let known = self.asked.contains(&key);
-            let section = self.asked.iter().any(|a| a.starts_with(&format!("{key}.")));
+            let known = self.known_keys.contains(&key);
+            let section = self
+                .known_keys
+                .iter()
+                .any(|a| a.starts_with(&format!("{key}.")));
             if known || section {
                 continue;
             }
-            let right = match nearest(&key, &self.asked) {
+            let hint = match nearest_key(&key, &self.known_keys) {
                 Some(near) => format!("did you mean `{near}`?"),
                 None => "remove it".into(),
             };
-            self.find(&key, "unknown key", right);
+            self.report(&key, "unknown key", hint);
         }
         self.findings.sort_by_key(|f| f.line);
         self.findings
@@ -255,7 +258,7 @@
         default: u64,
         range: RangeInclusive<u64>,
         units: &[(&str, u64)],
-        right: &str,
+        hint: &str,
     ) -> u64 {
         let Some(item) = self.item(key) else {
             return default;
@@ -263,44 +266,44 @@
         let text = match item.as_str() {
             Some(text) => text.to_string(),
             None => {
-                self.find(key, "has no unit", right);
+                self.report(key, "has no unit", hint);
                 return default;
             }
         };
-        match parse(&text, units) {
+        match parse_quantity(&text, units) {
             Some(value) if range.contains(&value) => value,
             Some(_) => {
-                self.outside(key, &text, &range);
+                self.report_out_of_range(key, &text, &range);
                 default
             }
             None => {
-                self.find(
+                self.report(
                     key,
                     format!("`{text}` is no quantity with a known unit"),
-                    right,
+                    hint,
                 );
                 default
             }
         }
     }
 
-    fn outside(&mut self, key: &str, got: &str, range: &RangeInclusive<u64>) {
-        let right = format!("write a value from {} to {}", range.start(), range.end());
-        self.find(key, format!("`{got}` is out of range"), right);
+    fn report_out_of_range(&mut self, key: &str, got: &str, range: &RangeInclusive<u64>) {
+        let hint = format!("write a value from {} to {}", range.start(), range.end());
+        self.report(key, format!("`{got}` is out of range"), hint);
     }
 
-    fn absent(&mut self, key: &str, default: Option<&str>, kind: &str) -> String {
+    fn default_or_missing(&mut self, key: &str, default: Option<&str>, kind: &str) -> String {
         match default {
             Some(default) => default.into(),
             None => {
-                self.find(key, "is missing", format!("add {kind}"));
+                self.report(key, "is missing", format!("add {kind}"));
                 String::new()
             }
         }
     }
 
     fn item(&mut self, key: &str) -> Option<Item> {
-        self.asked.insert(key.to_string());
+        self.known_keys.insert(key.to_string());
         lookup(self.document.as_item(), key).cloned()
     }
 
@@ -326,7 +329,7 @@
     fits && text.bytes().all(plain)
 }
 
-fn parse(text: &str, units: &[(&str, u64)]) -> Option<u64> {
+fn parse_quantity(text: &str, units: &[(&str, u64)]) -> Option<u64> {
     let split = text.find(|c: char| !c.is_ascii_digit())?;
     let (number, unit) = text.split_at(split);
     let scale = units.iter().find(|(name, _)| *name == unit.trim())?.1;
@@ -337,20 +340,20 @@
     key.split('.').try_fold(root, |item, part| item.get(part))
 }
 
-fn collect(table: &Table, prefix: &str, keys: &mut Vec<String>) {
+fn collect_keys(table: &Table, prefix: &str, keys: &mut Vec<String>) {
     for (name, item) in table.iter() {
         let key = match prefix {
             "" => name.to_string(),
             _ => format!("{prefix}.{name}"),
         };
         match item.as_table() {
-            Some(inner) => collect(inner, &key, keys),
+            Some(inner) => collect_keys(inner, &key, keys),
             None => keys.push(key),
         }
     }
 }
 
-fn line(text: &str, offset: usize) -> usize {
+fn line_number(text: &str, offset: usize) -> usize {
     let end = offset.min(text.len());
     1 + text.as_bytes()[..end]
         .iter()
@@ -359,15 +362,15 @@
 }
 
 /// Largest edit distance at which a known key is proposed for an unknown one.
-const NEAR: usize = 3;
+const MAX_TYPO_DISTANCE: usize = 3;
 
-fn nearest(key: &str, known: &BTreeSet<String>) -> Option<String> {
-    let scored = known.iter().map(|k| (distance(key, k), k));
+fn nearest_key(key: &str, known: &BTreeSet<String>) -> Option<String> {
+    let scored = known.iter().map(|k| (edit_distance(key, k), k));
     let (distance, near) = scored.min()?;
-    (distance <= NEAR).then(|| near.clone())
+    (distance <= MAX_TYPO_DISTANCE).then(|| near.clone())
 }
 
-fn distance(a: &str, b: &str) -> usize {
+fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, ca) in a.chars().enumerate() {
--- a/src/options/tests.rs
+++ b/src/options/tests.rs
@@ -37,7 +37,7 @@
     assert!(got.contains(&(9, "lease.margin")), "{got:?}");
     assert!(got.iter().any(|(_, key)| *key == "platform.rpc"), "{got:?}");
     let typo = findings.iter().find(|f| f.key == "lease.lenght").unwrap();
-    assert_eq!(typo.right, "did you mean `lease.length`?");
+    assert_eq!(typo.hint, "did you mean `lease.length`?");
 }
 
 #[test]
@@ -114,13 +114,16 @@
         let settings = daemon::parse("settings.conf", &text).expect("no findings");
         assert_eq!(settings.advisor.map(|a| a.port()), port);
         assert_eq!(
-            (&*settings.name, settings.bounds.lease_length),
+            (&*settings.name, settings.owner.lease_length),
             ("front-1", 4_000)
         );
         let over = if port.is_some() { 4_500 } else { 4_000 };
-        assert_eq!(settings.bounds.max_breach, over);
+        assert_eq!(settings.owner.max_breach, over);
         assert_eq!(settings.cores, if port.is_some() { 250 } else { 1_000 });
-        assert_eq!(settings.idle, if port.is_some() { 3_072 } else { 1_536 });
+        assert_eq!(
+            settings.idle_connections,
+            if port.is_some() { 3_072 } else { 1_536 }
+        );
     }
 }
 
@@ -150,14 +153,14 @@
     let text = PLATFORM.replace("hall =", "cores = 0.12\nhall =");
     let settings = daemon::parse("c.toml", &text).expect("no findings");
     assert_eq!(settings.cores, 120);
-    assert_eq!(settings.bounds.mechanisms, Mechanisms::ON);
+    assert_eq!(settings.owner.mechanisms, Mechanisms::ON);
     let text = format!("{text}[mechanisms]\nswap = false\n");
     let settings = daemon::parse("c.toml", &text).expect("no findings");
     let expected = Mechanisms {
         swap: false,
         ..Mechanisms::ON
     };
-    assert_eq!(settings.bounds.mechanisms, expected);
+    assert_eq!(settings.owner.mechanisms, expected);
     let text = text.replace("0.12", "-1\ndescriptors = 0") + "pace = \"off\"\nspeed = true\n";
     let findings = daemon::parse("c.toml", &text).expect_err("findings");
     let keys: Vec<&str> = findings.iter().map(|f| f.key.as_str()).collect();
--- a/tools/trial/src/world.rs
+++ b/tools/trial/src/world.rs
@@ -14,7 +14,7 @@
 use willowpoint::engine::{Engine, EngineSettings, Event, Now};
 use willowpoint::invariant::Rule;
 use willowpoint::lease::LeaseTimings;
-use willowpoint::options::Pace;
+use willowpoint::options::Intervals;
 use willowpoint::standin::table::Table;
 use willowpoint::standin::worker::state::Worker;
 use willowpoint::utils::Name;
@@ -209,13 +209,13 @@
             promise: 900,
             outage: 8_000,
         },
-        pace: Pace {
+        intervals: Intervals {
             heartbeat: 200,
             poll: 250,
-            sync: 200,
+            worker_poll: 200,
             journal: 100,
-            task: TASK,
-            stop: 8_000,
+            task_lease: TASK,
+            stop_timeout: 8_000,
         },
         policy: Policy {
             queue_limit: 16,
