--- a/src/claim/state.rs
+++ b/src/claim/state.rs
@@ -204,7 +204,7 @@
         let cells: Vec<Name> = self.cells.iter().cloned().collect();
         for cell in cells {
             let known_row = self.known_rows.get(&cell);
-            let old = known_row.and_then(|v| v.row.owner.clone());
+            let old = known_row.and_then(|r| r.row.owner.clone());
             let free = old.as_ref().is_none_or(&is_gone);
             if !free || self.owned.contains_key(&cell) || self.pending_claims.contains_key(&cell) {
                 self.free_since.remove(&cell);
@@ -219,9 +219,9 @@
             }
             let row = CellRow {
                 owner: Some(self.own_id.clone()),
-                epoch: known_row.map_or(0, |v| v.row.epoch) + 1,
+                epoch: known_row.map_or(0, |r| r.row.epoch) + 1,
             };
-            let expect = known_row.map_or(0, |v| v.version);
+            let expect = known_row.map_or(0, |r| r.version);
             self.pending_claims.insert(cell.clone(), row.epoch);
             actions.push(Action::Claim {
                 cell,
@@ -241,14 +241,14 @@
             }
             return;
         }
-        let leaving = self.owned.values().filter(|m| m.leaving).count();
+        let leaving = self.owned.values().filter(|c| c.leaving).count();
         if now < self.assignment_changed + SETTLE_TIME {
             return;
         }
         let own_id = &self.own_id;
         let assignment = &self.assignment;
         let misplaced = self.owned.iter_mut().filter(|(cell, owned_cell)| {
-            !owned_cell.leaving && assignment.get(*cell).is_some_and(|t| t != own_id)
+            !owned_cell.leaving && assignment.get(*cell).is_some_and(|owner| owner != own_id)
         });
         for (_, owned_cell) in misplaced.take(MAX_LEAVING_CELLS.saturating_sub(leaving)) {
             owned_cell.leaving = true;
@@ -258,7 +258,7 @@
     /// Releases a leaving cell in which nothing is in progress. From now on this box does not act
     /// for the cell, whatever the outcome of the write.
     pub fn release(&mut self, cell: &Name) -> Vec<Action> {
-        if !self.owned.get(cell).is_some_and(|m| m.leaving) {
+        if !self.owned.get(cell).is_some_and(|c| c.leaving) {
             return Vec::new();
         }
         self.owned.remove(cell);
@@ -345,7 +345,7 @@
     /// Stores a row unless a newer version is known, and returns the change of ownership if any.
     fn apply_row(&mut self, versioned: VersionedCell) -> Option<Action> {
         let VersionedCell { cell, version, row } = versioned;
-        let known_version = self.known_rows.get(&cell).map_or(0, |v| v.version);
+        let known_version = self.known_rows.get(&cell).map_or(0, |r| r.version);
         if version < known_version {
             return None;
         }
@@ -401,7 +401,7 @@
         match outcome {
             WriteOutcome::Committed => {
                 let version = expect + 1;
-                let known_version = self.known_rows.get(cell).map_or(0, |v| v.version);
+                let known_version = self.known_rows.get(cell).map_or(0, |r| r.version);
                 if known_version > version {
                     return None;
                 }
--- a/src/lease/state.rs
+++ b/src/lease/state.rs
@@ -236,7 +236,7 @@
                 .get(id)
                 .is_some_and(|until| *until > now);
             let pending = self.declarations.contains_key(id);
-            if !promised && !pending && self.is_dead(other, now) {
+            if !promised && !pending && self.may_declare_dead(other, now) {
                 due.push((id.clone(), other.version));
             }
         }
@@ -248,8 +248,9 @@
             .collect()
     }
 
-    /// Returns true if this box may declare another one dead.
-    fn is_dead(&self, other: &OtherBox, now: Millis) -> bool {
+    /// Returns true if this process has replaced another box, or that box has not renewed its row
+    /// for too long.
+    fn may_declare_dead(&self, other: &OtherBox, now: Millis) -> bool {
         let timings = self.timings;
         let unchanged = now.saturating_sub(other.read_at);
         let is_successor = other.row.successors.contains(&self.own.id);
