--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,8 +1,8 @@
-//! The decisions of one entry box, put together.
+//! State machine of an entry box: routes requests, owns cells and follows the configuration.
 //!
-//! [`Engine`] is plain state without sockets or clocks: an event and the time
-//! go in, actions come out. The tasks around it carry the actions out and
-//! bring back how they ended. Randomised runs drive the same code.
+//! [`Engine`] performs no I/O and reads no clock: [`Engine::step`] takes an event and the current
+//! time and returns actions. The surrounding tasks perform the actions and report their outcomes
+//! as further events. Randomised simulations drive the same code.
 
 mod cells;
 mod config_sync;
@@ -33,33 +33,33 @@
 pub use state::Engine;
 pub use views::{BoxView, Query, StatusView, TaskView, View, WorkerView};
 
-/// What the decisions need to know from the settings.
+/// Settings of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
     /// Name of the box.
     pub name: Name,
-    /// Number that is new at each start.
+    /// Number that differs at each start of the box.
     pub boot: u64,
-    /// Address for other boxes.
+    /// RPC address for other boxes.
     pub rpc: SocketAddr,
-    /// Hall in which it stands.
+    /// Hall of the box.
     pub hall: Name,
-    /// Lease and promises.
+    /// Durations of leases and promises.
     pub lease_timings: LeaseTimings,
-    /// Intervals.
+    /// Intervals of periodic work.
     pub intervals: Intervals,
-    /// Decisions about requests and tasks.
+    /// Scheduling policy for requests and tasks.
     pub policy: crate::cell::Policy,
-    /// Retention and clock skew of deduplication.
+    /// Retention time and clock skew for deduplication.
     pub dedup_timings: DedupTimings,
 }
 
-/// The time of an event.
+/// Time of an event, on three clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// Milliseconds on the steady clock.
+    /// Milliseconds on the monotonic clock.
     pub millis: Millis,
-    /// Microseconds on the steady clock.
+    /// Microseconds on the monotonic clock.
     pub micros: u64,
     /// Milliseconds since the Unix epoch.
     pub wall: Millis,
@@ -78,233 +78,234 @@
     }
 }
 
-/// What boxes tell each other.
+/// Heartbeat message between boxes, with the load and the recent moves of the sender's cells.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Greeting {
     /// Incarnation of the sender.
     pub from: Name,
-    /// Address of the sender.
+    /// RPC address of the sender.
     pub rpc: SocketAddr,
     /// Hall of the sender.
     pub hall: Name,
-    /// Version of the configuration in force there.
+    /// Version of the sender's active configuration.
     pub config: u64,
-    /// True when it is stopping.
+    /// True if the sender is stopping.
     pub stopping: bool,
-    /// Incarnation that is asked for a promise, if one is.
+    /// Incarnation that the sender asks for a promise not to take over, if any.
     pub ask: Option<Name>,
-    /// When it was sent, on the sender's clock.
+    /// Time of sending, on the sender's clock.
     pub sent: Millis,
-    /// Cells that the sender has won and given away; when more than it tells of
-    /// are new, the owners are to be read again.
+    /// Number of cells that the sender has ever acquired or released. If it has grown by more
+    /// than the rows in `moved`, the receiver rereads the owners of all cells.
     pub moves: u64,
-    /// The last of these, while they are news.
+    /// Rows of the latest of these cells, listed for a few heartbeats after a change.
     pub moved: Vec<VersionedCell>,
-    /// Load of the sender's cells.
+    /// Loads of the sender's cells.
     pub loads: Vec<CellLoad>,
 }
 
-/// How a request that was handed to another box ended.
+/// Outcome of forwarding a request to another box.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwardOutcome {
-    /// The whole answer came.
+    /// The complete answer was received.
     Answered,
-    /// It was not run.
+    /// The request was not run.
     NotRun {
-        /// Why.
+        /// Why the request was not run.
         reason: Reason,
-        /// Milliseconds after which to come back.
+        /// Milliseconds after which the caller may retry.
         retry_after: Millis,
-        /// Sends that are left to it.
+        /// Number of retries that the request has left.
         retries: u32,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// What a caller is told.
+/// Result of a request as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The endpoint's whole answer.
+    /// The endpoint has answered; its answer is passed on.
     Answer,
-    /// It was not run.
+    /// The request was not run.
     NotRun {
-        /// Why.
+        /// Why the request was not run.
         reason: Reason,
-        /// Milliseconds after which to come back.
+        /// Milliseconds after which the caller may retry.
         retry_after: Millis,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// Why.
+        /// Why the outcome is unknown.
         reason: &'static str,
     },
 }
 
-/// How a call to a worker ended.
+/// Outcome of a call to a worker.
 #[derive(Clone, Debug)]
 pub enum WorkerCallOutcome {
-    /// An exchange.
+    /// A poll of the worker's state.
     Polled {
-        /// When it was sent.
+        /// Time of sending, in ms on the monotonic clock.
         sent: Millis,
-        /// Its round.
+        /// Round number of the poll.
         round: u64,
-        /// Ends that it acknowledged.
+        /// Ended runs that the poll acknowledged.
         acks: Vec<RunId>,
-        /// How it ended.
+        /// Outcome of the poll.
         outcome: PollOutcome,
     },
-    /// A start.
+    /// A start of a run.
     Started(RunId, CallOutcome),
-    /// A stop.
+    /// A stop of a run.
     Stopped(RunId, CallOutcome),
-    /// A throttle, with its share.
+    /// A throttle of a run, with the share of its cores in thousandths.
     Throttled(RunId, u32, CallOutcome),
 }
 
-/// What happened.
+/// Input of the engine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed.
+    /// The periodic timer has fired.
     Tick,
-    /// A caller's request came.
+    /// A caller's request arrived.
     Request {
-        /// Number given to it by this box.
+        /// Number of the request on this box.
         ticket: u64,
-        /// What it says of itself.
+        /// Checked headers of the request.
         meta: Meta,
     },
-    /// Another box handed a request over.
+    /// A request arrived that another box has forwarded.
     Forwarded {
-        /// Number given to it by this box.
+        /// Number of the request on this box.
         ticket: u64,
-        /// What it says of itself.
+        /// Checked headers of the request.
         meta: Meta,
-        /// Cell that is to run it; none for the owner of the dedup shard to choose.
+        /// Cell in which the request runs. If `None`, this box owns the dedup shard and chooses a
+        /// cell.
         cell: Option<Name>,
-        /// Dedup shard of its id, for a request that is not repeatable.
+        /// Dedup shard of the request's id; `None` for a repeatable request.
         dedup_shard: Option<Name>,
-        /// Epoch of the dedup shard, or 0 when this box is to deduplicate.
+        /// Epoch of the dedup shard that admitted the request, or 0 if this box deduplicates it.
         epoch: u64,
     },
-    /// A send to a worker ended.
+    /// A send to a worker's endpoint ended.
     SendEnded {
-        /// The request.
+        /// Number of the request.
         ticket: u64,
-        /// How it ended.
+        /// Outcome of the send.
         outcome: SendOutcome,
     },
-    /// A hand-over to another box ended.
+    /// A forward to another box ended.
     ForwardEnded {
-        /// The request.
+        /// Number of the request.
         ticket: u64,
-        /// How it ended.
+        /// Outcome of the forward.
         outcome: ForwardOutcome,
     },
     /// A call to the table ended.
     TableCallEnded {
         /// Number of the call.
         op: u64,
-        /// When it was sent.
+        /// Time of sending, in ms on the monotonic clock.
         sent: Millis,
-        /// How it ended.
+        /// Outcome of the call.
         outcome: Outcome,
     },
-    /// The list of workers came, or none.
+    /// A read of the list of workers ended; `None` if it failed.
     WorkersListed(Option<Vec<ListedWorker>>),
     /// A call to a worker ended.
     WorkerCallEnded {
         /// Cell of the worker.
         cell: Name,
-        /// Epoch under which the call was made.
+        /// Epoch of the cell under which the call was made.
         epoch: u64,
         /// Name of the worker.
         worker: Name,
-        /// How it ended.
+        /// Outcome of the call.
         outcome: WorkerCallOutcome,
     },
-    /// Another box greets.
+    /// A greeting of another box arrived.
     GreetingReceived {
-        /// Number of the greeting at this box.
+        /// Number of the greeting on this box.
         ticket: u64,
-        /// What it says.
+        /// The greeting.
         greeting: Greeting,
     },
-    /// A greeting was answered, or not.
+    /// A greeting to another box ended.
     GreetingEnded {
-        /// Incarnation that was greeted.
+        /// Incarnation of the receiver.
         to: Name,
-        /// When it was sent.
+        /// Time of sending, in ms on the monotonic clock.
         sent: Millis,
-        /// The answer, and whether the promise was given.
+        /// Greeting in the reply and whether the promise was given; `None` without a reply.
         reply: Option<(Greeting, bool)>,
     },
-    /// A peer's whole configuration came, or not.
+    /// A fetch of a peer's configuration ended; `None` if it failed.
     SnapshotEnded(Option<Config>),
-    /// New job shards lie in cells, or jobs were cancelled.
+    /// Job shards were added to cells, or jobs were cancelled.
     Hint {
         /// Cells with new job shards.
         cells: Vec<Name>,
-        /// Jobs that were cancelled.
+        /// Cancelled jobs.
         cancelled: Vec<Name>,
     },
-    /// Somebody asks for a view of the state.
+    /// A view of the state is requested.
     Query {
-        /// Number of the question at this box.
+        /// Number of the query on this box.
         ticket: u64,
-        /// What is asked.
+        /// Requested view.
         query: Query,
     },
-    /// A planned stop begins.
+    /// A planned stop is requested.
     Stop,
 }
 
-/// What is to be done.
+/// Output of the engine: an operation for the surrounding tasks to perform.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a request to a worker, if the lease still holds right then.
+    /// Send a request to a worker's endpoint, unless the lease of this box has ended by then.
     Send {
-        /// The request.
+        /// Number of the request.
         ticket: u64,
         /// Cell of the worker.
         cell: Name,
-        /// Epoch of the ownership.
+        /// Epoch of the cell.
         epoch: u64,
         /// Address of the endpoint.
         http: SocketAddr,
-        /// Milliseconds until its deadline.
+        /// Milliseconds until the deadline of the request.
         time_left: Millis,
     },
-    /// Hand a request to another box.
+    /// Forward a request to another box.
     Forward {
-        /// The request.
+        /// Number of the request.
         ticket: u64,
-        /// Address of the box.
+        /// RPC address of the box.
         to: SocketAddr,
-        /// What it says of itself, with what is left of its time and sends.
+        /// Headers of the request, with its remaining time and retries.
         meta: Meta,
-        /// Cell that is to run it.
+        /// Cell in which the request runs; `None` if the receiver is to choose.
         cell: Option<Name>,
-        /// Dedup shard of its id.
+        /// Dedup shard of the request's id; `None` for a repeatable request.
         dedup_shard: Option<Name>,
-        /// Epoch of the dedup shard, or 0.
+        /// Epoch of the dedup shard that admitted the request, or 0.
         epoch: u64,
     },
     /// Answer a request.
     Finish {
-        /// The request.
+        /// Number of the request.
         ticket: u64,
-        /// What the caller or the handing box is told.
+        /// Result for the caller or the box that forwarded the request.
         verdict: Verdict,
-        /// Sends that are left to it.
+        /// Number of retries that the request has left.
         retries: u32,
     },
     /// Call the table.
     CallTable {
         /// Number of the call.
         op: u64,
-        /// The call.
+        /// Operation on the table.
         call: Call,
     },
     /// Read the list of workers.
@@ -313,57 +314,58 @@
     CallWorker {
         /// Cell of the worker.
         cell: Name,
-        /// Epoch of the ownership.
+        /// Epoch of the cell.
         epoch: u64,
-        /// What to do.
+        /// Action that the cell requests.
         action: crate::cell::Action,
     },
-    /// Greet another box.
+    /// Send a greeting to another box.
     Greet {
-        /// Its incarnation.
+        /// Incarnation of the receiver.
         to: Name,
-        /// Its address.
+        /// RPC address of the receiver.
         rpc: SocketAddr,
-        /// What to say.
+        /// The greeting.
         greeting: Greeting,
     },
     /// Answer a greeting.
     AnswerGreeting {
-        /// Number of the greeting.
+        /// Number of the received greeting.
         ticket: u64,
-        /// What to say.
+        /// Greeting of this box for the reply.
         greeting: Greeting,
-        /// True when the promise is given.
+        /// True if this box gives the requested promise.
         promised: bool,
     },
-    /// Ask a peer for its whole configuration.
+    /// Fetch the whole configuration from the box at this RPC address.
     FetchSnapshot(SocketAddr),
-    /// Tell another box of new job shards or cancelled jobs.
+    /// Notify another box of new job shards or cancelled jobs.
     Hint {
-        /// Its address.
+        /// RPC address of the box.
         rpc: SocketAddr,
         /// Cells with new job shards.
         cells: Vec<Name>,
-        /// Jobs that were cancelled.
+        /// Cancelled jobs.
         cancelled: Vec<Name>,
     },
-    /// Answer a question.
+    /// Answer a query.
     AnswerQuery {
-        /// Number of the question.
+        /// Number of the query.
         ticket: u64,
-        /// The view.
+        /// Requested view of the state.
         view: View,
     },
-    /// Close idle connections to endpoints of a cell that was given up.
+    /// Close idle connections to the endpoints of a cell that this box no longer owns.
     Disconnect(Vec<SocketAddr>),
-    /// The planned stop is complete but for what the servers have read.
+    /// Drain the servers and exit: the planned stop is complete except for requests that the
+    /// servers have already read.
     Exit {
-        /// Milliseconds within which they are to end.
+        /// Time limit for the drain, in ms.
         within: Millis,
     },
 }
 
-/// Returns the largest of some shapes, each dimension by itself.
+/// Returns the maximum of the shapes in each dimension.
 pub fn largest(shapes: impl Iterator<Item = Shape>) -> Shape {
     shapes.fold(Shape::default(), |max, shape| Shape {
         slots: max.slots.max(shape.slots),
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,4 +1,4 @@
-//! What a caller's request says of itself in its headers.
+//! Parses and checks the headers of a caller's request.
 
 #[cfg(test)]
 mod tests;
@@ -14,92 +14,101 @@
 /// Longest accepted deadline in milliseconds.
 const DEADLINE_LIMIT: Millis = 3_600_000;
 
-/// Header values of one request, checked.
+/// Checked header values of one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Meta {
-    /// Id, the same in each resend; empty when the caller gave none.
+    /// Id, the same for each resend; empty if the caller gave none.
     pub id: Name,
-    /// Service that is to run it.
+    /// Service that runs the request.
     pub service: Name,
-    /// Team it is counted for.
+    /// Team to which the request is charged.
     pub team: Name,
-    /// How urgent it is.
+    /// Priority class.
     pub class: Class,
-    /// True when it may run more than once.
+    /// True if the request may run more than once.
     pub repeatable: bool,
-    /// Milliseconds left until its answer is worthless.
+    /// Milliseconds until the deadline.
     pub time_left: Millis,
-    /// Milliseconds since the Unix epoch of its first issue; 0 when not given.
+    /// Time of the first issue in milliseconds since the Unix epoch; 0 if not given.
     pub issued: Millis,
-    /// Milliseconds since the Unix epoch until which the caller sends it only
-    /// once, as it promised; 0 without that promise.
+    /// Time until which the caller has promised not to resend the request, in milliseconds since
+    /// the Unix epoch; 0 without a promise.
     pub sole_until: Millis,
-    /// Further sends that it may make, over all hops.
+    /// Number of retries left, over all hops.
     pub retries: u32,
 }
 
-/// A header that is problem.
+/// Problem with one header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderError {
     /// Name of the header.
     pub header: &'static str,
-    /// What is problem with it.
+    /// What is wrong with its value.
     pub problem: String,
 }
 
+/// Reads header values and collects the problems found.
 struct Reader<'h> {
     headers: &'h HeaderMap,
     errors: Vec<HeaderError>,
 }
 
 impl Reader<'_> {
+    /// Adds a problem with a header.
     fn report(&mut self, header: &'static str, problem: impl Into<String>) {
         let problem = problem.into();
         self.errors.push(HeaderError { header, problem });
     }
 
+    /// Returns the trimmed text of a header.
     fn text(&mut self, header: &'static str) -> Option<String> {
         let headers = self.headers;
         let value = headers.get(header)?;
         match value.to_str() {
             Ok(text) => Some(text.trim().to_string()),
             Err(_) => {
-                self.report(header, "is no text");
+                self.report(header, "contains characters other than visible ASCII");
                 None
             }
         }
     }
 
+    /// Returns the value of a header that must be a name.
     fn name(&mut self, header: &'static str) -> Option<Name> {
         let text = self.text(header)?;
         if !is_name(&text) {
-            self.report(header, "is no name: use letters, digits, '-', '_' and '.'");
+            self.report(
+                header,
+                "is not a valid name: use letters, digits, '-', '_' and '.'",
+            );
             return None;
         }
         Some(text.into())
     }
 
+    /// Returns the value of a header that must be a whole number.
     fn number(&mut self, header: &'static str) -> Option<u64> {
         let text = self.text(header)?;
         let number = text.parse().ok();
         if number.is_none() {
-            self.report(header, "is no whole number");
+            self.report(header, "is not a whole number");
         }
         number
     }
 
+    /// Returns the value for a header that must hold one of the choices.
     fn choice<T: Copy>(&mut self, header: &'static str, choices: &[(&str, T)]) -> Option<T> {
         let text = self.text(header)?;
-        let found = choices.iter().find(|(word, _)| *word == text);
-        if found.is_none() {
-            let known: Vec<&str> = choices.iter().map(|(word, _)| *word).collect();
-            self.report(header, format!("is none of {}", known.join(", ")));
+        let chosen = choices.iter().find(|(choice, _)| *choice == text);
+        if chosen.is_none() {
+            let known: Vec<&str> = choices.iter().map(|(choice, _)| *choice).collect();
+            self.report(header, format!("is not one of {}", known.join(", ")));
         }
-        found.map(|(_, value)| *value)
+        chosen.map(|(_, value)| *value)
     }
 }
 
-/// Reads the headers of a request; all errors are returned together.
+/// Parses the headers of a request; on failure returns the problems with all headers.
 pub fn parse(headers: &HeaderMap, policy: &Policy) -> Result<Meta, Vec<HeaderError>> {
     let mut reader = Reader {
         headers,
@@ -109,26 +118,26 @@
         ("latency-critical", Class::Critical),
         ("batch", Class::Batch),
     ];
-    let answers = [("yes", true), ("no", false)];
+    let yes_no = [("yes", true), ("no", false)];
     let service = reader.name(constants::SERVICE);
     if service.is_none() && !headers.contains_key(constants::SERVICE) {
         reader.report(constants::SERVICE, "is missing");
     }
     let repeatable = reader
-        .choice(constants::REPEATABLE, &answers)
+        .choice(constants::REPEATABLE, &yes_no)
         .unwrap_or(true);
     let id = reader.name(constants::ID);
     let issued = reader.number(constants::ISSUED);
     if !repeatable && id.is_none() {
         reader.report(
             constants::ID,
-            "is needed for a request that is not repeatable",
+            "is required for a request that is not repeatable",
         );
     }
     if !repeatable && issued.is_none() {
         reader.report(
             constants::ISSUED,
-            "is needed for a request that is not repeatable",
+            "is required for a request that is not repeatable",
         );
     }
     let time_left = reader
@@ -137,12 +146,12 @@
     if time_left > DEADLINE_LIMIT {
         reader.report(
             constants::DEADLINE,
-            format!("is more than {DEADLINE_LIMIT}"),
+            format!("exceeds the limit of {DEADLINE_LIMIT} ms"),
         );
     }
-    let once = reader.choice(constants::RESEND, &answers) == Some(false);
+    let sent_once = reader.choice(constants::RESEND, &yes_no) == Some(false);
     let sole_until = issued
-        .filter(|_| once)
+        .filter(|_| sent_once)
         .map_or(0, |at| at.saturating_add(time_left.min(DEADLINE_LIMIT)));
     let meta = Meta {
         id: id.unwrap_or_else(|| "".into()),
--- a/src/request/tests.rs
+++ b/src/request/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of request headers.
+//! Tests for parsing request headers.
 
 use super::*;
 
@@ -10,9 +10,9 @@
 }
 
 #[test]
-fn defaults_are_filled_in() {
-    let map = headers(&[(constants::SERVICE, "stock")]);
-    let meta = parse(&map, &Policy::default()).expect("no errors");
+fn missing_headers_take_defaults() {
+    let headers = headers(&[(constants::SERVICE, "stock")]);
+    let meta = parse(&headers, &Policy::default()).expect("valid headers");
     assert_eq!(meta.class, Class::Critical);
     assert!(meta.repeatable);
     assert_eq!(meta.time_left, Policy::default().default_deadline);
@@ -20,20 +20,20 @@
 
 #[test]
 fn reports_all_invalid_headers_at_once() {
-    let map = headers(&[
+    let headers = headers(&[
         (constants::SERVICE, "no name"),
         (constants::CLASS, "quick"),
         (constants::REPEATABLE, "no"),
         (constants::DEADLINE, "-1"),
     ]);
-    let errors = parse(&map, &Policy::default()).expect_err("errors");
+    let errors = parse(&headers, &Policy::default()).expect_err("invalid headers");
     let names: Vec<_> = errors.iter().map(|f| f.header).collect();
-    let wanted = [
+    let expected = [
         constants::SERVICE,
         constants::ID,
         constants::ISSUED,
         constants::DEADLINE,
         constants::CLASS,
     ];
-    assert_eq!(names, wanted);
+    assert_eq!(names, expected);
 }
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -1,4 +1,4 @@
-//! gRPC over HTTP/2 on the runtime's own sockets, without a second runtime.
+//! gRPC over HTTP/2 on monoio sockets, without a second async runtime.
 
 pub mod bridge;
 pub mod client;
--- a/src/rpc/bridge.rs
+++ b/src/rpc/bridge.rs
@@ -1,5 +1,5 @@
-//! From the generated services, whose futures must be `Send`, to the tasks of
-//! this thread.
+//! Runs calls of generated gRPC services, whose futures must be `Send`, on the thread that owns
+//! the state, whose futures are not.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -9,10 +9,12 @@
 use futures::channel::{mpsc, oneshot};
 use tonic::{Response, Status};
 
+/// Future that stays on the thread of the context.
 type LocalFuture = Pin<Box<dyn Future<Output = ()>>>;
+/// Closure that is sent to the thread of the context and returns the future to run there.
 type Work<C> = Box<dyn FnOnce(Rc<C>) -> LocalFuture + Send>;
 
-/// A way to run work on the thread that owns the context.
+/// Handle that runs closures on the thread that owns a context.
 pub struct Bridge<C> {
     queue: mpsc::UnboundedSender<Work<C>>,
 }
@@ -26,7 +28,7 @@
 }
 
 impl<C: 'static> Bridge<C> {
-    /// Starts the task that runs the work.
+    /// Spawns the task that runs the closures on the current thread.
     pub fn start(context: Rc<C>) -> Self {
         let (queue, mut receiver) = mpsc::unbounded::<Work<C>>();
         monoio::spawn(async move {
@@ -37,7 +39,7 @@
         Self { queue }
     }
 
-    /// Runs work and returns its reply.
+    /// Runs a closure on the context's thread and returns its result as a gRPC response.
     pub async fn run<T, W, F>(&self, work: W) -> Result<Response<T>, Status>
     where
         T: Send + 'static,
@@ -48,7 +50,7 @@
         let boxed: Work<C> = Box::new(move |context| {
             Box::pin(async move {
                 let result = work(context).await;
-                // A caller that has gone away needs no reply.
+                // The receiver is dropped if the client cancelled the call.
                 let _ = reply.send(result);
             })
         });
--- a/src/rpc/client.rs
+++ b/src/rpc/client.rs
@@ -1,4 +1,4 @@
-//! Client connections for the generated gRPC clients.
+//! Reconnecting HTTP/2 channel for the generated gRPC clients.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -19,14 +19,14 @@
 use crate::utils::clock::Millis;
 use crate::utils::sockets;
 
-/// Why a call has no reply.
+/// Reason why a call returned no reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No byte of the call left: it had no effect.
+    /// The server has not run the call.
     NotSent(String),
-    /// The call may have had its effect.
+    /// The server may have run the call.
     Lost(String),
-    /// The server answered with an error status.
+    /// The server replied with an error status.
     Refused(tonic::Code, String),
 }
 
@@ -44,7 +44,7 @@
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Proof that a call did not leave this process.
+/// Error of a call that was never sent.
 #[derive(Debug)]
 struct NotSent(String);
 
@@ -56,8 +56,8 @@
 
 impl std::error::Error for NotSent {}
 
-/// Returns true when an error proves that the server has not run the call: it
-/// never left, or the server's GOAWAY excludes its stream (RFC 9113, 6.8).
+/// Returns true if an error proves that the server has not run the call: the call was never sent,
+/// or the server's GOAWAY excludes its stream (RFC 9113, 6.8).
 fn proves_not_run(error: &(dyn std::error::Error + 'static)) -> bool {
     let mut next = Some(error);
     while let Some(e) = next {
@@ -74,23 +74,23 @@
     false
 }
 
-/// A connection to one address that connects again when it broke.
+/// Connection to one address that is reopened on the next call after a failure.
 #[derive(Clone)]
 pub struct Channel {
     address: SocketAddr,
     connection: Rc<RefCell<Connection>>,
 }
 
-/// The connection of a channel.
+/// Current connection of a channel.
 #[derive(Default)]
 struct Connection {
     sender: Option<SendRequest<Body>>,
-    /// Counts the connections before it.
+    /// Number of connections opened so far.
     generation: u64,
 }
 
 impl Channel {
-    /// Returns a channel that connects at the first call.
+    /// Returns a channel that connects on the first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Connects when there is no open connection; an error is proof of nothing sent.
+    /// Connects within `limit` ms unless a connection is open. All errors are
+    /// [`CallError::NotSent`].
     pub async fn connect(&self, limit: Millis) -> Result<(), CallError> {
         let open = self
             .connection
@@ -121,7 +122,7 @@
         Ok(())
     }
 
-    /// Makes one call through a generated client, bounded by `limit` milliseconds.
+    /// Makes one call through a generated client; connecting and the call may each take `limit` ms.
     pub async fn call<T, F>(
         &self,
         limit: Millis,
@@ -138,14 +139,14 @@
             Err(_) => {
                 log::debug!(target: "rpc", "event=unanswered address={} limit_ms={limit}", self.address);
                 crate::metrics::count_unanswered_call("grpc");
-                // A connection that stays silent may be cut; the next call opens another.
+                // The connection may be broken, so the next call opens a new one.
                 self.disconnect(generation);
                 Err(CallError::Lost("timed out".into()))
             }
         }
     }
 
-    /// Gives up the connection of this number, not one that came after it.
+    /// Drops the connection of a generation, but not a newer one.
     fn disconnect(&self, generation: u64) {
         let mut connection = self.connection.borrow_mut();
         if connection.generation == generation {
@@ -153,6 +154,8 @@
         }
     }
 
+    /// Returns the error for a failed call. Drops the connection on a transport error, which has a
+    /// source; a status sent by the server has none.
     fn classify_failure(&self, status: tonic::Status, generation: u64) -> CallError {
         if let Some(cause) = std::error::Error::source(&status) {
             self.disconnect(generation);
@@ -164,6 +167,7 @@
         CallError::Refused(status.code(), status.message().to_string())
     }
 
+    /// Opens a connection and spawns the task that drives it.
     async fn establish(&self) -> eyre::Result<SendRequest<Body>> {
         let stream = TcpStream::connect(self.address).await?;
         stream.set_nodelay(true)?;
@@ -172,7 +176,7 @@
         let (sender, connection) = handshake(MonoioExecutor, io).await?;
         monoio::spawn(async move {
             if let Err(e) = connection.await {
-                log::debug!(target: "rpc", "connection ended: {e}");
+                log::debug!(target: "rpc", "connection closed with an error: {e}");
             }
         });
         Ok(sender)
--- a/src/rpc/server.rs
+++ b/src/rpc/server.rs
@@ -1,4 +1,4 @@
-//! Serves generated gRPC services.
+//! Serves generated gRPC services over HTTP/2.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -19,9 +19,9 @@
 /// Largest number of calls in progress on one connection.
 const MAX_STREAMS: u32 = 4_096;
 
-/// Accepts connections until `drain` has begun and hands each call to `handle`.
+/// Accepts connections until `drain` begins and passes each call to `handle`.
 ///
-/// Calls that have come by then are answered; the peers are told which these are.
+/// Calls received by then are answered. A GOAWAY tells each client which calls these are.
 pub async fn serve<H, F>(listener: TcpListener, drain: Drain, handle: H)
 where
     H: Fn(http::Request<Incoming>) -> F + 'static,
@@ -34,17 +34,20 @@
     listen::accept_all(listener, &drain, begin).await;
 }
 
+/// Serves the calls of one connection until it closes or the drain has completed.
 async fn serve_connection<H, F>(stream: TcpStream, drain: Drain, handle: Rc<H>)
 where
     H: Fn(http::Request<Incoming>) -> F + 'static,
     F: Future<Output = http::Response<Body>> + 'static,
 {
     if let Err(e) = stream.set_nodelay(true) {
-        log::debug!(target: "rpc", "no delay option: {e}");
+        log::debug!(target: "rpc", "failed to set TCP_NODELAY: {e}");
     }
     let stream = match stream.into_poll_io() {
         Ok(stream) => stream,
-        Err(e) => return log::warn!(target: "rpc", "connection refused: {e}"),
+        Err(e) => {
+            return log::warn!(target: "rpc", "connection setup failed: {e}");
+        }
     };
     let service = hyper::service::service_fn(move |request| {
         let reply = handle(request);
@@ -62,11 +65,11 @@
         }
     };
     if let Err(e) = ended {
-        log::debug!(target: "rpc", "connection ended: {e}");
+        log::debug!(target: "rpc", "connection closed with an error: {e}");
     }
 }
 
-/// Returns the reply to a call of a service that is not served here.
+/// Returns the reply to a call to an unknown service.
 pub fn unimplemented() -> http::Response<Body> {
     tonic::Status::unimplemented("no such service").into_http()
 }
--- a/src/rpc/tests.rs
+++ b/src/rpc/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what a call's failure proves.
+//! Tests for gRPC calls that fail.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,59 +22,59 @@
     channel.call(LIMIT, call).await
 }
 
-/// Returns true when the server ran a call; false when it proves that it did not.
-fn answered(result: &Result<proto::HintReply, CallError>) -> bool {
+/// Returns true if the server ran a call, and false if the result proves that it did not.
+fn was_run(result: &Result<proto::HintReply, CallError>) -> bool {
     match result {
         Err(CallError::Refused(tonic::Code::Unimplemented, _)) => true,
         Err(CallError::NotSent(_)) => false,
-        other => panic!("neither answered nor proved: {other:?}"),
+        other => panic!("the result does not prove whether the call ran: {other:?}"),
     }
 }
 
 #[test]
-fn a_server_that_ends_answers_what_has_come_and_disowns_the_rest() {
+fn draining_server_answers_received_calls_and_disclaims_later_ones() {
     let run = async {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let channel = Channel::new(listener.local_addr().unwrap());
         let (trigger, drain) = Drain::new();
         let calls = Rc::new(Cell::new(0));
-        let late = Cell::new(0);
-        let (come, came) = oneshot::channel::<()>();
-        let (go, may_go) = oneshot::channel::<()>();
-        let gates = Rc::new(Cell::new(Some((come, may_go))));
-        let served = calls.clone();
+        let late_calls = Cell::new(0);
+        let (arrived_sender, arrived) = oneshot::channel::<()>();
+        let (release, released) = oneshot::channel::<()>();
+        let gates = Rc::new(Cell::new(Some((arrived_sender, released))));
+        let counted = calls.clone();
         monoio::spawn(server::serve(listener, drain, move |_| {
-            let (gates, calls) = (gates.clone(), served.clone());
+            let (gates, calls) = (gates.clone(), counted.clone());
             async move {
                 calls.set(calls.get() + 1);
-                if let Some((come, may_go)) = gates.take() {
-                    come.send(()).unwrap();
-                    may_go.await.unwrap();
+                if let Some((arrived_sender, released)) = gates.take() {
+                    arrived_sender.send(()).unwrap();
+                    released.await.unwrap();
                 }
                 server::unimplemented()
             }
         }));
-        let rest = async {
-            came.await.unwrap();
+        let drain_server = async {
+            arrived.await.unwrap();
             let (ended, ()) = join(trigger.finish(LIMIT), async {
-                // The server still takes what comes before its second GOAWAY.
-                while answered(&hint(&channel).await) {
-                    late.set(late.get() + 1);
+                // The server still accepts calls until it sends its second GOAWAY.
+                while was_run(&hint(&channel).await) {
+                    late_calls.set(late_calls.get() + 1);
                 }
-                go.send(()).unwrap();
+                release.send(()).unwrap();
             })
             .await;
             assert!(ended);
         };
-        let (first, ()) = join(hint(&channel), rest).await;
-        assert!(answered(&first), "{first:?}");
-        assert_eq!(calls.get(), 1 + late.get());
+        let (first, ()) = join(hint(&channel), drain_server).await;
+        assert!(was_run(&first), "{first:?}");
+        assert_eq!(calls.get(), 1 + late_calls.get());
     };
     block_on(run).unwrap();
 }
 
-/// Accepts connections on a thread and answers nothing; returns the address.
-fn silent() -> std::net::SocketAddr {
+/// Accepts connections on a thread and never answers; returns the address.
+fn silent_server() -> std::net::SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || listener.incoming().collect::<Vec<_>>());
@@ -82,8 +82,8 @@
 }
 
 #[test]
-fn a_call_without_an_answer_on_an_open_connection_is_counted() {
-    let channel = Channel::new(silent());
+fn unanswered_call_on_an_open_connection_is_counted() {
+    let channel = Channel::new(silent_server());
     let metrics = metrics::get();
     let count = || {
         metrics
