--- a/benches/path.rs
+++ b/benches/path.rs
@@ -8,8 +8,8 @@
 
 use http::{HeaderMap, HeaderValue, Method, Uri};
 use willowpoint::constants;
-use willowpoint::demo::deployment::{Deployment, Site};
-use willowpoint::logs::{self, Logs};
+use willowpoint::demo::deployment::{Deployment, DeploymentSize};
+use willowpoint::logs::{self, LogSettings};
 use willowpoint::program::block_on;
 use willowpoint::utils::clock;
 use willowpoint::web::Request;
@@ -21,12 +21,12 @@
 const CALLERS: usize = 16;
 
 fn main() -> eyre::Result<()> {
-    let quiet = Logs {
+    let quiet = LogSettings {
         level: log::LevelFilter::Error,
-        ..Logs::default()
+        ..LogSettings::default()
     };
-    logs::start(&quiet, "bench")?;
-    let deployment = Deployment::start(Site {
+    logs::init(&quiet, "bench")?;
+    let deployment = Deployment::start(DeploymentSize {
         boxes: 2,
         workers: 8,
         service: 0,
@@ -38,11 +38,11 @@
 }
 
 async fn measure(deployment: &Deployment) -> eyre::Result<()> {
-    deployment.ready(30_000).await?;
-    deployment.service().await?;
-    let boxes = deployment.callers();
+    deployment.wait_ready(30_000).await?;
+    deployment.create_service().await?;
+    let boxes = deployment.caller_addresses();
     let owner = settled(deployment).await?;
-    let lone = deployment.lone_worker(0)?;
+    let lone = deployment.start_unlisted_worker(0)?;
     monoio::time::sleep(Duration::from_millis(500)).await;
     let ways = [
         ("direct to the endpoint", lone),
@@ -81,10 +81,10 @@
 
 /// Returns the owner of the workers once it has not changed for some seconds.
 async fn settled(deployment: &Deployment) -> eyre::Result<usize> {
-    let mut owner = deployment.owner().await?;
+    let mut owner = deployment.wait_owner().await?;
     loop {
         monoio::time::sleep(Duration::from_secs(6)).await;
-        let now = deployment.owner().await?;
+        let now = deployment.wait_owner().await?;
         if now == owner {
             return Ok(owner);
         }
--- a/src/config.rs
+++ b/src/config.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use change::{Editor, Refusal, Step};
+pub use change::{ConfigTransaction, Refusal, Step};
 pub use state::{Config, Service};
 
 use serde::{Deserialize, Serialize};
@@ -28,7 +28,7 @@
 /// Prefix of the rows that tell which change an id was given to.
 pub const ID: &str = "config/id/";
 /// Changes that are kept to be read one by one.
-pub const KEPT: u64 = 4_096;
+pub const MAX_CHANGES: u64 = 4_096;
 
 /// The head row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use super::{ChangeRow, ENTRY, Edit, EntryRow, HEAD, Head, ID, KEPT, change_key};
+use super::{ChangeRow, ENTRY, Edit, EntryRow, HEAD, Head, ID, MAX_CHANGES, change_key};
 use crate::lease::WriteOutcome;
 use crate::table::{Call, Expect, Op, Outcome, Row, decode};
 use crate::utils::Name;
 
 /// Tries against other operators' changes before the caller is told.
-const TRIES: u32 = 16;
+const MAX_ATTEMPTS: u32 = 16;
 
 /// Why a change was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,37 +46,37 @@
     Reading,
     Writing,
     /// Reading whether a commit without an answer took effect.
-    Settling,
+    Resolving,
 }
 
 /// The state machine of one change.
 #[derive(Clone, Debug)]
-pub struct Editor {
+pub struct ConfigTransaction {
     row: ChangeRow,
     phase: Phase,
-    tries: u32,
+    attempts: u32,
     /// True once a commit was sent whose outcome is not known.
-    doubt: bool,
+    in_doubt: bool,
 }
 
-impl Editor {
-    /// Returns the editor of a change and its first step.
+impl ConfigTransaction {
+    /// Returns the transaction of a change and its first step.
     pub fn new(row: ChangeRow) -> (Self, Step) {
-        let mut editor = Self {
+        let mut transaction = Self {
             row,
             phase: Phase::Reading,
-            tries: 0,
-            doubt: false,
+            attempts: 0,
+            in_doubt: false,
         };
-        let findings = editor.findings();
+        let findings = transaction.validate();
         let step = match findings.is_empty() {
-            true => editor.read(),
+            true => transaction.read(),
             false => Step::Refused(Refusal::Invalid(findings)),
         };
-        (editor, step)
+        (transaction, step)
     }
 
-    fn findings(&self) -> Vec<String> {
+    fn validate(&self) -> Vec<String> {
         let mut findings = Vec::new();
         if !crate::options::is_name(&self.row.id) {
             findings.push(format!("id: `{}` is no name", self.row.id));
@@ -84,14 +84,14 @@
         if self.row.edits.is_empty() {
             findings.push("nothing to change".into());
         }
-        let wrong = |e: &Edit| super::state::wrong(&e.key, e.value.as_deref());
-        findings.extend(self.row.edits.iter().filter_map(wrong));
+        let check = |e: &Edit| super::state::validate_entry(&e.key, e.value.as_deref());
+        findings.extend(self.row.edits.iter().filter_map(check));
         findings
     }
 
     fn read(&mut self) -> Step {
-        self.phase = match self.doubt {
-            true => Phase::Settling,
+        self.phase = match self.in_doubt {
+            true => Phase::Resolving,
             false => Phase::Reading,
         };
         let mut keys: Vec<Name> = vec![HEAD.into(), self.id_key()];
@@ -104,22 +104,22 @@
     }
 
     /// Takes in the outcome of the last call.
-    pub fn next(&mut self, outcome: Outcome) -> Step {
+    pub fn advance(&mut self, outcome: Outcome) -> Step {
         match (self.phase.clone(), outcome) {
-            (Phase::Reading | Phase::Settling, Outcome::Rows(rows)) => self.rows(rows),
-            (Phase::Writing, Outcome::Written(written)) => self.written(written),
-            _ => self.unreached(),
+            (Phase::Reading | Phase::Resolving, Outcome::Rows(rows)) => self.on_rows(rows),
+            (Phase::Writing, Outcome::Written(written)) => self.on_written(written),
+            _ => self.refuse_unreachable(),
         }
     }
 
-    fn unreached(&self) -> Step {
-        Step::Refused(match self.doubt {
+    fn refuse_unreachable(&self) -> Step {
+        Step::Refused(match self.in_doubt {
             true => Refusal::Unknown,
             false => Refusal::NotReached,
         })
     }
 
-    fn rows(&mut self, rows: Vec<Row>) -> Step {
+    fn on_rows(&mut self, rows: Vec<Row>) -> Step {
         let rows: BTreeMap<Name, Row> = rows.into_iter().map(|r| (r.key.clone(), r)).collect();
         // The id's row tells that an earlier try of this change took effect.
         if let Some(row) = rows.get(&self.id_key()) {
@@ -136,9 +136,9 @@
                 return self.conflict(edit.key.clone(), version);
             }
         }
-        self.tries += 1;
-        if self.tries > TRIES {
-            return match self.doubt {
+        self.attempts += 1;
+        if self.attempts > MAX_ATTEMPTS {
+            return match self.in_doubt {
                 true => Step::Refused(Refusal::Unknown),
                 false => Step::Refused(Refusal::Busy),
             };
@@ -176,19 +176,19 @@
                 None => Op::delete(key, Expect::Any),
             });
         }
-        if version > KEPT {
-            ops.push(Op::delete(change_key(version - KEPT), Expect::Any));
+        if version > MAX_CHANGES {
+            ops.push(Op::delete(change_key(version - MAX_CHANGES), Expect::Any));
         }
         Step::Call(Call::Commit(ops))
     }
 
-    fn written(&mut self, written: WriteOutcome) -> Step {
+    fn on_written(&mut self, written: WriteOutcome) -> Step {
         match written {
             WriteOutcome::Committed => Step::Accepted(self.row.version),
             WriteOutcome::Conflict => self.read(),
-            WriteOutcome::NotSent => self.unreached(),
+            WriteOutcome::NotSent => self.refuse_unreachable(),
             WriteOutcome::Unknown => {
-                self.doubt = true;
+                self.in_doubt = true;
                 self.read()
             }
         }
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -115,7 +115,7 @@
             }
         }
         self.version = change.version;
-        self.index();
+        self.rebuild_index();
         true
     }
 
@@ -131,12 +131,12 @@
         invariant::check(self.version >= before, Rule::Config, || {
             format!("version {version} after {before}")
         });
-        self.index();
+        self.rebuild_index();
         true
     }
 
     /// Reads the entries that decisions need into typed form.
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.services.clear();
         self.quotas.clear();
         self.drained.clear();
@@ -164,7 +164,7 @@
 }
 
 /// Returns what is wrong with an entry, if anything is.
-pub fn wrong(key: &str, value: Option<&str>) -> Option<String> {
+pub fn validate_entry(key: &str, value: Option<&str>) -> Option<String> {
     let Some((kind, name)) = key.split_once('/') else {
         return Some(format!("{key}: write KIND/NAME"));
     };
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -22,9 +22,9 @@
 
 const VALUE: &str = r#"{"team":"t","cores":100}"#;
 
-fn drive(table: &mut Table, editor: &mut Editor, mut step: Step) -> Step {
+fn drive(table: &mut Table, transaction: &mut ConfigTransaction, mut step: Step) -> Step {
     while let Step::Call(call) = step {
-        step = editor.next(table.call(&call));
+        step = transaction.advance(table.call(&call));
     }
     step
 }
@@ -32,13 +32,13 @@
 #[test]
 fn of_two_racing_changes_one_wins_and_the_other_is_told() {
     let mut table = Table::default();
-    let (mut a, step_a) = Editor::new(row("a", Some(0), VALUE));
-    let (mut b, step_b) = Editor::new(row("b", Some(0), VALUE));
+    let (mut a, step_a) = ConfigTransaction::new(row("a", Some(0), VALUE));
+    let (mut b, step_b) = ConfigTransaction::new(row("b", Some(0), VALUE));
     // Both read before either writes.
     let Step::Call(read) = step_a else { panic!() };
-    let commit_a = a.next(table.call(&read));
+    let commit_a = a.advance(table.call(&read));
     let Step::Call(read) = step_b else { panic!() };
-    let commit_b = b.next(table.call(&read));
+    let commit_b = b.advance(table.call(&read));
     assert_eq!(drive(&mut table, &mut a, commit_a), Step::Accepted(1));
     let Step::Refused(Refusal::Conflict { version, .. }) = drive(&mut table, &mut b, commit_b)
     else {
@@ -50,12 +50,12 @@
 #[test]
 fn changes_of_other_entries_do_not_conflict() {
     let mut table = Table::default();
-    let (mut a, step_a) = Editor::new(row("a", Some(0), VALUE));
+    let (mut a, step_a) = ConfigTransaction::new(row("a", Some(0), VALUE));
     let mut other = row("b", Some(0), VALUE);
     other.edits[0].key = "service/orders".into();
-    let (mut b, step_b) = Editor::new(other);
+    let (mut b, step_b) = ConfigTransaction::new(other);
     let Step::Call(read) = step_b else { panic!() };
-    let commit_b = b.next(table.call(&read));
+    let commit_b = b.advance(table.call(&read));
     assert_eq!(drive(&mut table, &mut a, step_a), Step::Accepted(1));
     assert_eq!(drive(&mut table, &mut b, commit_b), Step::Accepted(2));
 }
@@ -63,31 +63,34 @@
 #[test]
 fn a_lost_answer_is_settled_by_the_id() {
     let mut table = Table::default();
-    let (mut a, step) = Editor::new(row("a", Some(0), VALUE));
+    let (mut a, step) = ConfigTransaction::new(row("a", Some(0), VALUE));
     let Step::Call(read) = step else { panic!() };
-    let Step::Call(commit) = a.next(table.call(&read)) else {
+    let Step::Call(commit) = a.advance(table.call(&read)) else {
         panic!()
     };
     table.call(&commit);
-    let step = a.next(Outcome::Written(WriteOutcome::Unknown));
+    let step = a.advance(Outcome::Written(WriteOutcome::Unknown));
     assert_eq!(drive(&mut table, &mut a, step), Step::Accepted(1));
     // A resend by the client with the same id is applied once.
-    let (mut again, step) = Editor::new(row("a", Some(0), VALUE));
+    let (mut again, step) = ConfigTransaction::new(row("a", Some(0), VALUE));
     assert_eq!(drive(&mut table, &mut again, step), Step::Accepted(1));
 }
 
 #[test]
 fn an_outage_after_the_commit_is_unknown_and_before_it_not_reached() {
-    let (mut a, _) = Editor::new(row("a", None, VALUE));
-    assert_eq!(a.next(Outcome::Failed), Step::Refused(Refusal::NotReached));
+    let (mut a, _) = ConfigTransaction::new(row("a", None, VALUE));
+    assert_eq!(
+        a.advance(Outcome::Failed),
+        Step::Refused(Refusal::NotReached)
+    );
     let mut table = Table::default();
-    let (mut b, step) = Editor::new(row("b", None, VALUE));
+    let (mut b, step) = ConfigTransaction::new(row("b", None, VALUE));
     let Step::Call(read) = step else { panic!() };
-    let Step::Call(Call::Commit(_)) = b.next(table.call(&read)) else {
+    let Step::Call(Call::Commit(_)) = b.advance(table.call(&read)) else {
         panic!()
     };
-    b.next(Outcome::Written(WriteOutcome::Unknown));
-    assert_eq!(b.next(Outcome::Failed), Step::Refused(Refusal::Unknown));
+    b.advance(Outcome::Written(WriteOutcome::Unknown));
+    assert_eq!(b.advance(Outcome::Failed), Step::Refused(Refusal::Unknown));
 }
 
 #[test]
@@ -98,7 +101,7 @@
         value: Some("1".into()),
         expect: None,
     });
-    let (_, step) = Editor::new(bad);
+    let (_, step) = ConfigTransaction::new(bad);
     let Step::Refused(Refusal::Invalid(findings)) = step else {
         panic!()
     };
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -31,7 +31,7 @@
 use crate::rpc::bridge::Bridge;
 use crate::utils::clock::{self, Millis};
 use crate::utils::drain::Drain;
-use crate::utils::suspension::Suspension;
+use crate::utils::suspension::SuspensionDetector;
 use crate::utils::{listen, signals};
 use crate::{logs, web};
 use shared::Shared;
@@ -49,7 +49,7 @@
     let admin = listen::bind(settings.admin)?;
     let metrics = settings.metrics.map(listen::bind).transpose()?;
     let incarnation = clock::wall();
-    logs::gather();
+    logs::enable_batching();
     monoio::spawn(flush_logs());
     log::info!(target: "daemon", "event=start box={} life={incarnation} web={} rpc={}", settings.name, settings.web, settings.rpc);
     let limits = settings.limits;
@@ -75,12 +75,12 @@
     monoio::spawn(feeds::follow_config(shared.clone()));
     monoio::spawn(owner_task::run(shared.clone(), messages));
     monoio::spawn(follower::run(shared.clone(), checks));
-    let mut suspension = Suspension::begin();
+    let mut suspension = SuspensionDetector::new();
     let mut ready = false;
-    while !signals::asked() {
+    while !signals::stop_requested() {
         report_suspension(&mut suspension, &shared);
         report_readiness(&mut ready, &shared);
-        if signals::reload_asked() {
+        if signals::take_reload_request() {
             reload(&shared, file);
         }
         sleep(POLL_INTERVAL).await;
@@ -109,8 +109,8 @@
 
 /// Logs and counts a suspension of the machine. Afterwards the box looks as if it had been
 /// frozen, and its timers have not counted that time.
-fn report_suspension(suspension: &mut Suspension, shared: &Shared) {
-    let Some(span) = suspension.note(clock::now(), clock::awake()) else {
+fn report_suspension(suspension: &mut SuspensionDetector, shared: &Shared) {
+    let Some(span) = suspension.update(clock::now(), clock::monotonic()) else {
         return;
     };
     let (leading, unserved) = (shared.local_epoch().is_some(), shared.unserved_ms());
--- a/src/daemon/term.rs
+++ b/src/daemon/term.rs
@@ -8,7 +8,7 @@
 use crate::metrics::{self, EventLabel, OwnerEndLabel};
 use crate::sched::owner::Owner;
 use crate::utils::clock::{self, Millis};
-use crate::utils::peak::Peak;
+use crate::utils::peak::RecentPeak;
 
 /// Milliseconds between two updates of the counters of time spent.
 const FLUSH_INTERVAL: Millis = 1_000;
@@ -22,7 +22,7 @@
     /// Milliseconds from the commit that made this box the owner until it served.
     load_ms: Millis,
     /// Milliseconds by which the owner's loop was late.
-    lateness: Peak,
+    lateness: RecentPeak,
     /// Microseconds spent on decisions by kind of event, not yet added to the counters.
     spent: BTreeMap<&'static str, u64>,
     /// When the counters were last updated.
@@ -42,7 +42,7 @@
             epoch,
             began: now,
             load_ms,
-            lateness: Peak::default(),
+            lateness: RecentPeak::default(),
             spent: BTreeMap::new(),
             flushed: now,
             leaving_since: None,
@@ -51,7 +51,7 @@
 
     /// Records by how many milliseconds the owner's loop was late.
     pub fn record_lateness(&mut self, by: Millis, now: Millis) {
-        self.lateness.note(by, now);
+        self.lateness.record(by, now);
     }
 
     /// Records how many microseconds the decisions about an event took. The counters are
@@ -88,7 +88,7 @@
         metrics.waiting_tasks.set(waiting as i64);
         let age = now.saturating_sub(owner.last_confirmed());
         metrics.unconfirmed_time.set(age as i64);
-        metrics.loop_delay.set(self.lateness.late() as i64);
+        metrics.loop_delay.set(self.lateness.recent() as i64);
         metrics.release_time.set(self.leaving_ms(now) as i64);
     }
 
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -7,66 +7,66 @@
 use eyre::WrapErr;
 use serde_json::json;
 
-use crate::invariant::{RULES, checks, violated};
+use crate::invariant::{RULES, checks, total_violations};
 use crate::load::{self, Plan, Report};
-use crate::logs::{self, Logs};
+use crate::logs::{self, LogSettings};
 use crate::options::args::Demo;
 use crate::program::block_on;
 use crate::proto::{self, operator_client::OperatorClient};
 use crate::rpc::client::Channel;
-use deployment::{Deployment, Site};
+use deployment::{Deployment, DeploymentSize};
 
 /// Requests a second on all boxes together.
-const RATE: f64 = 1_500.0;
+const REQUEST_RATE: f64 = 1_500.0;
 /// Milliseconds until an answer is worthless.
 const DEADLINE: u64 = 1_000;
 /// Milliseconds of one call to a box.
-const PATIENCE: u64 = 5_000;
+const CALL_TIMEOUT: u64 = 5_000;
 /// Milliseconds to wait for the deployment to be ready.
-const READY: u64 = 30_000;
+const READY_TIMEOUT: u64 = 30_000;
 /// Batch tasks of one job.
-const TASKS: u32 = 24;
+const TASKS_PER_JOB: u32 = 24;
 /// Kinds of batch work.
 const KINDS: [&str; 4] = ["reconcile", "restock", "settle", "tariff"];
 
 /// Runs the demo and prints its summary.
 pub fn run(options: &Demo) -> eyre::Result<()> {
-    let quiet = Logs {
+    let quiet = LogSettings {
         level: log::LevelFilter::Error,
-        ..Logs::default()
+        ..LogSettings::default()
     };
-    logs::start(&quiet, "demo")?;
-    let mut deployment = Deployment::start(Site {
+    logs::init(&quiet, "demo")?;
+    let mut deployment = Deployment::start(DeploymentSize {
         boxes: 3,
         workers: 8,
         service: 5_000,
         halls: 2,
     })?;
-    let say = |text: &str| {
+    let progress = |text: &str| {
         if !options.json {
             eprintln!("{text}");
         }
     };
-    say("two halls, three entry boxes, a platform and eight workers are up");
+    progress("two halls, three entry boxes, a platform and eight workers are up");
     let (report, jobs, rows) = block_on(async {
-        deployment.ready(READY).await?;
-        prepare(&deployment).await?;
-        say("a service is created, jobs are submitted, load begins");
+        deployment.wait_ready(READY_TIMEOUT).await?;
+        submit_work(&deployment).await?;
+        progress("a service is created, jobs are submitted, load begins");
         let half = options.seconds.max(2) * 500;
         let before = deployment.table_rows();
         let first = load::run(plan(&deployment, options.seed, half)).await;
-        say("one entry box is replaced under load");
-        deployment.replace(2, READY).await?;
+        progress("one entry box is replaced under load");
+        deployment.replace(2, READY_TIMEOUT).await?;
         let second = load::run(plan(&deployment, options.seed + 1, half)).await;
         let after = deployment.table_rows();
         let rows = (after.0 - before.0, after.1 - before.1);
-        let jobs = summary(&deployment).await?;
+        let jobs = list_jobs(&deployment).await?;
         eyre::Ok((merge(first, second), jobs, rows))
     })??;
     let seconds = options.seconds.max(2);
-    print(options, &report, &jobs, rows, seconds);
+    print_report(options, &report, &jobs, rows, seconds);
     deployment.stop();
-    match violated() {
+    match total_violations() {
         0 => Ok(()),
         count => Err(eyre::eyre!("{count} invariants were violated")),
     }
@@ -74,24 +74,24 @@
 
 fn plan(deployment: &Deployment, seed: u64, duration: u64) -> Plan {
     Plan {
-        boxes: deployment.callers(),
+        boxes: deployment.caller_addresses(),
         service: "stock".into(),
-        rate: RATE,
+        rate: REQUEST_RATE,
         duration,
         deadline: DEADLINE,
         seed,
     }
 }
 
-async fn prepare(deployment: &Deployment) -> eyre::Result<()> {
-    deployment.service().await?;
-    let channel = Channel::new(deployment.rpc(0));
+async fn submit_work(deployment: &Deployment) -> eyre::Result<()> {
+    deployment.create_service().await?;
+    let channel = Channel::new(deployment.rpc_address(0));
     for (index, kind) in KINDS.iter().enumerate() {
         let spec = proto::JobSpec {
             id: format!("{kind}-1"),
             team: "ledger".into(),
             kind: (*kind).into(),
-            tasks: TASKS,
+            tasks: TASKS_PER_JOB,
             cores: 2_000,
             memory: 2_000,
             accelerators: 0,
@@ -100,17 +100,17 @@
         };
         let request = proto::SubmitJobRequest { spec: Some(spec) };
         let call = |c| async move { OperatorClient::new(c).submit_job(request).await };
-        channel.call(PATIENCE, call).await.wrap_err("no job")?;
+        channel.call(CALL_TIMEOUT, call).await.wrap_err("no job")?;
     }
     Ok(())
 }
 
-async fn summary(deployment: &Deployment) -> eyre::Result<Vec<proto::JobReply>> {
-    let channel = Channel::new(deployment.rpc(1));
+async fn list_jobs(deployment: &Deployment) -> eyre::Result<Vec<proto::JobReply>> {
+    let channel = Channel::new(deployment.rpc_address(1));
     let request = proto::ListJobsRequest::default();
     let call = |c| async move { OperatorClient::new(c).list_jobs(request).await };
     let reply = channel
-        .call(PATIENCE, call)
+        .call(CALL_TIMEOUT, call)
         .await
         .wrap_err("no list of jobs")?;
     Ok(reply.jobs)
@@ -127,7 +127,7 @@
     all
 }
 
-fn print(
+fn print_report(
     options: &Demo,
     report: &Report,
     jobs: &[proto::JobReply],
@@ -158,7 +158,7 @@
             "rows_read": rows.0,
             "rows_written": rows.1,
             "invariant_checks": rules,
-            "invariant_violations": violated(),
+            "invariant_violations": total_violations(),
         });
         println!("{value:#}");
         return;
@@ -185,10 +185,10 @@
         let name = format!("{rule:?}").to_lowercase();
         println!("  {name:28} {:>8}", checks(rule));
     }
-    println!("  {:28} {:>8}", "violated", violated());
+    println!("  {:28} {:>8}", "violated", total_violations());
 }
 
 /// Sets a switch that stops a box as planned.
-fn switch_off(switch: &crate::entry::Switch) {
+fn request_stop(switch: &crate::entry::Switch) {
     switch.store(true, Ordering::Relaxed);
 }
--- a/src/demo/deployment.rs
+++ b/src/demo/deployment.rs
@@ -19,24 +19,24 @@
 use crate::utils::clock;
 
 /// Rates of the platform, as the users have them.
-const RATES: Rates = Rates {
+const TABLE_RATES: Rates = Rates {
     writes: 300,
     reads: 2_000,
 };
 
 /// Milliseconds of one call to a box.
-const PATIENCE: u64 = 5_000;
+const CALL_TIMEOUT: u64 = 5_000;
 /// Pause between two looks at a box.
-const PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// First port that is tried, and how many ports are.
 const PORTS: (u16, u16) = (23_000, 4_000);
 
 /// Workers of one rack.
-const RACK: usize = 8;
+const WORKERS_PER_RACK: usize = 8;
 
 /// Sizes of a deployment.
 #[derive(Clone, Copy, Debug)]
-pub struct Site {
+pub struct DeploymentSize {
     /// Entry boxes.
     pub boxes: usize,
     /// Workers.
@@ -47,7 +47,7 @@
     pub halls: usize,
 }
 
-struct Member {
+struct RunningBox {
     settings: Settings,
     switch: Switch,
     thread: JoinHandle<()>,
@@ -59,22 +59,22 @@
     table: Platform,
     endpoints: Vec<SocketAddr>,
     halls: usize,
-    members: Vec<Member>,
+    boxes: Vec<RunningBox>,
     generation: usize,
 }
 
 impl Deployment {
     /// Starts a platform, workers and entry boxes on free ports.
-    pub fn start(site: Site) -> eyre::Result<Self> {
-        let platform = free()?;
-        let service = Platform::new(RATES);
+    pub fn start(site: DeploymentSize) -> eyre::Result<Self> {
+        let platform = free_address()?;
+        let service = Platform::new(TABLE_RATES);
         let mut endpoints = Vec::new();
         for index in 0..site.workers {
             let endpoint = start_worker(&service, index, site)?;
             endpoints.push(endpoint);
         }
         let table = service.clone();
-        spawn("platform", move || {
+        spawn_thread("platform", move || {
             block_on(platform::serve(service, platform))?
         })?;
         let mut deployment = Self {
@@ -82,23 +82,23 @@
             table,
             endpoints,
             halls: site.halls,
-            members: Vec::new(),
+            boxes: Vec::new(),
             generation: 0,
         };
         for index in 0..site.boxes {
-            let member = deployment.member(index)?;
-            deployment.members.push(member);
+            let member = deployment.start_box(index)?;
+            deployment.boxes.push(member);
         }
         Ok(deployment)
     }
 
-    fn member(&mut self, index: usize) -> eyre::Result<Member> {
+    fn start_box(&mut self, index: usize) -> eyre::Result<RunningBox> {
         self.generation += 1;
-        let settings = settings(index, self.halls, self.generation, self.platform)?;
+        let settings = box_settings(index, self.halls, self.generation, self.platform)?;
         let switch = Switch::default();
         let (own, off) = (settings.clone(), switch.clone());
-        let thread = spawn("entry", move || block_on(entry::run(own, off))?)?;
-        Ok(Member {
+        let thread = spawn_thread("entry", move || block_on(entry::run(own, off))?)?;
+        Ok(RunningBox {
             settings,
             switch,
             thread,
@@ -112,34 +112,34 @@
     }
 
     /// Returns the addresses for callers.
-    pub fn callers(&self) -> Vec<SocketAddr> {
-        self.members.iter().map(|m| m.settings.web).collect()
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
+        self.boxes.iter().map(|m| m.settings.web).collect()
     }
 
     /// Returns the address for operators of a box.
-    pub fn rpc(&self, index: usize) -> SocketAddr {
-        self.members[index].settings.rpc
+    pub fn rpc_address(&self, index: usize) -> SocketAddr {
+        self.boxes[index].settings.rpc
     }
 
     /// Waits until every box answers and all cells have an owner.
-    pub async fn ready(&self, limit: u64) -> eyre::Result<()> {
+    pub async fn wait_ready(&self, limit: u64) -> eyre::Result<()> {
         let end = clock::now() + limit;
-        for member in &self.members {
-            wait(&member.settings, end).await?;
+        for member in &self.boxes {
+            wait_until_ready(&member.settings, end).await?;
         }
         Ok(())
     }
 
     /// Starts a worker that is in no list, and returns its endpoint.
-    pub fn lone_worker(&self, service: u64) -> eyre::Result<SocketAddr> {
-        let (http, rpc) = (free()?, free()?);
+    pub fn start_unlisted_worker(&self, service: u64) -> eyre::Result<SocketAddr> {
+        let (http, rpc) = (free_address()?, free_address()?);
         let options = worker_options(http, rpc, service);
-        spawn("worker", move || block_on(worker::serve(options))?)?;
+        spawn_thread("worker", move || block_on(worker::serve(options))?)?;
         Ok(http)
     }
 
     /// Creates the service `stock` and waits until it is in force at every box.
-    pub async fn service(&self) -> eyre::Result<()> {
+    pub async fn create_service(&self) -> eyre::Result<()> {
         let change = proto::EntryChange {
             key: "service/stock".into(),
             value: r#"{"team":"pharmacy","cores":500}"#.into(),
@@ -151,17 +151,17 @@
             author: "demo".into(),
             changes: vec![change],
         };
-        let channel = Channel::new(self.members[0].settings.rpc);
+        let channel = Channel::new(self.boxes[0].settings.rpc);
         let call = |c| async move { OperatorClient::new(c).change(request).await };
-        let reply = channel.call(PATIENCE, call).await;
+        let reply = channel.call(CALL_TIMEOUT, call).await;
         let version = reply.wrap_err("no service")?.version;
-        let end = clock::now() + PATIENCE;
-        for member in &self.members {
+        let end = clock::now() + CALL_TIMEOUT;
+        for member in &self.boxes {
             while status(&member.settings).await?.config < version {
                 if clock::now() >= end {
                     return Err(eyre::eyre!("{} does not follow", member.settings.name));
                 }
-                monoio::time::sleep(PAUSE).await;
+                monoio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -169,14 +169,14 @@
 
     /// Returns the box that owns the cell of the first worker, once one does
     /// and all others know.
-    pub async fn owner(&self) -> eyre::Result<usize> {
-        let end = clock::now() + PATIENCE * 4;
+    pub async fn wait_owner(&self) -> eyre::Result<usize> {
+        let end = clock::now() + CALL_TIMEOUT * 4;
         loop {
-            for (index, member) in self.members.iter().enumerate() {
+            for (index, member) in self.boxes.iter().enumerate() {
                 let channel = Channel::new(member.settings.rpc);
                 let request = proto::ListWorkersRequest { local: true };
                 let call = |c| async move { OperatorClient::new(c).list_workers(request).await };
-                let reply = channel.call(PATIENCE, call).await?;
+                let reply = channel.call(CALL_TIMEOUT, call).await?;
                 let open = reply.workers.iter().filter(|w| w.state == "open").count();
                 if open == self.endpoints.len() {
                     // Greetings tell the others.
@@ -187,16 +187,16 @@
             if clock::now() >= end {
                 return Err(eyre::eyre!("no box owns all workers"));
             }
-            monoio::time::sleep(PAUSE).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Starts a new box in the place of one that then stops as planned.
     pub async fn replace(&mut self, index: usize, limit: u64) -> eyre::Result<()> {
-        let fresh = self.member(index)?;
-        wait(&fresh.settings, clock::now() + limit).await?;
-        let old = std::mem::replace(&mut self.members[index], fresh);
-        super::switch_off(&old.switch);
+        let fresh = self.start_box(index)?;
+        wait_until_ready(&fresh.settings, clock::now() + limit).await?;
+        let old = std::mem::replace(&mut self.boxes[index], fresh);
+        super::request_stop(&old.switch);
         // It ends by itself when what is in progress has ended.
         drop(old.thread);
         Ok(())
@@ -204,10 +204,10 @@
 
     /// Stops all boxes as planned.
     pub fn stop(self) {
-        for member in &self.members {
-            super::switch_off(&member.switch);
+        for member in &self.boxes {
+            super::request_stop(&member.switch);
         }
-        for member in self.members {
+        for member in self.boxes {
             let _ = member.thread.join();
         }
     }
@@ -218,11 +218,11 @@
     let channel = Channel::new(settings.rpc);
     let request = proto::StatusRequest {};
     let call = |c| async move { OperatorClient::new(c).status(request).await };
-    Ok(channel.call(PATIENCE, call).await?)
+    Ok(channel.call(CALL_TIMEOUT, call).await?)
 }
 
 /// Waits until a box is ready, as the platform's balancer would.
-async fn wait(settings: &Settings, end: u64) -> eyre::Result<()> {
+async fn wait_until_ready(settings: &Settings, end: u64) -> eyre::Result<()> {
     loop {
         if status(settings).await.is_ok_and(|s| s.ready) {
             return Ok(());
@@ -230,23 +230,27 @@
         if clock::now() >= end {
             return Err(eyre::eyre!("{} is not ready", settings.name));
         }
-        monoio::time::sleep(PAUSE).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Starts a worker and returns the address of its endpoint.
-fn start_worker(platform: &Platform, index: usize, site: Site) -> eyre::Result<SocketAddr> {
-    let (http, rpc) = (free()?, free()?);
+fn start_worker(
+    platform: &Platform,
+    index: usize,
+    site: DeploymentSize,
+) -> eyre::Result<SocketAddr> {
+    let (http, rpc) = (free_address()?, free_address()?);
     platform.register(proto::DirectoryEntry {
         name: format!("w{index}"),
         hall: format!("h{}", index % site.halls),
-        rack: format!("r{}", index / RACK),
+        rack: format!("r{}", index / WORKERS_PER_RACK),
         http: http.to_string(),
         rpc: rpc.to_string(),
         leaving: false,
     });
     let options = worker_options(http, rpc, site.service);
-    spawn("worker", move || block_on(worker::serve(options))?)?;
+    spawn_thread("worker", move || block_on(worker::serve(options))?)?;
     Ok(http)
 }
 
@@ -267,7 +271,7 @@
 }
 
 /// Starts a part on a thread; its error ends up in the log.
-fn spawn(
+fn spawn_thread(
     name: &str,
     part: impl FnOnce() -> eyre::Result<()> + Send + 'static,
 ) -> eyre::Result<JoinHandle<()>> {
@@ -283,7 +287,7 @@
 
 /// Returns a free address on loopback, below the ports that outgoing
 /// connections get.
-fn free() -> eyre::Result<SocketAddr> {
+fn free_address() -> eyre::Result<SocketAddr> {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let start = PORTS.0 + (std::process::id() % u32::from(PORTS.1)) as u16;
     for _ in 0..PORTS.1 {
@@ -296,7 +300,7 @@
     Err(eyre::eyre!("no free port on loopback"))
 }
 
-fn settings(
+fn box_settings(
     index: usize,
     halls: usize,
     generation: usize,
@@ -306,9 +310,9 @@
         "[box]\nname = \"e{index}-{generation}\"\nhall = \"h{}\"\nweb = \"{}\"\nrpc = \"{}\"\n\
          admin = \"{}\"\n[platform]\nrpc = \"{platform}\"\n",
         index % halls,
-        free()?,
-        free()?,
-        free()?
+        free_address()?,
+        free_address()?,
+        free_address()?
     );
     options::entry::parse("demo", &text).map_err(|findings| {
         let lines: Vec<String> = findings.iter().map(|f| f.to_string()).collect();
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -68,7 +68,7 @@
     let mut interval = monoio::time::interval(Duration::from_millis(TICK));
     loop {
         interval.tick().await;
-        let stopping = signals::asked() || switch.load(Ordering::Relaxed);
+        let stopping = signals::stop_requested() || switch.load(Ordering::Relaxed);
         if stopping {
             context.send(Message::Event(Event::Stop));
         }
--- a/src/entry/listings.rs
+++ b/src/entry/listings.rs
@@ -148,6 +148,6 @@
         boxes: view.boxes as u32,
         lease: view.may_act,
         store: view.table_silence,
-        violations: invariant::violated(),
+        violations: invariant::total_violations(),
     })
 }
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -7,7 +7,7 @@
 use super::jobs::{cancel, list_jobs, show, submit};
 use super::listings::{list_boxes, list_tasks, list_workers, status};
 use super::shell::Context;
-use crate::config::{self, ChangeRow, Edit, Editor, Refusal, Step};
+use crate::config::{self, ChangeRow, ConfigTransaction, Edit, Refusal, Step};
 use crate::engine::{Query, View};
 use crate::proto::{self, operator_server};
 use crate::rpc::bridge::Bridge;
@@ -132,10 +132,10 @@
         when: clock::wall(),
         edits: request.changes.into_iter().map(edit).collect(),
     };
-    let (mut editor, mut step) = Editor::new(row);
+    let (mut transaction, mut step) = ConfigTransaction::new(row);
     loop {
         match step {
-            Step::Call(call) => step = editor.next(context.store.call(call).await),
+            Step::Call(call) => step = transaction.advance(context.store.call(call).await),
             Step::Accepted(version) => {
                 log::info!(target: "config", "version {version} is accepted");
                 return Ok(proto::ChangeReply { version });
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -17,7 +17,7 @@
 use crate::trace;
 use crate::utils::Name;
 use crate::utils::clock::{self, Millis};
-use crate::utils::drain::Trigger;
+use crate::utils::drain::DrainTrigger;
 use crate::web::client::Pool;
 use crate::web::{self, Reply};
 
@@ -171,12 +171,12 @@
     queries: HashMap<u64, oneshot::Sender<View>>,
     next: u64,
     /// Ends the tasks that hold connections; none once it has begun.
-    trigger: Option<Trigger>,
+    trigger: Option<DrainTrigger>,
 }
 
 impl Shell {
     /// Returns the task around an engine, with what ends the servers.
-    pub fn new(engine: Engine, context: Rc<Context>, trigger: Trigger) -> Self {
+    pub fn new(engine: Engine, context: Rc<Context>, trigger: DrainTrigger) -> Self {
         Self {
             engine,
             context,
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -10,7 +10,7 @@
 
 /// One decision that touched the job, as a box logged it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Moment {
+pub struct LoggedEvent {
     /// Milliseconds since the Unix epoch on the clock of the box.
     pub time: Millis,
     /// Box that decided.
@@ -22,28 +22,32 @@
     pub inputs: String,
 }
 
-/// Returns the moments of a job, a task or a worker in their order, with what
+/// Returns the events of a job, a task or a worker in their order, with what
 /// befell the owners and the store between the first and the last of them.
-pub fn find<'l>(lines: impl Iterator<Item = &'l str>, id: &str) -> Vec<Moment> {
-    let all: Vec<(bool, Moment)> = lines
-        .filter_map(|line| Some((names(line, id), parse(line)?)))
+pub fn find_events<'l>(lines: impl Iterator<Item = &'l str>, id: &str) -> Vec<LoggedEvent> {
+    let all: Vec<(bool, LoggedEvent)> = lines
+        .filter_map(|line| Some((mentions(line, id), parse_line(line)?)))
         .collect();
-    let touched = || all.iter().filter(|(named, _)| *named).map(|(_, m)| m.time);
+    let touched = || {
+        all.iter()
+            .filter(|(mentioned, _)| *mentioned)
+            .map(|(_, m)| m.time)
+    };
     let (Some(first), Some(last)) = (touched().min(), touched().max()) else {
         return Vec::new();
     };
-    let within = |m: &Moment| (first..=last).contains(&m.time) && concerns_all(&m.event);
-    let mut moments: Vec<Moment> = all
+    let within = |m: &LoggedEvent| (first..=last).contains(&m.time) && affects_all_jobs(&m.event);
+    let mut events: Vec<LoggedEvent> = all
         .into_iter()
-        .filter(|(named, m)| *named || within(m))
+        .filter(|(mentioned, m)| *mentioned || within(m))
         .map(|(_, m)| m)
         .collect();
-    moments.sort_by_key(|m| m.time);
-    moments
+    events.sort_by_key(|m| m.time);
+    events
 }
 
 /// Events that touch every job.
-const COMMON: [&str; 10] = [
+const COMMON_EVENTS: [&str; 10] = [
     "owner-begins",
     "owner-ends",
     "predecessor-ended",
@@ -56,12 +60,12 @@
     "cordons",
 ];
 
-fn concerns_all(event: &str) -> bool {
-    COMMON.contains(&event)
+fn affects_all_jobs(event: &str) -> bool {
+    COMMON_EVENTS.contains(&event)
 }
 
 /// Returns true when a line has the id as a value or as the start of one.
-fn names(line: &str, id: &str) -> bool {
+fn mentions(line: &str, id: &str) -> bool {
     line.split_ascii_whitespace().any(|word| {
         let value = word.split_once('=').map_or(word, |(_, v)| v);
         let rest = value.strip_prefix(id);
@@ -70,7 +74,7 @@
 }
 
 /// Reads a line as text: time, level, box, module and pairs; or as JSON.
-fn parse(line: &str) -> Option<Moment> {
+fn parse_line(line: &str) -> Option<LoggedEvent> {
     let start = line.find(|c: char| c.is_ascii_digit() || c == '{')?;
     let line = &line[start..];
     if line.starts_with('{') {
@@ -83,7 +87,7 @@
         .position(|w| w.len() >= 13 && w.parse::<Millis>().is_ok())?;
     let time = words[place].parse().ok()?;
     let node = words.get(place + 2)?.to_string();
-    moment(time, node, &words.get(place + 4..)?.join(" "))
+    parse_message(time, node, &words.get(place + 4..)?.join(" "))
 }
 
 /// A log line as JSON, as far as it is needed.
@@ -95,12 +99,12 @@
     message: String,
 }
 
-fn parse_json(line: &str) -> Option<Moment> {
+fn parse_json(line: &str) -> Option<LoggedEvent> {
     let line: Line = serde_json::from_str(line).ok()?;
-    moment(line.time, line.node.to_string(), &line.message)
+    parse_message(line.time, line.node.to_string(), &line.message)
 }
 
-fn moment(time: Millis, node: String, message: &str) -> Option<Moment> {
+fn parse_message(time: Millis, node: String, message: &str) -> Option<LoggedEvent> {
     let mut event = None;
     let mut inputs = Vec::new();
     for word in message.split_ascii_whitespace() {
@@ -109,7 +113,7 @@
             _ => inputs.push(word),
         }
     }
-    Some(Moment {
+    Some(LoggedEvent {
         time,
         node,
         event: event?,
--- a/src/explain/tests.rs
+++ b/src/explain/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the course of a job out of log lines.
 
-use super::find;
+use super::find_events;
 
 const LOG: &str = "\
 1783687890011 INFO  b1 daemon: event=start box=b1 life=1
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_job_is_followed_over_boxes_with_what_befell_the_owner() {
-    let moments = find(LOG.lines(), "aa11");
+    let moments = find_events(LOG.lines(), "aa11");
     let events: Vec<&str> = moments.iter().map(|m| &*m.event).collect();
     assert_eq!(events, ["accept", "start", "owner-begins", "end"]);
     assert_eq!(moments[3].node, "b2");
@@ -23,5 +23,5 @@
 
 #[test]
 fn an_unknown_id_has_no_course() {
-    assert!(find(LOG.lines(), "ff").is_empty());
+    assert!(find_events(LOG.lines(), "ff").is_empty());
 }
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -44,11 +44,11 @@
 static CHECKS: [AtomicU64; 9] = [const { AtomicU64::new(0) }; 9];
 static VIOLATIONS: [AtomicU64; 9] = [const { AtomicU64::new(0) }; 9];
 
-static STRICT: AtomicBool = AtomicBool::new(false);
+static PANIC: AtomicBool = AtomicBool::new(false);
 
 /// Makes every violation a panic, for randomised runs.
-pub fn strict() {
-    STRICT.store(true, Ordering::Relaxed);
+pub fn panic_on_violation() {
+    PANIC.store(true, Ordering::Relaxed);
 }
 
 /// Counts a check; returns `holds`, and logs the violation when it is false.
@@ -60,7 +60,7 @@
         let detail = detail();
         log::error!(target: "invariant", "{rule:?} violated: {detail}");
         assert!(
-            !STRICT.load(Ordering::Relaxed),
+            !PANIC.load(Ordering::Relaxed),
             "{rule:?} violated: {detail}"
         );
     }
@@ -78,6 +78,6 @@
 }
 
 /// Returns how often any rule was violated.
-pub fn violated() -> u64 {
+pub fn total_violations() -> u64 {
     RULES.iter().map(|r| violations(*r)).sum()
 }
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -27,7 +27,7 @@
 
 /// What is logged and how.
 #[derive(Clone, Debug)]
-pub struct Logs {
+pub struct LogSettings {
     /// Form of a line.
     pub format: Format,
     /// Level of all modules without a level of their own.
@@ -36,7 +36,7 @@
     pub modules: Vec<(String, LevelFilter)>,
 }
 
-impl Default for Logs {
+impl Default for LogSettings {
     fn default() -> Self {
         Self {
             format: Format::Text,
@@ -48,7 +48,7 @@
 
 /// A line as JSON.
 #[derive(Serialize)]
-struct Line<'a> {
+struct JsonLine<'a> {
     time: u64,
     level: &'a str,
     module: &'a str,
@@ -58,7 +58,7 @@
 }
 
 /// Starts logging to standard output; `node` is the name written into each line.
-pub fn start(logs: &Logs, node: &str) -> eyre::Result<()> {
+pub fn init(logs: &LogSettings, node: &str) -> eyre::Result<()> {
     let format = logs.format;
     let node = node.to_string();
     let mut dispatch =
@@ -82,37 +82,37 @@
     let writer: Box<dyn Write + Send> = Box::new(Writer(sink.clone()));
     dispatch.chain(writer).apply()?;
     // Only the first start of a process gets here, as `apply` fails later.
-    let _ = STARTED.set(sink);
+    let _ = SINK.set(sink);
     Ok(())
 }
 
 /// The sink of this process, once logging has started.
-static STARTED: OnceLock<Arc<Mutex<Sink>>> = OnceLock::new();
+static SINK: OnceLock<Arc<Mutex<Sink>>> = OnceLock::new();
 
 /// Writes into the sink of this process.
 struct Writer(Arc<Mutex<Sink>>);
 
 impl Write for Writer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        locked(&self.0).write(bytes)
+        lock(&self.0).write(bytes)
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        locked(&self.0).flush()
+        lock(&self.0).flush()
     }
 }
 
 /// Locks the sink, also after a panic of a thread that held it: its state is whole
 /// between two lines, and no line is lost for that.
-fn locked(sink: &Mutex<Sink>) -> MutexGuard<'_, Sink> {
+fn lock(sink: &Mutex<Sink>) -> MutexGuard<'_, Sink> {
     sink.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Lets lines wait for others to be written with them; the program has to call
 /// [`flush`] often. Lines of before a panic are written at once.
-pub fn gather() {
-    if let Some(sink) = STARTED.get() {
-        locked(sink).gather();
+pub fn enable_batching() {
+    if let Some(sink) = SINK.get() {
+        lock(sink).enable_batching();
     }
     let before = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
@@ -123,8 +123,8 @@
 
 /// Writes the lines that wait.
 pub fn flush() {
-    if let Some(Ok(mut sink)) = STARTED.get().map(|s| s.try_lock()) {
-        sink.send_kept();
+    if let Some(Ok(mut sink)) = SINK.get().map(|s| s.try_lock()) {
+        sink.write_pending();
     }
 }
 
@@ -133,7 +133,7 @@
     match format {
         Format::Text => format!("{time} {level:5} {node} {module}: {message}"),
         Format::Json => {
-            let line = Line {
+            let line = JsonLine {
                 time,
                 level,
                 module,
--- a/src/logs/sink.rs
+++ b/src/logs/sink.rs
@@ -6,15 +6,15 @@
 use crate::utils::clock::{self, Millis};
 
 /// Lines a second that are written; some times the busiest second seen.
-const LINES: u32 = 4_000;
+const MAX_LINES_PER_WINDOW: u32 = 4_000;
 /// Bytes of a line that a pipe takes at once (`PIPE_BUF` of Linux).
-const ATOMIC: usize = 4_096;
+const MAX_ATOMIC_WRITE: usize = 4_096;
 /// Milliseconds over which lines are counted.
-const SPAN: Millis = 1_000;
+const WINDOW: Millis = 1_000;
 /// Milliseconds that a line waits for others to be written with it, where that is
 /// asked for. A line by itself took three system calls, which were two in five of
 /// all that an owner made at 1,000 tasks a second (counted with strace).
-const HELD: Millis = 20;
+const BATCH_DELAY: Millis = 20;
 
 /// A writer that drops whole lines when its reader is slow or too many come,
 /// and says how many.
@@ -23,17 +23,17 @@
     /// The line as far as it was gathered.
     line: Vec<u8>,
     /// Whole lines that are not written yet.
-    kept: Vec<u8>,
+    pending: Vec<u8>,
     /// How many these are.
-    count: u64,
+    pending_lines: u64,
     /// When the first of them came.
-    since: Millis,
+    pending_since: Millis,
     /// Milliseconds that it may wait.
-    held: Millis,
+    batch_delay: Millis,
     /// When the present span of counted lines began.
-    began: Millis,
+    window_start: Millis,
     /// Lines in that span.
-    lines: u32,
+    window_lines: u32,
     /// Lines dropped since that was last said.
     dropped: u64,
 }
@@ -44,45 +44,45 @@
         Self {
             fd,
             line: Vec::new(),
-            kept: Vec::new(),
-            count: 0,
-            since: 0,
-            held: 0,
-            began: 0,
-            lines: 0,
+            pending: Vec::new(),
+            pending_lines: 0,
+            pending_since: 0,
+            batch_delay: 0,
+            window_start: 0,
+            window_lines: 0,
             dropped: 0,
         }
     }
 
-    /// Lets lines wait a little for others; [`Sink::send_kept`] has to be called
+    /// Lets lines wait a little for others; [`Sink::write_pending`] has to be called
     /// now and then.
-    pub fn gather(&mut self) {
-        self.held = HELD;
+    pub fn enable_batching(&mut self) {
+        self.batch_delay = BATCH_DELAY;
     }
 
     /// Writes the lines that wait, or drops them.
-    pub fn send_kept(&mut self) {
-        if self.count == 0 {
+    pub fn write_pending(&mut self) {
+        if self.pending_lines == 0 {
             return;
         }
-        let ready = self.ready();
-        if ready && self.dropped > 0 {
+        let writable = self.is_writable();
+        if writable && self.dropped > 0 {
             self.report_dropped();
         }
-        if !(ready && self.send(&self.kept)) {
-            self.drop_lines(self.count);
+        if !(writable && self.write_all_now(&self.pending)) {
+            self.count_dropped(self.pending_lines);
         }
-        self.kept.clear();
-        self.count = 0;
+        self.pending.clear();
+        self.pending_lines = 0;
     }
 
-    fn drop_lines(&mut self, count: u64) {
+    fn count_dropped(&mut self, count: u64) {
         self.dropped += count;
         crate::metrics::get().dropped_lines.inc_by(count);
     }
 
     /// Returns true when a line can be written without waiting.
-    fn ready(&self) -> bool {
+    fn is_writable(&self) -> bool {
         let mut poll = libc::pollfd {
             fd: self.fd,
             events: libc::POLLOUT,
@@ -94,18 +94,18 @@
     }
 
     /// Counts a line; false when too many have come.
-    fn allowed(&mut self) -> bool {
+    fn is_within_rate(&mut self) -> bool {
         let now = clock::now();
-        if now >= self.began + SPAN {
-            self.began = now;
-            self.lines = 0;
+        if now >= self.window_start + WINDOW {
+            self.window_start = now;
+            self.window_lines = 0;
         }
-        self.lines += 1;
-        self.lines <= LINES
+        self.window_lines += 1;
+        self.window_lines <= MAX_LINES_PER_WINDOW
     }
 
     /// Writes all of the bytes or fails.
-    fn send(&self, bytes: &[u8]) -> bool {
+    fn write_all_now(&self, bytes: &[u8]) -> bool {
         // SAFETY: `bytes` is valid for reading.
         let sent = unsafe { libc::write(self.fd, bytes.as_ptr().cast(), bytes.len()) };
         sent == bytes.len() as isize
@@ -113,7 +113,7 @@
 
     fn report_dropped(&mut self) {
         let text = format!("event=log-dropped lines={}\n", self.dropped);
-        if self.send(text.as_bytes()) {
+        if self.write_all_now(text.as_bytes()) {
             self.dropped = 0;
         }
     }
@@ -128,25 +128,25 @@
     /// Ends the gathered line, and writes it unless it may wait for others.
     fn flush(&mut self) -> io::Result<()> {
         let mut line = std::mem::take(&mut self.line);
-        if line.len() > ATOMIC {
-            line.truncate(ATOMIC - 1);
+        if line.len() > MAX_ATOMIC_WRITE {
+            line.truncate(MAX_ATOMIC_WRITE - 1);
             line.push(b'\n');
         }
-        if self.kept.len() + line.len() > ATOMIC {
-            self.send_kept();
+        if self.pending.len() + line.len() > MAX_ATOMIC_WRITE {
+            self.write_pending();
         }
-        if self.allowed() {
+        if self.is_within_rate() {
             let now = clock::now();
-            if self.count == 0 {
-                self.since = now;
+            if self.pending_lines == 0 {
+                self.pending_since = now;
             }
-            self.kept.extend_from_slice(&line);
-            self.count += 1;
-            if now >= self.since + self.held {
-                self.send_kept();
+            self.pending.extend_from_slice(&line);
+            self.pending_lines += 1;
+            if now >= self.pending_since + self.batch_delay {
+                self.write_pending();
             }
         } else {
-            self.drop_lines(1);
+            self.count_dropped(1);
         }
         line.clear();
         self.line = line;
@@ -156,6 +156,6 @@
 
 impl Drop for Sink {
     fn drop(&mut self) {
-        self.send_kept();
+        self.write_pending();
     }
 }
--- a/src/logs/tests.rs
+++ b/src/logs/tests.rs
@@ -34,10 +34,10 @@
 fn lines_that_may_wait_are_written_together() {
     let (mut reader, writer) = std::io::pipe().expect("pipe");
     let mut sink = Sink::new(writer.as_raw_fd());
-    sink.gather();
+    sink.enable_batching();
     line(&mut sink, "one\n");
     line(&mut sink, "two\n");
-    sink.send_kept();
+    sink.write_pending();
     let mut text = [0; 64];
     let count = reader.read(&mut text).expect("lines");
     assert_eq!(&text[..count], b"one\ntwo\n");
--- a/src/operator/commands.rs
+++ b/src/operator/commands.rs
@@ -12,7 +12,7 @@
 use crate::utils::clock;
 
 /// What a command prints, or why it failed.
-type Printed = Result<String, CallError>;
+type CommandResult = Result<String, CallError>;
 
 /// Runs an operator's command; returns what is printed and the exit code.
 pub async fn run(command: &Command) -> (String, u8) {
@@ -28,11 +28,11 @@
     };
     match printed {
         Ok(text) => (text, exit::DONE),
-        Err(e) => (format!("{}\n", explain(&e)), code(&e)),
+        Err(e) => (format!("{}\n", describe_error(&e)), exit_code(&e)),
     }
 }
 
-fn code(e: &CallError) -> u8 {
+fn exit_code(e: &CallError) -> u8 {
     use tonic::Code;
     match e {
         CallError::NotSent(_) => exit::NOT_REACHED,
@@ -45,12 +45,12 @@
     }
 }
 
-fn explain(e: &CallError) -> String {
+fn describe_error(e: &CallError) -> String {
     let reason = match e {
         CallError::NotSent(reason) | CallError::Lost(reason) => reason,
         CallError::Refused(_, reason) => reason,
     };
-    match code(e) {
+    match exit_code(e) {
         exit::NOT_REACHED => format!("not reached: {reason}"),
         exit::UNKNOWN => format!("unknown outcome: {reason}"),
         _ => format!("refused: {reason}"),
@@ -58,19 +58,19 @@
 }
 
 /// Returns a channel to the first box that can be reached.
-async fn reach(target: &Target) -> Result<Channel, CallError> {
+async fn connect(target: &Target) -> Result<Channel, CallError> {
     let mut last = CallError::NotSent("name an entry box with --at or WILLOWPOINT_AT".into());
     for address in &target.at {
         let channel = Channel::new(*address);
         match channel.connect(target.timeout).await {
             Ok(()) => return Ok(channel),
-            Err(e) => last = at(*address, e),
+            Err(e) => last = with_address(*address, e),
         }
     }
     Err(last)
 }
 
-fn at(address: SocketAddr, e: CallError) -> CallError {
+fn with_address(address: SocketAddr, e: CallError) -> CallError {
     match e {
         CallError::NotSent(reason) => CallError::NotSent(format!("{address}: {reason}")),
         other => other,
@@ -80,7 +80,7 @@
 /// Calls a box through the generated client.
 macro_rules! call {
     ($target:expr, $method:ident, $request:expr) => {{
-        let channel = reach($target).await?;
+        let channel = connect($target).await?;
         let request = $request;
         let call = |c| async move { OperatorClient::new(c).$method(request).await };
         channel.call($target.timeout, call).await
@@ -91,7 +91,11 @@
     format!("{value:#}\n")
 }
 
-async fn change(target: &Target, changes: Vec<proto::EntryChange>, id: Option<String>) -> Printed {
+async fn change(
+    target: &Target,
+    changes: Vec<proto::EntryChange>,
+    id: Option<String>,
+) -> CommandResult {
     let id = id.unwrap_or_else(|| format!("c{:x}-{:x}", clock::wall(), std::process::id()));
     let author = std::env::var("USER").unwrap_or_else(|_| "operator".into());
     let request = proto::ChangeRequest {
@@ -129,27 +133,31 @@
     )
 }
 
-async fn service(target: &Target, action: &args::Service) -> Printed {
+async fn service(target: &Target, action: &args::Service) -> CommandResult {
     match action {
         args::Service::Create(spec) => {
             change(target, vec![service_entry(spec, Some(0))], None).await
         }
         args::Service::Update { spec, expect } => {
             let key = format!("service/{}", spec.name);
-            let expect = present(target, &key, *expect).await?;
+            let expect = existing_version(target, &key, *expect).await?;
             change(target, vec![service_entry(spec, Some(expect))], None).await
         }
         args::Service::Remove { name, expect } => {
             let key = format!("service/{name}");
-            let expect = present(target, &key, *expect).await?;
+            let expect = existing_version(target, &key, *expect).await?;
             change(target, vec![entry(key, None, Some(expect))], None).await
         }
-        args::Service::List => services(target).await,
+        args::Service::List => list_services(target).await,
     }
 }
 
 /// Returns the version of an entry that must exist.
-async fn present(target: &Target, key: &str, expect: Option<u64>) -> Result<u64, CallError> {
+async fn existing_version(
+    target: &Target,
+    key: &str,
+    expect: Option<u64>,
+) -> Result<u64, CallError> {
     if let Some(expect) = expect {
         return Ok(expect);
     }
@@ -161,7 +169,7 @@
     })
 }
 
-async fn services(target: &Target) -> Printed {
+async fn list_services(target: &Target) -> CommandResult {
     let shown = call!(target, show_config, proto::ShowConfigRequest {})?;
     let parsed = shown.entries.iter().filter_map(|e| {
         let name = e.key.strip_prefix("service/")?;
@@ -184,7 +192,7 @@
     Ok(table.to_string())
 }
 
-async fn job(target: &Target, action: &args::Job) -> Printed {
+async fn job(target: &Target, action: &args::Job) -> CommandResult {
     match action {
         args::Job::Submit {
             team,
@@ -210,11 +218,11 @@
             };
             let request = proto::SubmitJobRequest { spec: Some(spec) };
             let reply = call!(target, submit_job, request)?;
-            Ok(jobs(target, &[reply]))
+            Ok(format_jobs(target, &[reply]))
         }
         args::Job::Show { id } => {
             let reply = call!(target, show_job, proto::ShowJobRequest { id: id.clone() })?;
-            Ok(jobs(target, &[reply]))
+            Ok(format_jobs(target, &[reply]))
         }
         args::Job::Cancel { id } => {
             let reply = call!(
@@ -222,13 +230,13 @@
                 cancel_job,
                 proto::CancelJobRequest { id: id.clone() }
             )?;
-            Ok(jobs(target, &[reply]))
+            Ok(format_jobs(target, &[reply]))
         }
         args::Job::List { after } => list_jobs(target, after).await,
     }
 }
 
-async fn list_jobs(target: &Target, after: &str) -> Printed {
+async fn list_jobs(target: &Target, after: &str) -> CommandResult {
     let mut all = Vec::new();
     let mut after = after.to_string();
     loop {
@@ -242,12 +250,12 @@
         all.extend(reply.jobs);
         match next {
             Some(next) if reply.more => after = next,
-            _ => return Ok(jobs(target, &all)),
+            _ => return Ok(format_jobs(target, &all)),
         }
     }
 }
 
-fn jobs(target: &Target, replies: &[proto::JobReply]) -> String {
+fn format_jobs(target: &Target, replies: &[proto::JobReply]) -> String {
     if target.json {
         let list: Vec<Value> = replies.iter().map(job_json).collect();
         return pretty(&json!(list));
@@ -289,7 +297,7 @@
     })
 }
 
-async fn config(target: &Target, action: &args::Config) -> Printed {
+async fn config(target: &Target, action: &args::Config) -> CommandResult {
     match action {
         args::Config::Apply {
             set,
@@ -310,11 +318,11 @@
             change(target, changes, id.clone()).await
         }
         args::Config::Show => show_config(target).await,
-        args::Config::Versions { limit } => versions(target, *limit).await,
+        args::Config::Versions { limit } => list_versions(target, *limit).await,
     }
 }
 
-async fn show_config(target: &Target) -> Printed {
+async fn show_config(target: &Target) -> CommandResult {
     let shown = call!(target, show_config, proto::ShowConfigRequest {})?;
     if target.json {
         let entries: Vec<Value> = shown
@@ -332,7 +340,7 @@
     Ok(format!("version {}\n{table}", shown.version))
 }
 
-async fn versions(target: &Target, limit: u32) -> Printed {
+async fn list_versions(target: &Target, limit: u32) -> CommandResult {
     let reply = call!(target, list_versions, proto::ListVersionsRequest { limit })?;
     if target.json {
         let list: Vec<Value> = reply
@@ -353,7 +361,7 @@
     Ok(table.to_string())
 }
 
-async fn boxes(target: &Target, action: &args::Boxes) -> Printed {
+async fn boxes(target: &Target, action: &args::Boxes) -> CommandResult {
     let args::Boxes::List = action;
     let reply = call!(target, list_boxes, proto::ListBoxesRequest {})?;
     if target.json {
@@ -374,7 +382,7 @@
     Ok(table.to_string())
 }
 
-async fn worker(target: &Target, action: &args::Worker) -> Printed {
+async fn worker(target: &Target, action: &args::Worker) -> CommandResult {
     match action {
         args::Worker::Drain { name } => {
             let drain = entry(format!("drain/{name}"), Some("true".into()), None);
@@ -384,11 +392,11 @@
             let restore = entry(format!("drain/{name}"), None, None);
             change(target, vec![restore], None).await
         }
-        args::Worker::List => workers(target).await,
+        args::Worker::List => list_workers(target).await,
     }
 }
 
-async fn workers(target: &Target) -> Printed {
+async fn list_workers(target: &Target) -> CommandResult {
     let reply = call!(
         target,
         list_workers,
@@ -423,17 +431,17 @@
             &w.name, &w.cell, &w.state, &w.busy, &w.slots, &w.free, &w.runs, &w.owner,
         ]);
     }
-    Ok(format!("{table}{}", missing(&reply.missing)))
+    Ok(format!("{table}{}", missing_note(&reply.missing)))
 }
 
-fn missing(boxes: &[String]) -> String {
+fn missing_note(boxes: &[String]) -> String {
     match boxes.is_empty() {
         true => String::new(),
         false => format!("no answer from: {}\n", boxes.join(", ")),
     }
 }
 
-async fn task(target: &Target, action: &args::Task) -> Printed {
+async fn task(target: &Target, action: &args::Task) -> CommandResult {
     let args::Task::List { job } = action;
     let request = proto::ListTasksRequest {
         job: job.clone(),
@@ -462,10 +470,10 @@
             &t.evictions,
         ]);
     }
-    Ok(format!("{table}{}", missing(&reply.missing)))
+    Ok(format!("{table}{}", missing_note(&reply.missing)))
 }
 
-async fn status(target: &Target) -> Printed {
+async fn status(target: &Target) -> CommandResult {
     let s = call!(target, status, proto::StatusRequest {})?;
     if target.json {
         let value = json!({ "id": s.id, "hall": s.hall, "ready": s.ready, "config": s.config,
--- a/src/options.rs
+++ b/src/options.rs
@@ -13,7 +13,7 @@
 
 use crate::cell::Policy;
 use crate::lease::LeaseTimings;
-use crate::logs::Logs;
+use crate::logs::LogSettings;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 use crate::web::server::Limits;
@@ -59,7 +59,7 @@
     /// Part of requests without a trace context that are traced, from 0 to 1.
     pub trace_share: f64,
     /// Logs.
-    pub logs: Logs,
+    pub logs: LogSettings,
 }
 
 /// Intervals and timeouts of background work, in milliseconds.
--- a/src/options/daemon.rs
+++ b/src/options/daemon.rs
@@ -5,7 +5,7 @@
 use super::check;
 use super::entry::{limits, logs};
 use super::reader::{Finding, Reader};
-use crate::logs::Logs;
+use crate::logs::LogSettings;
 use crate::sched::mechanisms::Mechanisms;
 use crate::sched::owner::OwnerSettings;
 use crate::utils::Name;
@@ -83,7 +83,7 @@
     /// Bounds for callers' requests.
     pub limits: Limits,
     /// Logs.
-    pub logs: Logs,
+    pub logs: LogSettings,
 }
 
 /// Reads and checks a settings file; all findings are reported together.
--- a/src/options/entry.rs
+++ b/src/options/entry.rs
@@ -6,7 +6,7 @@
 use super::{Intervals, Settings, check};
 use crate::cell::Policy;
 use crate::lease::LeaseTimings;
-use crate::logs::{Format, Logs};
+use crate::logs::{Format, LogSettings};
 use crate::web::server::Limits;
 
 const HOUR: u64 = 3_600_000;
@@ -105,7 +105,7 @@
     }
 }
 
-pub(super) fn logs(reader: &mut Reader) -> Logs {
+pub(super) fn logs(reader: &mut Reader) -> LogSettings {
     let format = match reader.string("log.format", Some("json")).as_str() {
         "json" => Format::Json,
         "text" => Format::Text,
@@ -122,7 +122,7 @@
         let key = format!("log.modules.{module}");
         modules.push((module, parse_level(reader, &key, &text)));
     }
-    Logs {
+    LogSettings {
         format,
         level,
         modules,
--- a/src/program.rs
+++ b/src/program.rs
@@ -6,7 +6,7 @@
 use eyre::WrapErr;
 use monoio::{LegacyDriver, RuntimeBuilder};
 
-use crate::logs::{self, Logs};
+use crate::logs::{self, LogSettings};
 use crate::operator::{self, exit};
 use crate::options;
 use crate::options::args::{Command, StandIn};
@@ -17,14 +17,14 @@
 /// Runs a command to its end.
 pub fn run(command: Command) -> ExitCode {
     let result = match &command {
-        Command::Check { files } => return check(files),
-        Command::Entry { config } => return entry(config),
-        Command::Serve { config } => return serve(config),
-        Command::StandIn(stand_in) => stand_in_run(stand_in.clone()),
+        Command::Check { files } => return check_files(files),
+        Command::Entry { config } => return run_entry(config),
+        Command::Serve { config } => return run_serve(config),
+        Command::StandIn(stand_in) => run_stand_in(stand_in.clone()),
         Command::Demo(options) => demo::run(options),
-        Command::Trace { json, id, files } => spans(*json, id, files),
-        Command::Explain { json, id, files } => explain(*json, id, files),
-        _ => return operate(&command),
+        Command::Trace { json, id, files } => print_spans(*json, id, files),
+        Command::Explain { json, id, files } => print_events(*json, id, files),
+        _ => return run_operator_command(&command),
     };
     finish(result)
 }
@@ -48,7 +48,7 @@
     Ok(runtime.block_on(future))
 }
 
-fn check(files: &[String]) -> ExitCode {
+fn check_files(files: &[String]) -> ExitCode {
     let mut code = exit::DONE;
     for name in files {
         match options::check_file(name) {
@@ -63,51 +63,51 @@
 }
 
 /// Prints what is wrong with the settings of a daemon that does not start.
-fn refuse(findings: &[options::Finding]) -> ExitCode {
+fn report_findings(findings: &[options::Finding]) -> ExitCode {
     findings.iter().for_each(|f| eprintln!("{f}"));
     ExitCode::from(exit::REFUSED)
 }
 
-fn entry(name: &str) -> ExitCode {
+fn run_entry(name: &str) -> ExitCode {
     let settings = match options::entry::load(name) {
         Ok(settings) => settings,
-        Err(findings) => return refuse(&findings),
+        Err(findings) => return report_findings(&findings),
     };
     let start = || {
-        logs::start(&settings.logs, &settings.name)?;
-        signals::catch();
+        logs::init(&settings.logs, &settings.name)?;
+        signals::install_handlers();
         block_on(crate::entry::run(settings, crate::entry::Switch::default()))?
     };
     finish(start())
 }
 
-fn serve(name: &str) -> ExitCode {
+fn run_serve(name: &str) -> ExitCode {
     let settings = match options::daemon::load(name) {
         Ok(settings) => settings,
-        Err(findings) => return refuse(&findings),
+        Err(findings) => return report_findings(&findings),
     };
     let start = || {
-        logs::start(&settings.logs, &settings.name)?;
-        signals::catch();
+        logs::init(&settings.logs, &settings.name)?;
+        signals::install_handlers();
         block_on(daemon::run(settings, name))?
     };
     finish(start())
 }
 
-fn stand_in_run(stand_in: StandIn) -> eyre::Result<()> {
-    logs::start(&Logs::default(), "stand-in")?;
+fn run_stand_in(stand_in: StandIn) -> eyre::Result<()> {
+    logs::init(&LogSettings::default(), "stand-in")?;
     block_on(async {
         match stand_in {
             StandIn::Platform { rpc, writes, reads } => {
                 let rates = platform::Rates { writes, reads };
                 platform::serve(platform::Platform::new(rates), rpc).await
             }
-            StandIn::Worker { .. } => stand_in_worker(stand_in).await,
+            StandIn::Worker { .. } => run_stand_in_worker(stand_in).await,
         }
     })?
 }
 
-async fn stand_in_worker(stand_in: StandIn) -> eyre::Result<()> {
+async fn run_stand_in_worker(stand_in: StandIn) -> eyre::Result<()> {
     let StandIn::Worker {
         name,
         hall,
@@ -175,7 +175,7 @@
     }
 }
 
-fn operate(command: &Command) -> ExitCode {
+fn run_operator_command(command: &Command) -> ExitCode {
     match block_on(operator::run(command)) {
         Ok((text, exit::DONE)) => {
             print!("{text}");
@@ -189,9 +189,9 @@
     }
 }
 
-fn spans(json: bool, id: &str, files: &[String]) -> eyre::Result<()> {
+fn print_spans(json: bool, id: &str, files: &[String]) -> eyre::Result<()> {
     let text = read_all(files)?;
-    let spans = trace::find(text.lines(), id);
+    let spans = trace::find_spans(text.lines(), id);
     if spans.is_empty() {
         return Err(eyre::eyre!("no span of trace {id}"));
     }
@@ -226,23 +226,23 @@
     Ok(text)
 }
 
-fn explain(json: bool, id: &str, files: &[String]) -> eyre::Result<()> {
+fn print_events(json: bool, id: &str, files: &[String]) -> eyre::Result<()> {
     let text = read_all(files)?;
-    let moments = crate::explain::find(text.lines(), id);
-    if moments.is_empty() {
+    let events = crate::explain::find_events(text.lines(), id);
+    if events.is_empty() {
         return Err(eyre::eyre!("no line names {id}"));
     }
     if json {
-        println!("{}", serde_json::to_string_pretty(&moments)?);
+        println!("{}", serde_json::to_string_pretty(&events)?);
         return Ok(());
     }
-    for moment in &moments {
-        let crate::explain::Moment {
+    for event in &events {
+        let crate::explain::LoggedEvent {
             time,
             node,
             event,
             inputs,
-        } = moment;
+        } = event;
         println!("{time} {node:24} {event:18} {inputs}");
     }
     Ok(())
--- a/src/rpc/client.rs
+++ b/src/rpc/client.rs
@@ -171,7 +171,7 @@
     async fn establish(&self) -> eyre::Result<SendRequest<Body>> {
         let stream = TcpStream::connect(self.address).await?;
         stream.set_nodelay(true)?;
-        sockets::probe(&stream);
+        sockets::enable_keepalive(&stream);
         let io = MonoioIo::new(stream.into_poll_io()?);
         let (sender, connection) = handshake(MonoioExecutor, io).await?;
         monoio::spawn(async move {
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -46,10 +46,10 @@
 impl Context {
     /// Returns the context of a new trace.
     pub fn new(sampled: bool) -> Self {
-        let (high, low) = (fresh(), fresh());
+        let (high, low) = (random_id(), random_id());
         Self {
             trace: u128::from(high) << 64 | u128::from(low),
-            span: fresh(),
+            span: random_id(),
             parent: 0,
             sampled,
         }
@@ -78,7 +78,7 @@
     pub fn next(&self) -> Self {
         Self {
             parent: self.span,
-            span: fresh(),
+            span: random_id(),
             ..*self
         }
     }
@@ -109,7 +109,7 @@
 }
 
 /// Returns a number that no other hop has, with overwhelming likelihood.
-fn fresh() -> u64 {
+fn random_id() -> u64 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static COUNTER: AtomicU64 = AtomicU64::new(0);
     let count = COUNTER.fetch_add(1, Ordering::Relaxed);
@@ -118,7 +118,7 @@
 }
 
 /// Returns the spans of a trace among log lines, JSON or plain.
-pub fn find<'l>(lines: impl Iterator<Item = &'l str>, trace: &str) -> Vec<Span> {
+pub fn find_spans<'l>(lines: impl Iterator<Item = &'l str>, trace: &str) -> Vec<Span> {
     let mut spans: Vec<Span> = lines
         .filter(|line| line.contains(trace))
         .filter_map(parse_line)
--- a/src/trace/tests.rs
+++ b/src/trace/tests.rs
@@ -26,5 +26,5 @@
     let json = serde_json::json!({"time": 1, "message": span}).to_string();
     let text = format!("5 INFO  e1 trace: {span}");
     let lines = [json.as_str(), text.as_str(), "noise t1"];
-    assert_eq!(find(lines.into_iter(), "t1").len(), 2);
+    assert_eq!(find_spans(lines.into_iter(), "t1").len(), 2);
 }
--- a/src/utils/clock.rs
+++ b/src/utils/clock.rs
@@ -19,7 +19,7 @@
 
 /// Returns milliseconds on the clock that timers go by, which stands while the machine is
 /// suspended.
-pub fn awake() -> Millis {
+pub fn monotonic() -> Millis {
     read(libc::CLOCK_MONOTONIC) / 1_000
 }
 
--- a/src/utils/drain.rs
+++ b/src/utils/drain.rs
@@ -19,21 +19,21 @@
 }
 
 /// The owner's side of a [`Drain`].
-pub struct Trigger {
+pub struct DrainTrigger {
     begin: oneshot::Sender<()>,
     holds: mpsc::UnboundedReceiver<Infallible>,
 }
 
 impl Drain {
     /// Returns a drain with what begins it.
-    pub fn new() -> (Trigger, Self) {
+    pub fn new() -> (DrainTrigger, Self) {
         let (begin, begun) = oneshot::channel();
         let (hold, holds) = mpsc::unbounded();
         let drain = Self {
             begun: Some(begun.shared()),
             _hold: Some(hold),
         };
-        (Trigger { begin, holds }, drain)
+        (DrainTrigger { begin, holds }, drain)
     }
 
     /// Returns a drain that never begins, for servers that end with their process.
@@ -54,12 +54,12 @@
     }
 
     /// Returns true once the end has begun.
-    pub fn active(&self) -> bool {
+    pub fn has_begun(&self) -> bool {
         self.begun().now_or_never().is_some()
     }
 }
 
-impl Trigger {
+impl DrainTrigger {
     /// Begins the end and waits until no task holds it up; false when `limit`
     /// milliseconds were not enough.
     pub async fn finish(mut self, limit: Millis) -> bool {
--- a/src/utils/listen.rs
+++ b/src/utils/listen.rs
@@ -13,28 +13,28 @@
 use super::sockets;
 
 /// Pause after a failed accept, for descriptors to become free.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Tries to bind an address that is in use, 2 s in all: the sockets of a process
 /// that was just killed may linger.
-const TRIES: u32 = 40;
+const BIND_ATTEMPTS: u32 = 40;
 /// Pause between two of them.
-const IN_USE: Duration = Duration::from_millis(50);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Time for a handshake that has begun to end: some round trips between halls.
-const HANDSHAKE: Duration = Duration::from_millis(5);
+const HANDSHAKE_TIME: Duration = Duration::from_millis(5);
 
 /// Binds a listener on an address; waits up to 2 s for one that is in use.
 ///
 /// It blocks the thread, as nothing runs before a process listens.
 pub fn bind(address: SocketAddr) -> eyre::Result<TcpListener> {
-    let mut tries = 1;
+    let mut attempt = 1;
     loop {
         match TcpListener::bind(address) {
-            Err(e) if e.kind() == ErrorKind::AddrInUse && tries < TRIES => {
-                log::warn!(target: "listen", "{address} is in use, try {tries} of {TRIES}");
-                std::thread::sleep(IN_USE);
-                tries += 1;
+            Err(e) if e.kind() == ErrorKind::AddrInUse && attempt < BIND_ATTEMPTS => {
+                log::warn!(target: "listen", "{address} is in use, try {attempt} of {BIND_ATTEMPTS}");
+                std::thread::sleep(BIND_RETRY_DELAY);
+                attempt += 1;
             }
             outcome => return outcome.wrap_err_with(|| format!("cannot listen on {address}")),
         }
@@ -56,31 +56,31 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                sockets::probe(&stream);
+                sockets::enable_keepalive(&stream);
                 serve(stream);
             }
             Err(e) => {
                 log::warn!(target: "listen", "accept failed: {e}");
-                monoio::time::sleep(PAUSE).await;
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
-    if let Err(e) = sockets::ignore_new(&listener) {
+    if let Err(e) = sockets::drop_new_connections(&listener) {
         log::warn!(target: "listen", "connections may be cut off at the end: {e}");
     }
-    monoio::time::sleep(HANDSHAKE).await;
-    if let Err(e) = accept_rest(listener, serve) {
+    monoio::time::sleep(HANDSHAKE_TIME).await;
+    if let Err(e) = accept_pending(listener, serve) {
         log::warn!(target: "listen", "connections were not accepted: {e}");
     }
 }
 
-fn accept_rest(listener: TcpListener, serve: impl Fn(TcpStream)) -> std::io::Result<()> {
+fn accept_pending(listener: TcpListener, serve: impl Fn(TcpStream)) -> std::io::Result<()> {
     // SAFETY: the descriptor is open while `listener` lives.
     let fd = unsafe { BorrowedFd::borrow_raw(listener.as_raw_fd()) };
-    let twin = std::net::TcpListener::from(fd.try_clone_to_owned()?);
-    twin.set_nonblocking(true)?;
+    let duplicate = std::net::TcpListener::from(fd.try_clone_to_owned()?);
+    duplicate.set_nonblocking(true)?;
     loop {
-        match twin.accept() {
+        match duplicate.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(true)?;
                 serve(TcpStream::from_std(stream)?);
--- a/src/utils/peak.rs
+++ b/src/utils/peak.rs
@@ -4,25 +4,25 @@
 
 /// Milliseconds for which a value counts at the least, twice as many at the most:
 /// collectors that come each 5 s miss none.
-const SPAN: Millis = 5_000;
+const WINDOW: Millis = 5_000;
 
 /// The highest value of the last seconds, and of all time.
 #[derive(Default)]
-pub struct Peak {
+pub struct RecentPeak {
     since: Millis,
     /// Highest in the span that began at `since`.
     current: u64,
-    /// Highest in the span before.
-    before: u64,
+    /// Highest value in the window before.
+    previous: u64,
     highest: u64,
 }
 
-impl Peak {
+impl RecentPeak {
     /// Takes in a value.
-    pub fn note(&mut self, value: u64, now: Millis) {
+    pub fn record(&mut self, value: u64, now: Millis) {
         let age = now.saturating_sub(self.since);
-        if age >= SPAN {
-            self.before = match age < 2 * SPAN {
+        if age >= WINDOW {
+            self.previous = match age < 2 * WINDOW {
                 true => self.current,
                 false => 0,
             };
@@ -34,8 +34,8 @@
     }
 
     /// Returns the highest value of the last seconds.
-    pub fn late(&self) -> u64 {
-        self.current.max(self.before)
+    pub fn recent(&self) -> u64 {
+        self.current.max(self.previous)
     }
 
     /// Returns the highest value of all.
--- a/src/utils/suspension.rs
+++ b/src/utils/suspension.rs
@@ -3,34 +3,34 @@
 use super::clock::{self, Millis};
 
 /// Milliseconds from which a difference is no matter of reading two clocks in turn.
-const LEAST: Millis = 50;
+const MIN_SUSPENSION: Millis = 50;
 
-/// How far the clocks that go on and that stand are apart.
-pub struct Suspension {
-    apart: Millis,
+/// How far the clocks that go on and that stand are offset.
+pub struct SuspensionDetector {
+    offset: Millis,
 }
 
-impl Suspension {
+impl SuspensionDetector {
     /// Returns one that begins with the clocks as they are.
-    pub fn begin() -> Self {
-        Self::at(clock::now(), clock::awake())
+    pub fn new() -> Self {
+        Self::from_clocks(clock::now(), clock::monotonic())
     }
 
     /// Returns one that begins with these times.
-    pub fn at(now: Millis, awake: Millis) -> Self {
+    pub fn from_clocks(now: Millis, monotonic: Millis) -> Self {
         Self {
-            apart: now.saturating_sub(awake),
+            offset: now.saturating_sub(monotonic),
         }
     }
 
     /// Returns the milliseconds for which the machine was suspended since the last call.
-    pub fn note(&mut self, now: Millis, awake: Millis) -> Option<Millis> {
-        let apart = now.saturating_sub(awake);
-        let span = apart.saturating_sub(self.apart);
-        if span < LEAST {
+    pub fn update(&mut self, now: Millis, monotonic: Millis) -> Option<Millis> {
+        let offset = now.saturating_sub(monotonic);
+        let span = offset.saturating_sub(self.offset);
+        if span < MIN_SUSPENSION {
             return None;
         }
-        self.apart = apart;
+        self.offset = offset;
         Some(span)
     }
 }
--- a/src/utils/tests.rs
+++ b/src/utils/tests.rs
@@ -10,22 +10,22 @@
 use super::clock;
 use super::drain::Drain;
 use super::listen;
-use super::peak::Peak;
-use super::suspension::Suspension;
+use super::peak::RecentPeak;
+use super::suspension::SuspensionDetector;
 use crate::program::block_on;
 
 #[test]
 fn a_suspension_is_told_once_and_a_frozen_process_is_none() {
-    let mut suspension = Suspension::at(1_000, 900);
-    assert_eq!(suspension.note(1_200, 1_100), None);
+    let mut suspension = SuspensionDetector::from_clocks(1_000, 900);
+    assert_eq!(suspension.update(1_200, 1_100), None);
     // Frozen for 5 s: both clocks go on.
-    assert_eq!(suspension.note(6_200, 6_100), None);
+    assert_eq!(suspension.update(6_200, 6_100), None);
     // Suspended for 3 s.
-    assert_eq!(suspension.note(9_300, 6_200), Some(3_000));
-    assert_eq!(suspension.note(9_400, 6_300), None);
+    assert_eq!(suspension.update(9_300, 6_200), Some(3_000));
+    assert_eq!(suspension.update(9_400, 6_300), None);
     // Two clocks are not read at the same moment.
-    assert_eq!(suspension.note(9_520, 6_401), None);
-    assert_eq!(suspension.note(19_520, 6_401), Some(10_019));
+    assert_eq!(suspension.update(9_520, 6_401), None);
+    assert_eq!(suspension.update(19_520, 6_401), Some(10_019));
 }
 
 #[test]
@@ -67,23 +67,23 @@
 
 #[test]
 fn a_peak_is_told_for_at_least_5_s_and_at_most_10() {
-    let mut peak = Peak::default();
-    peak.note(700, 9_000);
+    let mut peak = RecentPeak::default();
+    peak.record(700, 9_000);
     for now in (9_100..=14_000).step_by(100) {
-        peak.note(1, now);
-        assert_eq!(peak.late(), 700, "at {now}");
+        peak.record(1, now);
+        assert_eq!(peak.recent(), 700, "at {now}");
     }
-    peak.note(1, 19_100);
-    assert_eq!(peak.late(), 1);
+    peak.record(1, 19_100);
+    assert_eq!(peak.recent(), 1);
     assert_eq!(peak.highest(), 700);
 }
 
 #[test]
 fn a_peak_before_a_long_pause_is_not_told() {
-    let mut peak = Peak::default();
-    peak.note(700, 9_000);
-    peak.note(3, 60_000);
-    assert_eq!(peak.late(), 3);
+    let mut peak = RecentPeak::default();
+    peak.record(700, 9_000);
+    peak.record(3, 60_000);
+    assert_eq!(peak.recent(), 3);
 }
 
 /// Listeners that end one after the other, and callers that connect to each all the
--- a/src/web/client.rs
+++ b/src/web/client.rs
@@ -163,7 +163,7 @@
 async fn open(address: SocketAddr, limit: usize) -> std::io::Result<Connection> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    sockets::probe(&stream);
+    sockets::enable_keepalive(&stream);
     let fd = stream.as_raw_fd();
     let left = Allowance::new(limit);
     let (reader, writer) = Limited::new(stream, left.clone()).into_split();
--- a/src/web/server.rs
+++ b/src/web/server.rs
@@ -95,7 +95,7 @@
         };
         let (request, alive) = outcome;
         let reply = handle(request).await;
-        let alive = alive && keeps_alive(Version::HTTP_11, &reply.headers) && !drain.active();
+        let alive = alive && keeps_alive(Version::HTTP_11, &reply.headers) && !drain.has_begun();
         send(&mut codec, reply, alive).await?;
         if !alive {
             let closed = Sink::<Response>::close(&mut codec).await;
--- a/tools/soak/src/main.rs
+++ b/tools/soak/src/main.rs
@@ -60,7 +60,7 @@
 
 fn main() -> ExitCode {
     let options = options().run();
-    signals::catch();
+    signals::install_handlers();
     let plans = match plans(&options) {
         Ok(plans) => plans,
         Err(e) => {
--- a/tools/soak/src/run.rs
+++ b/tools/soak/src/run.rs
@@ -64,14 +64,14 @@
     let mut faults = Faults::new(plan);
     let begun = Instant::now();
     let now = || begun.elapsed().as_millis() as u64;
-    while (now() < plan.span || !faults.over()) && !signals::asked() {
+    while (now() < plan.span || !faults.over()) && !signals::stop_requested() {
         faults.step(&mut deployment, now());
         look(&deployment, &jobs, &findings);
         std::thread::sleep(LOOK);
     }
     faults.stop(&mut deployment);
     boxes.stop.store(true, Ordering::Relaxed);
-    let cut_short = signals::asked();
+    let cut_short = signals::stop_requested();
     if !cut_short {
         settle(&deployment, &boxes, &jobs, &findings);
         // Where they do not, the checks that follow tell it.
--- a/tools/trial/src/main.rs
+++ b/tools/trial/src/main.rs
@@ -22,7 +22,7 @@
 use quickcheck::Arbitrary;
 use schedule::{KINDS, Schedule};
 use truth::Violation;
-use willowpoint::invariant::{RULES, strict};
+use willowpoint::invariant::{RULES, panic_on_violation};
 
 /// Drives the decisions of several boxes through random faults.
 ///
@@ -55,7 +55,7 @@
 
 fn main() -> ExitCode {
     let options = options().run();
-    strict();
+    panic_on_violation();
     std::panic::set_hook(Box::new(|_| {}));
     let report = run_all(&options);
     print(&options, &report);
--- a/tools/trial/src/tests.rs
+++ b/tools/trial/src/tests.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn no_schedule_violates_a_rule() {
-    willowpoint::invariant::strict();
+    willowpoint::invariant::panic_on_violation();
     println!("seeds {SEEDS:?}, {STEPS} steps each");
     let mut counts = Counts::default();
     for seed in SEEDS {
--- a/tools/trial/src/world/load.rs
+++ b/tools/trial/src/world/load.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use willowpoint::cell::{Class, Size};
-use willowpoint::config::{self, ChangeRow, Edit, Editor, Head, Refusal, Step};
+use willowpoint::config::{self, ChangeRow, ConfigTransaction, Edit, Head, Refusal, Step};
 use willowpoint::engine::{Action, Event, Query, Verdict, View};
 use willowpoint::invariant::Rule;
 use willowpoint::job::{self, CandidateCell, JobRow, JobShardRow, Spec};
@@ -27,7 +27,7 @@
 
 /// An operator's change in progress.
 pub struct Operation {
-    editor: Editor,
+    transaction: ConfigTransaction,
     id: Name,
     call: Option<Call>,
     box_used: usize,
@@ -48,9 +48,9 @@
             when: EPOCH,
             edits: vec![edit("s0"), edit("s1"), edit("s2")],
         };
-        let (mut editor, mut step) = Editor::new(row);
+        let (mut transaction, mut step) = ConfigTransaction::new(row);
         while let Step::Call(call) = step {
-            step = editor.next(self.table.call(&call));
+            step = transaction.advance(self.table.call(&call));
         }
     }
 
@@ -168,9 +168,9 @@
                     expect: Some(expect),
                 }],
             };
-            let (editor, step) = Editor::new(row);
+            let (transaction, step) = ConfigTransaction::new(row);
             let operation = Operation {
-                editor,
+                transaction,
                 id,
                 call: None,
                 box_used: (fault.a + side) % BOXES,
@@ -221,7 +221,7 @@
                 }
             }
         };
-        let step = self.operations[number].editor.next(outcome);
+        let step = self.operations[number].transaction.advance(outcome);
         self.advance(number, step);
     }
 
