--- a/src/standin.rs
+++ b/src/standin.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for what willowpoint runs between: the platform and the
-//! workers. They are for trying out, for tests and for measurements.
+//! Simple stand-ins for the systems around willowpoint, the platform and the workers, for demos,
+//! tests and benchmarks.
 
 pub mod platform;
 pub mod table;
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: table, object store and list of boxes over gRPC.
+//! Stand-in for the platform: table, object store and directory of workers over gRPC.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -15,15 +15,15 @@
 use crate::utils::clock::{self, Millis};
 use crate::utils::drain::Drain;
 
-/// Rows of one page of a scan, at most.
+/// Most rows in a page of a scan.
 const MAX_PAGE_ROWS: usize = 500;
 
-/// Rates that the platform holds to, in rows a second; 0 is no bound.
+/// Rate limits of the platform in rows per second; 0 is no limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
-    /// Rows written.
+    /// Limit of rows written.
     pub writes: u64,
-    /// Rows read.
+    /// Limit of rows read.
     pub reads: u64,
 }
 
@@ -32,7 +32,7 @@
     table: Table,
     objects: BTreeMap<String, bytes::Bytes>,
     entries: BTreeMap<String, proto::DirectoryEntry>,
-    /// Earlier lists, for the lag: when each was replaced.
+    /// Earlier directories, each with the time when it was replaced, to simulate a lag.
     past_entries: VecDeque<(Millis, BTreeMap<String, proto::DirectoryEntry>)>,
     down_until: Millis,
     delay: Millis,
@@ -44,7 +44,7 @@
     reads: TokenBucket,
 }
 
-/// A bucket of tokens that fills at a rate and holds one second of it.
+/// A token bucket that holds the tokens of one second.
 #[derive(Default)]
 struct TokenBucket {
     rate: u64,
@@ -53,7 +53,7 @@
 }
 
 impl TokenBucket {
-    /// Returns the milliseconds to wait before `count` rows are within the rate.
+    /// Takes `count` tokens, and returns the milliseconds to wait until the bucket has earned them.
     fn take(&mut self, now: Millis, count: u64) -> Millis {
         if self.rate == 0 {
             return 0;
@@ -69,14 +69,14 @@
     }
 }
 
-/// The platform; all its services share one state.
+/// The platform; clones share its state.
 #[derive(Clone)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
 }
 
 impl Platform {
-    /// Returns a platform with empty table, store and list.
+    /// Returns a platform with an empty table, object store and directory.
     pub fn new(rates: Rates) -> Self {
         let mut state = State::default();
         state.writes.rate = rates.writes;
@@ -90,7 +90,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds or replaces an entry of the list of workers.
+    /// Adds or replaces a worker's entry in the directory.
     pub fn register(&self, entry: proto::DirectoryEntry) {
         let mut state = self.state();
         let now = clock::now();
@@ -103,7 +103,7 @@
         state.entries.insert(entry.name.clone(), entry);
     }
 
-    /// Returns rows read and written, conflicts, refusals and lost answers.
+    /// Returns the numbers of rows read and written, conflicts, refused calls and lost replies.
     pub fn counts(&self) -> proto::CountReply {
         let state = self.state();
         proto::CountReply {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Sets faults.
+    /// Sets the faults to simulate; `down_ms` 0 does not end an outage that goes on.
     pub fn set_faults(&self, fault: &proto::PlatformFault) {
         let mut state = self.state();
         if fault.down_ms > 0 {
@@ -137,13 +137,15 @@
         list.values().cloned().collect()
     }
 
-    /// Waits as a slow platform does, or refuses as one that is down.
+    /// Returns the delay of a call of so many rows, or an error while the platform is down.
     fn admit(&self, reads: u64, writes: u64) -> Result<Delay, Status> {
         let mut state = self.state();
         let now = clock::now();
         if now < state.down_until {
             state.refused_calls += 1;
-            return Err(Status::unavailable("the platform is down"));
+            return Err(Status::unavailable(
+                "the platform is down by a simulated fault",
+            ));
         }
         let queued = state
             .reads
@@ -153,11 +155,12 @@
     }
 }
 
-/// Milliseconds that a call takes.
+/// Delay of a call in milliseconds.
 struct Delay(Millis);
 
 impl Delay {
-    /// Waits on the runtime; a call from a generated service must be `Send`.
+    /// Sleeps in a task of its own, because futures of generated services must be `Send` and the
+    /// runtime's timers are not.
     async fn wait(self) {
         if self.0 == 0 {
             return;
@@ -223,7 +226,9 @@
             if state.replies_to_lose > 0 {
                 state.replies_to_lose -= 1;
                 state.lost_replies += 1;
-                return Err(Status::deadline_exceeded("the answer is lost"));
+                return Err(Status::deadline_exceeded(
+                    "the reply to the commit is lost by a simulated fault",
+                ));
             }
             result
         };
@@ -324,7 +329,7 @@
     }
 }
 
-/// Serves the platform for ever.
+/// Serves the platform without end.
 pub async fn serve(platform: Platform, address: SocketAddr) -> eyre::Result<()> {
     let listener = crate::utils::listen::bind(address)?;
     let table = table_server::TableServer::new(platform.clone());
--- a/src/standin/table.rs
+++ b/src/standin/table.rs
@@ -1,4 +1,4 @@
-//! A transactional table in memory.
+//! An in-memory table with transactions.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -11,18 +11,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: BTreeMap<Name, Row>,
-    /// Versions of deleted rows, so that a key never has a version twice.
+    /// Last versions of deleted rows; a key that is written again continues from there, so that no
+    /// version occurs twice.
     deleted_versions: BTreeMap<Name, u64>,
-    /// Rows read.
+    /// Number of rows read.
     pub reads: u64,
-    /// Rows written.
+    /// Number of rows written.
     pub writes: u64,
-    /// Commits whose expectation failed.
+    /// Number of commits that failed because an expectation was not met.
     pub conflicts: u64,
 }
 
 impl Table {
-    /// Makes a call, which always has an outcome.
+    /// Executes a call. Its outcome is always known.
     pub fn call(&mut self, call: &Call) -> Outcome {
         match call {
             Call::Read(keys) => Outcome::Rows(self.read(keys)),
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Returns the rows of one moment that exist.
+    /// Returns the rows that exist for these keys, all as of the same time.
     pub fn read(&mut self, keys: &[Name]) -> Vec<Row> {
         self.reads += keys.len() as u64;
         keys.iter()
@@ -42,7 +43,8 @@
             .collect()
     }
 
-    /// Returns rows with a prefix after a key, and whether there are more.
+    /// Returns up to `limit` rows whose keys have a prefix and sort after a key, and whether there
+    /// are more.
     pub fn scan(&mut self, prefix: &str, after: &str, limit: usize) -> (Vec<Row>, bool) {
         let start = if after.is_empty() { prefix } else { after };
         let from = (Bound::Included(start), Bound::Unbounded);
@@ -56,7 +58,7 @@
         (rows, more)
     }
 
-    /// Applies all operations, or none and returns the key that failed.
+    /// Applies all operations, or none if an expectation is not met, and then returns its key.
     pub fn commit(&mut self, ops: &[Op]) -> Result<(), Name> {
         if let Some(op) = ops.iter().find(|op| !self.is_satisfied(op)) {
             self.conflicts += 1;
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -1,4 +1,4 @@
-//! The worker's stand-in: an endpoint over HTTP and its control over gRPC.
+//! Stand-in for a worker: an endpoint over HTTP that is controlled over gRPC.
 
 mod serve;
 pub mod state;
--- a/src/standin/worker/serve.rs
+++ b/src/standin/worker/serve.rs
@@ -1,4 +1,4 @@
-//! Sockets of the worker's stand-in.
+//! Serves the worker's stand-in: requests over HTTP and its control over gRPC.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,24 +19,25 @@
 use crate::web::server::Limits;
 use crate::web::{self, Reply};
 
-/// Largest share by which a request's time varies, in thousandths.
+/// Range in which the time of requests varies around its mean, in thousandths.
 const JITTER: u64 = 300;
 
-/// What a stand-in worker is.
+/// Options of a stand-in worker.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Address of its endpoint.
     pub http: SocketAddr,
     /// Address of its control RPC.
     pub rpc: SocketAddr,
-    /// What it has.
+    /// Capacity.
     pub shape: Shape,
-    /// Microseconds that a request takes alone; a header can ask for more.
+    /// Microseconds that a request takes without interference; a header can ask for more.
     pub service_time: u64,
-    /// False for a worker that fences nothing.
+    /// False for a worker that accepts calls whatever their epoch, round or time.
     pub fencing: bool,
 }
 
+/// A worker and its time per request; clones share the worker.
 #[derive(Clone)]
 struct SharedWorker {
     worker: Arc<Mutex<Worker>>,
@@ -291,7 +292,7 @@
     reply
 }
 
-/// Returns the id and the body again, so that a caller can tell its answer.
+/// Returns the id and the body of a request, so that a caller can match the reply to its request.
 fn echo(id: &str, body: &Bytes) -> Bytes {
     if id.is_empty() {
         return body.clone();
@@ -301,6 +302,7 @@
     Bytes::from(reply)
 }
 
+/// Returns the reply to a request that was refused before it ran.
 fn refusal_reply(refusal: Refusal) -> Reply {
     let mut reply = Reply::text(StatusCode::SERVICE_UNAVAILABLE, refusal_name(refusal));
     let verdict = http::HeaderValue::from_static("not-run");
@@ -321,7 +323,7 @@
     text(headers, name).parse().unwrap_or(0)
 }
 
-/// Serves a worker for ever.
+/// Serves a worker without end.
 pub async fn serve(options: Options) -> eyre::Result<()> {
     let mut worker = Worker::new(options.shape);
     worker.faults.fencing = options.fencing;
--- a/src/standin/worker/state.rs
+++ b/src/standin/worker/state.rs
@@ -1,5 +1,5 @@
-//! What a worker does, as plain state: it holds its room, its leases and its
-//! fence, and it counts on its own what must never happen.
+//! State of a worker: it enforces its capacity, its leases and its fencing, and counts violations
+//! that no scheduler may cause.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,38 +9,38 @@
 use crate::utils::clock::Millis;
 use crate::utils::hash::stable;
 
-/// Age in milliseconds that measurements have when they are reported.
+/// Milliseconds after which a measurement is reported.
 pub const SAMPLE_DELAY: Millis = 500;
 
 /// A run on the worker.
 #[derive(Clone, Debug)]
 pub struct WorkerRun {
-    /// Number of the run.
+    /// Id of the run.
     pub id: RunId,
     /// Job of the task.
     pub job: Name,
     /// Number of the task within the job.
     pub task: u32,
-    /// Kind of work.
+    /// Kind of work, which determines the interference.
     pub kind: Name,
-    /// Size that was asked for.
+    /// Requested size.
     pub size: Size,
-    /// Thousandths of its cores that it may use.
+    /// Thousandths of its requested cores that the run may use.
     pub share: u32,
-    /// How it is.
+    /// State of the run.
     pub state: RunState,
-    /// Milliseconds of work to do in all.
+    /// Total work in milliseconds.
     pub work: Millis,
-    /// Milliseconds of work done.
+    /// Work done in milliseconds.
     pub done: f64,
-    /// Milliseconds of work kept by a checkpoint.
+    /// Work saved by a checkpoint, in milliseconds.
     pub saved: Millis,
-    /// When its lease ends.
+    /// When the lease of the run ends.
     pub lease: Millis,
 }
 
 impl WorkerRun {
-    /// Returns the size that the run holds, its throttle taken into account.
+    /// Returns the size that the run occupies at its present throttle.
     fn allocated(&self) -> Size {
         self.size.with_core_share(self.share)
     }
@@ -49,92 +49,92 @@
 /// A request in progress.
 #[derive(Clone, Debug)]
 pub struct ActiveRequest {
-    /// Ticket by the sending box.
+    /// Ticket that the sending box has assigned.
     pub ticket: u64,
     /// Epoch under which it was sent.
     pub epoch: u64,
-    /// Service that runs it.
+    /// Service that handles the request.
     pub service: Name,
 }
 
-/// What the worker counted.
+/// Counters of a worker.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Requests that were run.
+    /// Requests that were admitted.
     pub requests: u64,
-    /// Most requests that were in progress at once.
+    /// Most requests in progress at the same time.
     pub peak_requests: u32,
-    /// Starts and requests beyond the room.
+    /// Starts and requests refused for lack of capacity.
     pub capacity_refusals: u64,
     /// Calls refused for a lower epoch, an old round or their time.
     pub fenced_calls: u64,
-    /// Starts of a task that was running here already.
+    /// Starts of a task that was already running here.
     pub duplicate_starts: u64,
     /// Runs started.
     pub starts: u64,
-    /// Ids of requests that were run, with how often.
+    /// Number of executions of each request, by its id.
     pub request_ids: HashMap<Name, u32>,
 }
 
-/// Why the worker refuses.
+/// Why a worker refuses a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// A lower epoch, an old round or past its time.
+    /// The call has a lower epoch or an old round, or is past its time.
     Fenced,
-    /// No room.
+    /// The worker has no capacity left.
     Full,
-    /// It takes nothing new.
+    /// The worker accepts no new work.
     Leaving,
-    /// No such run.
+    /// The worker does not have the run.
     Missing,
 }
 
-/// Behaviour that a trial can set.
+/// Faults that a trial can set.
 #[derive(Clone, Debug)]
 pub struct Faults {
-    /// Every task fails soon after its start.
+    /// True when every run fails soon after its start.
     pub fail_runs: bool,
     /// Milliseconds added to each request.
     pub request_delay: Millis,
-    /// False for a worker that fences nothing.
+    /// False for a worker that accepts calls whatever their epoch, round or time.
     pub fencing: bool,
 }
 
-/// A worker.
+/// A simulated worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What it has.
+    /// Capacity.
     pub shape: Shape,
-    /// Behaviour that was set.
+    /// Faults that were set.
     pub faults: Faults,
-    /// True when it takes nothing new.
+    /// True when the worker accepts no new work.
     pub leaving: bool,
     /// Highest epoch seen.
     pub epoch: u64,
     /// Highest round seen under that epoch.
     pub round: u64,
-    /// Runs that go on, and ended ones that are not acknowledged.
+    /// Active runs, and ended runs that have not been acknowledged.
     pub runs: BTreeMap<RunId, WorkerRun>,
     /// Requests in progress.
     pub active_requests: Vec<ActiveRequest>,
-    /// What was counted.
+    /// Counters.
     pub counts: Counts,
     samples: Vec<(Millis, Sample)>,
     advanced_to: Millis,
 }
 
-/// A start as asked for.
+/// An order to start a run.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// Epoch of the asking owner.
+    /// Epoch of the owner that sent the order.
     pub epoch: u64,
-    /// Round of its last exchange.
+    /// Round of the owner's last poll.
     pub round: u64,
     /// Milliseconds of lease from receipt.
     pub lease: Millis,
-    /// Milliseconds since the Unix epoch beyond which it must not start.
+    /// Milliseconds since the Unix epoch after which the run must not start.
     pub not_after: Millis,
-    /// The run.
+    /// Run to start.
     pub run: WorkerRun,
 }
 
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Returns the slowdown above 1 that one kind causes another; the truth
-    /// that the scheduler has to learn.
+    /// Returns by how much a culprit's kind of work slows down a victim's, as a share of the
+    /// victim's time alone. The scheduler has to learn these true values.
     pub fn interference(victim: &str, culprit: &str) -> f64 {
         let hash = stable(&[victim, culprit]) % 100;
         match hash {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Returns how many times slower a service is now than alone.
+    /// Returns the slowdown of a service by the present runs, as a factor of at least 1.
     pub fn slowdown(&self, service: &str) -> f64 {
         let running = self.running();
         let interference = running
@@ -182,7 +182,7 @@
         self.runs.values().filter(|r| r.state == RunState::Running)
     }
 
-    /// Lets time pass: work is done, and lapsed leases end their runs.
+    /// Advances time: runs make progress, and runs whose lease has ended are stopped.
     pub fn advance(&mut self, now: Millis) {
         let from = self.advanced_to;
         self.advanced_to = now.max(from);
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Returns the slots, cores and memory in use.
+    /// Returns the cores, memory and accelerators in use.
     fn allocated(&self) -> Size {
         let mut allocated = Size::default();
         for run in self.running() {
@@ -217,6 +217,7 @@
         allocated
     }
 
+    /// Adopts a higher epoch. Returns true, and counts the call, when it has a lower one.
     fn rejects_epoch(&mut self, epoch: u64) -> bool {
         if epoch < self.epoch && self.faults.fencing {
             self.counts.fenced_calls += 1;
@@ -229,8 +230,8 @@
         false
     }
 
-    /// Renews the leases of all runs, forgets acknowledged ones and reports;
-    /// `None` refuses a lower epoch.
+    /// Renews the leases of all runs, removes acknowledged ones and returns reports of the others;
+    /// `None` if the epoch is refused.
     pub fn sync(
         &mut self,
         now: Millis,
@@ -300,7 +301,7 @@
         Ok(())
     }
 
-    /// Stops a run; returns the milliseconds of work that are kept.
+    /// Stops a run and returns its saved work in milliseconds.
     pub fn stop(
         &mut self,
         now: Millis,
@@ -319,14 +320,14 @@
                 run.saved = run.done as Millis;
             }
         }
-        // A run that ended otherwise is told by the next report.
+        // The next report contains the outcome of a run that has finished or failed.
         match run.state {
             RunState::Stopped => Ok(run.saved),
             _ => Err(Refusal::Missing),
         }
     }
 
-    /// Sets the share of its cores that a run may use.
+    /// Sets the thousandths of its requested cores that a run may use.
     pub fn throttle(
         &mut self,
         now: Millis,
@@ -343,7 +344,7 @@
         Ok(())
     }
 
-    /// Takes in a request, or refuses it before it runs.
+    /// Admits a request, or refuses it before it runs.
     pub fn begin_request(
         &mut self,
         now: Millis,
@@ -375,12 +376,12 @@
         Ok(())
     }
 
-    /// Records the id of a request that runs.
+    /// Counts an execution of the request with this id.
     pub fn record_request_id(&mut self, id: Name) {
         *self.counts.request_ids.entry(id).or_default() += 1;
     }
 
-    /// Takes in that a request has run.
+    /// Removes a request that has finished.
     pub fn finish_request(&mut self, ticket: u64, epoch: u64) {
         let index = self
             .active_requests
@@ -391,7 +392,8 @@
         }
     }
 
-    /// Returns tickets of the present epoch and the number of others.
+    /// Returns the tickets of requests in progress under the present epoch, and the number of
+    /// requests under others.
     pub fn request_tickets(&self) -> (Vec<u64>, u32) {
         let own = self
             .active_requests
@@ -402,6 +404,7 @@
         (tickets, foreign as u32)
     }
 
+    /// Records a measurement of each service with requests in progress.
     fn record_samples(&mut self, now: Millis) {
         let mut services: Vec<Name> = self
             .active_requests
@@ -423,7 +426,7 @@
         }
     }
 
-    /// Returns measurements that are old enough to be reported, with their age.
+    /// Removes and returns the measurements that are old enough to be reported, with their ages.
     pub fn take_due_samples(&mut self, now: Millis) -> Vec<(Millis, Sample)> {
         let ready = self
             .samples
@@ -437,18 +440,18 @@
     }
 }
 
-/// An exchange as asked for.
+/// A poll by the owner.
 #[derive(Clone, Debug)]
 pub struct SyncRequest {
-    /// Epoch of the asking owner.
+    /// Epoch of the owner that sent the poll.
     pub epoch: u64,
-    /// Counts its exchanges.
+    /// Number of the poll under this epoch.
     pub round: u64,
-    /// Milliseconds of lease from receipt; 0 renews nothing.
+    /// Milliseconds of lease from receipt; 0 renews no lease.
     pub lease: Millis,
-    /// Milliseconds since the Unix epoch beyond which it renews nothing.
+    /// Milliseconds since the Unix epoch after which no lease is renewed.
     pub not_after: Millis,
-    /// Ended runs that may be forgotten.
+    /// Ended runs that are acknowledged and may be removed.
     pub acks: Vec<RunId>,
 }
 
