--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: which worker runs one, which wait and which are refused.
+//! Requests to services: selects their workers, queues them, or refuses them.
 
 use std::collections::BTreeMap;
 
@@ -9,41 +9,41 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Weight of a new measurement in a moving average.
-const SMOOTH: f64 = 0.05;
-/// Microseconds assumed of a service that was never measured.
-const GUESS: f64 = 5_000.0;
-/// Shortest and longest time after which a refused caller is told to come back.
-const COME_BACK: (Millis, Millis) = (20, 5_000);
+/// Weight of a new measurement in the moving average of a service's latency.
+const LATENCY_WEIGHT: f64 = 0.05;
+/// Latency in microseconds assumed for a service that was never measured.
+const DEFAULT_LATENCY: f64 = 5_000.0;
+/// Shortest and longest time in milliseconds after which a refused caller may retry.
+const RETRY_AFTER: (Millis, Millis) = (20, 5_000);
 
-/// How urgent a request is.
+/// Class of a request; the first is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
-    /// Somebody waits for it.
+    /// Latency-critical.
     Critical,
-    /// It gives way.
+    /// Without a need for low latency.
     Batch,
 }
 
-/// A request as the owner of a cell sees it.
+/// A request that waits for a worker of the cell.
 #[derive(Clone, Debug)]
 pub struct PendingRequest {
     /// Number of the request on this box.
     pub ticket: u64,
-    /// Service that is asked for.
+    /// Requested service.
     pub service: Name,
-    /// How urgent it is.
+    /// Class of the request.
     pub class: Class,
-    /// Size that it needs.
+    /// Declared size of the request.
     pub size: Size,
-    /// When its answer is worthless, on the own clock.
+    /// When the answer becomes useless, on this box's clock.
     pub deadline: Millis,
 }
 
-/// Order of waiting requests: class, deadline, ticket.
+/// Position of a waiting request: class, deadline, ticket.
 type QueueKey = (Class, Millis, u64);
 
-/// Waiting requests, the most urgent first.
+/// Waiting requests, ordered by class and deadline.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     waiting: BTreeMap<QueueKey, PendingRequest>,
@@ -55,89 +55,91 @@
         self.waiting.len()
     }
 
-    fn push(&mut self, ask: PendingRequest) {
-        let rank = (ask.class, ask.deadline, ask.ticket);
-        self.waiting.insert(rank, ask);
+    fn push(&mut self, request: PendingRequest) {
+        let key = (request.class, request.deadline, request.ticket);
+        self.waiting.insert(key, request);
     }
 
     fn pop(&mut self) -> Option<PendingRequest> {
-        self.waiting.pop_first().map(|(_, ask)| ask)
+        self.waiting.pop_first().map(|(_, request)| request)
     }
 
-    /// Takes the last batch request out, to make place for a critical one.
+    /// Removes the last request if it is a batch request.
     fn shed_batch(&mut self) -> Option<PendingRequest> {
         let entry = self.waiting.last_entry()?;
         (entry.key().0 == Class::Batch).then(|| entry.remove())
     }
 
+    /// Returns the number of requests of `class` or a more urgent class.
     fn count_ahead(&self, class: Class) -> usize {
         let end = (class, Millis::MAX, u64::MAX);
         self.waiting.range(..=end).count()
     }
 
-    /// Takes all requests out.
+    /// Removes and returns all requests.
     pub fn drain(&mut self) -> Vec<PendingRequest> {
         std::mem::take(&mut self.waiting).into_values().collect()
     }
 
+    /// Removes and returns the requests for which `late` is true.
     fn take_expired(&mut self, late: impl Fn(&PendingRequest) -> bool) -> Vec<PendingRequest> {
-        let ranks: Vec<QueueKey> = self
+        let keys: Vec<QueueKey> = self
             .waiting
             .iter()
-            .filter(|(_, ask)| late(ask))
-            .map(|(rank, _)| *rank)
+            .filter(|(_, request)| late(request))
+            .map(|(key, _)| *key)
             .collect();
-        ranks
-            .iter()
-            .filter_map(|rank| self.waiting.remove(rank))
+        keys.iter()
+            .filter_map(|key| self.waiting.remove(key))
             .collect()
     }
 }
 
-/// How a send to a worker ended.
+/// How the send of a request to a worker ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// The whole answer came.
+    /// The whole answer was received.
     Answered,
-    /// No byte left, or the worker refused it before running it.
+    /// Nothing was sent, or the worker refused the request before running it.
     NotRun,
-    /// No byte left, as the lease had lapsed.
+    /// Nothing was sent because the box's lease had lapsed.
     LeaseLapsed,
-    /// It may have run; the worker would not start it after `until`.
+    /// The request may have run; the worker does not start it after `until`.
     Unknown {
-        /// On the own clock.
+        /// Time on this box's clock.
         until: Millis,
     },
 }
 
 impl Cell {
-    /// Takes in a request; it is sent, queued or refused.
-    pub fn admit(&mut self, now: Millis, micros: u64, ask: PendingRequest) -> Vec<Action> {
+    /// Sends, queues or refuses a new request.
+    pub fn admit(&mut self, now: Millis, micros: u64, request: PendingRequest) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.record_use(now, &ask.service);
+        self.record_use(now, &request.service);
         if self.leaving {
-            let after = COME_BACK.0;
-            actions.push(refuse(&ask, Reason::Stopping, after));
+            let after = RETRY_AFTER.0;
+            actions.push(refuse(&request, Reason::Stopping, after));
             return actions;
         }
-        let expected = self.expected_latency(&ask.service);
-        if now + expected > ask.deadline {
+        let expected = self.expected_latency(&request.service);
+        if now + expected > request.deadline {
             actions.push(refuse(
-                &ask,
+                &request,
                 Reason::Deadline,
-                self.expected_wait(now, ask.class, &ask.service),
+                self.expected_wait(now, request.class, &request.service),
             ));
             return actions;
         }
-        let behind = self.queue.count_ahead(ask.class) > 0;
-        if !behind && let Some(action) = self.dispatch(now, micros, &ask) {
+        let must_wait = self.queue.count_ahead(request.class) > 0;
+        if !must_wait && let Some(action) = self.dispatch(now, micros, &request) {
             actions.push(action);
             return actions;
         }
-        self.enqueue(now, ask, &mut actions);
+        self.enqueue(now, request, &mut actions);
         actions
     }
 
+    /// Records when a service was last requested.
     fn record_use(&mut self, now: Millis, service: &Name) {
         match self.last_requests.get_mut(service) {
             Some(at) => *at = now,
@@ -145,71 +147,78 @@
         }
     }
 
-    fn enqueue(&mut self, now: Millis, ask: PendingRequest, actions: &mut Vec<Action>) {
-        let wait = self.expected_wait(now, ask.class, &ask.service);
-        let expected = self.expected_latency(&ask.service);
+    /// Queues a request, or refuses it when it cannot be answered in time or the queue is
+    /// full. In a full queue a critical request replaces the last batch request.
+    fn enqueue(&mut self, now: Millis, request: PendingRequest, actions: &mut Vec<Action>) {
+        let wait = self.expected_wait(now, request.class, &request.service);
+        let expected = self.expected_latency(&request.service);
         let open = self.workers.values().any(|w| w.accepts_work(now));
-        if !open || now + wait + expected > ask.deadline {
+        if !open || now + wait + expected > request.deadline {
             let reason = if open {
                 Reason::Deadline
             } else {
                 Reason::NoRoom
             };
-            actions.push(refuse(&ask, reason, wait));
+            actions.push(refuse(&request, reason, wait));
             return;
         }
         if self.queue.len() >= self.policy.queue_limit {
-            let shed = match ask.class {
+            let shed = match request.class {
                 Class::Critical => self.queue.shed_batch(),
                 Class::Batch => None,
             };
             match shed {
                 Some(victim) => actions.push(refuse(&victim, Reason::Shed, wait)),
-                None => return actions.push(refuse(&ask, Reason::NoRoom, wait)),
+                None => return actions.push(refuse(&request, Reason::NoRoom, wait)),
             }
         }
-        let class = ask.class;
-        let size = ask.size;
-        self.queue.push(ask);
+        let class = request.class;
+        let size = request.size;
+        self.queue.push(request);
         if class == Class::Critical {
             actions.extend(self.free_resources(now, size));
         }
     }
 
-    /// Sends a request to the best worker with room, if there is one.
-    fn dispatch(&mut self, now: Millis, micros: u64, ask: &PendingRequest) -> Option<Action> {
-        let name = self.select_worker(now, ask)?;
+    /// Sends a request to the best worker with free resources, if there is one.
+    fn dispatch(&mut self, now: Millis, micros: u64, request: &PendingRequest) -> Option<Action> {
+        let name = self.select_worker(now, request)?;
         let worker = self.workers.get_mut(&name)?;
         if !worker.check_not_leaving() {
             return None;
         }
         let active = ActiveRequest {
-            service: ask.service.clone(),
-            size: ask.size,
+            service: request.service.clone(),
+            size: request.size,
             sent_us: micros,
             start_deadline: None,
         };
-        worker.add_request(ask.ticket, active);
-        self.tickets.insert(ask.ticket, name.clone());
+        worker.add_request(request.ticket, active);
+        self.tickets.insert(request.ticket, name.clone());
         Some(Action::Send {
-            ticket: ask.ticket,
+            ticket: request.ticket,
             worker: name,
             http: worker.http,
         })
     }
 
-    fn select_worker(&mut self, now: Millis, ask: &PendingRequest) -> Option<Name> {
+    /// Returns the worker for a request, by the policy's selection.
+    fn select_worker(&mut self, now: Millis, request: &PendingRequest) -> Option<Name> {
         let open = self.workers.values().filter(|w| w.accepts_work(now));
-        let (total, sound) = open.fold((0, 0), |(total, sound), worker| {
-            (total + 1, sound + usize::from(worker.ejected_until <= now))
+        let (total, healthy) = open.fold((0, 0), |(total, healthy), worker| {
+            (
+                total + 1,
+                healthy + usize::from(worker.ejected_until <= now),
+            )
         });
-        // With half of the workers ejected, the fault is likely not theirs.
-        let strict = sound * 2 > total;
+        // When half of the workers are ejected, the cause is probably not the workers, so
+        // ejections are ignored.
+        let skip_ejected = healthy * 2 > total;
         let candidates: Vec<&Worker> = self
             .workers
             .values()
-            .filter(|w| w.accepts_work(now) && w.free_slots() > 0 && w.has_free(ask.size))
-            .filter(|w| !strict || w.ejected_until <= now)
+            .filter(|w| w.accepts_work(now) && w.free_slots() > 0 && w.has_free(request.size))
+            .filter(|w| !skip_ejected || w.ejected_until <= now)
             .collect();
         let count = candidates.len() as u64;
         let chosen = match self.policy.request_selection {
@@ -225,7 +234,7 @@
                 candidates.get(index).copied()
             }
             Selection::Learned => {
-                let cost = |w: &&Worker| self.cost(w, &ask.service);
+                let cost = |w: &&Worker| self.cost(w, &request.service);
                 candidates
                     .into_iter()
                     .min_by(|a, b| cost(a).total_cmp(&cost(b)))
@@ -234,29 +243,33 @@
         chosen.map(|w| w.name.clone())
     }
 
-    /// Returns the expected answer time on a worker over that on an idle one.
+    /// Returns the expected answer time on a worker divided by that on an idle worker.
     fn cost(&self, worker: &Worker, service: &str) -> f64 {
         let busy = worker.is_busy();
-        let hurt: f64 = worker
+        let expected: f64 = worker
             .running_runs()
             .map(|r| {
                 self.interference.upper_estimate(service, &r.kind, busy) * f64::from(r.share)
                     / f64::from(WHOLE)
             })
             .sum();
-        let mean = self.mean_latencies.get(service).copied().unwrap_or(GUESS);
+        let mean = self
+            .mean_latencies
+            .get(service)
+            .copied()
+            .unwrap_or(DEFAULT_LATENCY);
         let measured = (worker.mean_latency / mean - 1.0).clamp(0.0, 4.0);
         let load = f64::from(worker.used_slots()) / f64::from(worker.shape.slots.max(1));
-        1.0 + hurt.max(measured * 0.5) + load
+        1.0 + expected.max(measured * 0.5) + load
     }
 
-    /// Takes in how a send ended, and gives its slot to who waits.
+    /// Handles the outcome of a send, and sends queued requests to the freed slot.
     pub fn finish_send(
         &mut self,
         now: Millis,
         micros: u64,
         ticket: u64,
-        sent: SendOutcome,
+        outcome: SendOutcome,
     ) -> Vec<Action> {
         let Some(name) = self.tickets.remove(&ticket) else {
             return Vec::new();
@@ -264,49 +277,49 @@
         let Some(worker) = self.workers.get_mut(&name) else {
             return Vec::new();
         };
-        match sent {
+        match outcome {
             SendOutcome::Answered => {
-                if let Some(active) = worker.remove_request(ticket) {
-                    let took = micros.saturating_sub(active.sent_us);
+                if let Some(request) = worker.remove_request(ticket) {
+                    let took = micros.saturating_sub(request.sent_us);
                     worker.record_answer(took);
                     let mean = self
                         .mean_latencies
-                        .entry(active.service)
+                        .entry(request.service)
                         .or_insert(took as f64);
-                    *mean += SMOOTH * (took as f64 - *mean);
+                    *mean += LATENCY_WEIGHT * (took as f64 - *mean);
                 }
             }
             SendOutcome::NotRun => {
                 worker.remove_request(ticket);
-                strike(worker, now);
+                record_failure(worker, now);
             }
             SendOutcome::LeaseLapsed => {
                 worker.remove_request(ticket);
                 return Vec::new();
             }
             SendOutcome::Unknown { until } => {
-                // It may still hold its slot there: the next exchange tells.
-                if let Some(active) = worker.requests.get_mut(&ticket) {
-                    active.start_deadline = Some(until + self.margin);
+                // The request may still use its slot; a later poll tells whether it does.
+                if let Some(request) = worker.requests.get_mut(&ticket) {
+                    request.start_deadline = Some(until + self.margin);
                 }
-                strike(worker, now);
+                record_failure(worker, now);
             }
         }
         self.send_queued(now, micros)
     }
 
-    /// Sends what waits while there is room.
+    /// Sends queued requests in order while a worker has free resources for the next one.
     pub fn send_queued(&mut self, now: Millis, micros: u64) -> Vec<Action> {
         let mut actions = Vec::new();
-        while let Some(ask) = self.queue.pop() {
-            if now >= ask.deadline {
-                actions.push(refuse(&ask, Reason::Deadline, COME_BACK.0));
+        while let Some(request) = self.queue.pop() {
+            if now >= request.deadline {
+                actions.push(refuse(&request, Reason::Deadline, RETRY_AFTER.0));
                 continue;
             }
-            match self.dispatch(now, micros, &ask) {
+            match self.dispatch(now, micros, &request) {
                 Some(action) => actions.push(action),
                 None => {
-                    self.queue.push(ask);
+                    self.queue.push(request);
                     break;
                 }
             }
@@ -314,30 +327,30 @@
         actions
     }
 
-    /// Refuses at once what can't be answered in time any more.
+    /// Refuses queued requests that can no longer be answered in time.
     pub fn refuse_expired(&mut self, now: Millis) -> Vec<Action> {
         let means = &self.mean_latencies;
-        let late = |ask: &PendingRequest| {
-            let mean = means.get(&ask.service).copied().unwrap_or(0.0);
-            now + (mean / 1_000.0) as Millis > ask.deadline
+        let late = |request: &PendingRequest| {
+            let mean = means.get(&request.service).copied().unwrap_or(0.0);
+            now + (mean / 1_000.0) as Millis > request.deadline
         };
         let expired = self.queue.take_expired(late);
-        let told = |ask: &PendingRequest| {
+        let refusal = |request: &PendingRequest| {
             refuse(
-                ask,
+                request,
                 Reason::Deadline,
-                self.expected_wait(now, ask.class, &ask.service),
+                self.expected_wait(now, request.class, &request.service),
             )
         };
-        expired.iter().map(told).collect()
+        expired.iter().map(refusal).collect()
     }
 
-    /// Refuses all that waits, as the cell is given up.
+    /// Refuses all queued requests because the cell or its lease is lost.
     pub fn refuse_all(&mut self, reason: Reason) -> Vec<Action> {
         let waiting = self.queue.drain();
         waiting
             .iter()
-            .map(|ask| refuse(ask, reason, COME_BACK.0))
+            .map(|request| refuse(request, reason, RETRY_AFTER.0))
             .collect()
     }
 
@@ -355,24 +368,29 @@
             .filter(|w| w.accepts_work(now))
             .map(|w| w.shape.slots)
             .sum();
-        let mean = self.mean_latencies.get(service).copied().unwrap_or(GUESS);
+        let mean = self
+            .mean_latencies
+            .get(service)
+            .copied()
+            .unwrap_or(DEFAULT_LATENCY);
         let ahead = self.queue.count_ahead(class) as f64 + 1.0;
         let wait = ahead * mean / f64::from(slots.max(1)) / 1_000.0;
-        (wait as Millis).clamp(COME_BACK.0, COME_BACK.1)
+        (wait as Millis).clamp(RETRY_AFTER.0, RETRY_AFTER.1)
     }
 }
 
-fn strike(worker: &mut Worker, now: Millis) {
+/// Records a failed request and logs the ejection that it may cause.
+fn record_failure(worker: &mut Worker, now: Millis) {
     if worker.record_failure(now) {
-        let until = worker.ejected_until - now;
-        log::warn!(target: "cell", "{} ejected for {until} ms", worker.name);
+        let duration = worker.ejected_until - now;
+        log::warn!(target: "cell", "worker {} is ejected for {duration} ms after repeated failures", worker.name);
     }
 }
 
-fn refuse(ask: &PendingRequest, reason: Reason, after: Millis) -> Action {
+fn refuse(request: &PendingRequest, reason: Reason, after: Millis) -> Action {
     Action::Refuse {
-        ticket: ask.ticket,
+        ticket: request.ticket,
         reason,
-        retry_after: after.clamp(COME_BACK.0, COME_BACK.1),
+        retry_after: after.clamp(RETRY_AFTER.0, RETRY_AFTER.1),
     }
 }
