--- a/src/cell/start.rs
+++ b/src/cell/start.rs
@@ -1,11 +1,11 @@
-//! Starts: which waiting task is next, and on which worker.
+//! Starts waiting tasks: selects the next task, its worker and its share of cores.
 
 use std::collections::BTreeSet;
 
 use super::runs::{Run, RunPhase};
 use super::shard::{JobShard, TaskState};
 use super::state::Cell;
-use super::throttling::LOWEST;
+use super::throttling::LOWEST_SHARE;
 use super::worker::Worker;
 use super::{Action, Selection, Size};
 use crate::constants::WHOLE;
@@ -13,36 +13,36 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Starts of one tick, so that a tick stays short.
-const STARTS: usize = 64;
-/// Shares with which a run may start, in thousandths, the best first.
-const SHARES: [u32; 3] = [WHOLE, WHOLE / 2, LOWEST];
-/// Milliseconds after which a waiting task starts at the lowest share though
-/// it hurts services, so that none waits for ever.
-const STARVED: Millis = 10_000;
+/// Most starts in one tick, which bounds the tick's duration.
+const MAX_STARTS: usize = 64;
+/// Shares of its cores with which a run may start, in thousandths, the largest first.
+const START_SHARES: [u32; 3] = [WHOLE, WHOLE / 2, LOWEST_SHARE];
+/// Milliseconds without a start of its shard after which a task starts at the lowest share
+/// even where it slows down services too much. Otherwise it could wait forever.
+const STARVATION: Millis = 10_000;
 /// Milliseconds for which a service counts as in use after a request.
 const IN_USE: Millis = 5_000;
 
-/// A task that looks for a worker.
+/// A waiting task for which a worker is selected.
 struct WaitingTask<'a> {
     kind: &'a str,
     size: Size,
     urgent: bool,
-    /// True when it has waited so long that it may hurt.
+    /// True when the task may exceed the limit of interference because it waited too long.
     starved: bool,
-    /// Worker on which its last run failed.
-    shunned: Option<Name>,
+    /// Worker on which the last run of the task failed.
+    failed_on: Option<Name>,
 }
 
 impl Cell {
-    /// Starts waiting tasks where there is room.
+    /// Starts waiting tasks where resources are free, and preempts runs for urgent tasks.
     pub fn start_tasks(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.leaving || !self.loaded {
             return actions;
         }
         let mut passed = BTreeSet::new();
-        while actions.len() < STARTS {
+        while actions.len() < MAX_STARTS {
             let Some(key) = self.next_shard(&passed) else {
                 break;
             };
@@ -57,8 +57,8 @@
         actions
     }
 
-    /// Returns the job shard whose task is to start next: urgent ones first, then
-    /// the team with the least of its quota in use, then the oldest.
+    /// Returns the job shard whose task starts next: urgent shards first, then those of the
+    /// team that uses the fewest cores for its weight, then the oldest.
     fn next_shard(&self, passed: &BTreeSet<Name>) -> Option<Name> {
         let ready = self
             .shards
@@ -82,16 +82,17 @@
         ready.min_by_key(rank).map(|(key, _)| key.clone())
     }
 
+    /// Returns true when a further task of the shard is within the quota of its team.
     fn within_quota(&self, shard: &JobShard) -> bool {
         let spec = &shard.row.spec;
         let Some(quota) = self.quotas.get(&spec.team) else {
             return true;
         };
         let used = self.team_cores.get(&spec.team).copied().unwrap_or(0);
-        // The quota of the deployment, by this cell's share of its cores; one
-        // task always may run, or a small cell could never serve a team.
-        let part = (quota.cores as f64 * self.capacity_share) as u64;
-        used == 0 || used + u64::from(spec.size.cores) <= part
+        // The cell's share of the quota of the whole deployment. One task may always run:
+        // the share of a small cell can be less than the size of any task.
+        let limit = (quota.cores as f64 * self.capacity_share) as u64;
+        used == 0 || used + u64::from(spec.size.cores) <= limit
     }
 
     fn team_weight(&self, team: &str) -> f64 {
@@ -99,22 +100,23 @@
         quota.map_or(1.0, |q| f64::from(q.weight.max(1)))
     }
 
+    /// Starts the first waiting task of a shard, unless no worker is suitable.
     fn start_task(&mut self, now: Millis, key: &Name) -> Option<Action> {
         let shard = self.shards.get(key)?;
-        let index = shard.states.iter().position(|l| *l == TaskState::Waiting)?;
+        let index = shard.states.iter().position(|s| *s == TaskState::Waiting)?;
         let spec = shard.row.spec.clone();
         let size = self.corrected_size(&spec.kind, spec.size);
-        let shunned = shard.failed_on.get(&index).cloned();
+        let failed_on = shard.failed_on.get(&index).cloned();
         let saved = shard.row.tasks[index].saved;
         let task = shard.row.tasks[index].index;
-        let wanted = WaitingTask {
+        let waiting = WaitingTask {
             kind: &spec.kind,
             size,
             urgent: spec.urgent,
-            starved: now >= shard.last_start + STARVED,
-            shunned,
+            starved: now >= shard.last_start + STARVATION,
+            failed_on,
         };
-        let (name, share) = self.select_task_worker(now, wanted)?;
+        let (name, share) = self.select_task_worker(now, waiting)?;
         if self.has_run(&spec.id, task) || !self.workers.get(&name)?.check_not_leaving() {
             return None;
         }
@@ -140,7 +142,7 @@
         worker.add_run(run.clone());
         worker.lease_renewed = worker.lease_renewed.max(now);
         invariant::check(worker.is_within_capacity(), Rule::Room, || {
-            format!("start on {name}")
+            format!("worker {name} is overcommitted by a start")
         });
         let rpc = worker.rpc;
         *self.team_cores.entry(spec.team.clone()).or_default() += u64::from(size.cores);
@@ -148,7 +150,7 @@
             shard.last_start = now;
             let before = std::mem::replace(&mut shard.states[index], TaskState::Running(id));
             invariant::check(before == TaskState::Waiting, Rule::Resume, || {
-                format!("{key} {task}")
+                format!("task {task} of {key} started without waiting")
             });
         }
         Some(Action::Start {
@@ -159,15 +161,20 @@
         })
     }
 
-    /// Returns true when a run of a task is held anywhere in the cell.
+    /// Checks the invariant that a task has at most one run; returns true when the task has a
+    /// run on any worker.
     fn has_run(&self, job: &Name, task: u32) -> bool {
-        let twin = |r: &Run| r.task == task && r.job == *job;
-        let found = self.workers.values().any(|w| w.runs.values().any(twin));
-        let detail = || format!("{job} {task} would start beside a run of it");
+        let same_task = |r: &Run| r.task == task && r.job == *job;
+        let found = self
+            .workers
+            .values()
+            .any(|w| w.runs.values().any(same_task));
+        let detail = || format!("task {task} of job {job} would get a second run");
         !invariant::check(!found, Rule::Place, detail)
     }
 
-    /// Makes room for urgent work: the run whose stop loses least yields.
+    /// Evicts a run for a waiting urgent task: among the runs without which the task fits,
+    /// the one that loses the least work. Does nothing while any run is stopping.
     fn preempt_for(&mut self, now: Millis, key: &Name) -> Option<Action> {
         let shard = self.shards.get(key)?;
         let spec = &shard.row.spec;
@@ -175,18 +182,17 @@
             return None;
         }
         let size = self.corrected_size(&spec.kind, spec.size);
-        let yielding = self
+        let stopping = self
             .workers
             .values()
             .any(|w| w.runs.values().any(|r| r.phase == RunPhase::Stopping));
-        if yielding {
+        if stopping {
             return None;
         }
-        let index = shard.states.iter().position(|l| *l == TaskState::Waiting)?;
-        let shunned = shard.failed_on.get(&index);
-        // Only where the urgent task could then run.
+        let index = shard.states.iter().position(|s| *s == TaskState::Waiting)?;
+        let failed_on = shard.failed_on.get(&index);
         let victims = self.workers.values().filter(|w| {
-            w.accepts_work(now) && w.quarantined_until <= now && Some(&w.name) != shunned
+            w.accepts_work(now) && w.quarantined_until <= now && Some(&w.name) != failed_on
         });
         let victims = victims.flat_map(|w| w.running_runs().map(move |r| (w, r)));
         let enough = |(w, r): &(&Worker, &Run)| !r.urgent && fits_without(w, r, size);
@@ -196,21 +202,21 @@
         self.evict(now, &worker, run)
     }
 
-    /// Returns a worker for a task and the share with which it may start.
-    fn select_task_worker(&mut self, now: Millis, wanted: WaitingTask) -> Option<(Name, u32)> {
-        let reserve = if wanted.urgent {
+    /// Returns a worker for a task and the share of its cores with which the task starts.
+    fn select_task_worker(&mut self, now: Millis, waiting: WaitingTask) -> Option<(Name, u32)> {
+        let reserve = if waiting.urgent {
             0.0
         } else {
             self.policy.reserve
         };
-        let kept = |w: &Worker| (f64::from(w.shape.cores) * reserve) as u32;
-        let size = wanted.size;
+        let reserved = |w: &Worker| (f64::from(w.shape.cores) * reserve) as u32;
+        let size = waiting.size;
         let candidates: Vec<&Worker> = self
             .workers
             .values()
             .filter(|w| w.accepts_work(now) && w.quarantined_until <= now)
-            .filter(|w| Some(&w.name) != wanted.shunned.as_ref())
-            .filter(|w| w.has_free(size) && w.free_cores() >= size.cores + kept(w))
+            .filter(|w| Some(&w.name) != waiting.failed_on.as_ref())
+            .filter(|w| w.has_free(size) && w.free_cores() >= size.cores + reserved(w))
             .collect();
         let count = candidates.len() as u64;
         let chosen = match self.policy.task_selection {
@@ -227,37 +233,39 @@
                 let index = self.next_turn.checked_rem(count).unwrap_or(0) as usize;
                 candidates.get(index).copied()
             }
-            Selection::Learned => return self.least_interference(now, candidates, &wanted),
+            Selection::Learned => return self.least_interference(now, candidates, &waiting),
         };
         chosen.map(|w| (w.name.clone(), WHOLE))
     }
 
-    /// Returns the worker on which a task would hurt least, and the largest
-    /// share at which that is bearable.
+    /// Returns the worker on which a task would slow down services the least, and the largest
+    /// share that keeps the slowdown within the limit.
     fn least_interference(
         &self,
         now: Millis,
         workers: Vec<&Worker>,
-        wanted: &WaitingTask,
+        waiting: &WaitingTask,
     ) -> Option<(Name, u32)> {
         let scored = workers
             .into_iter()
-            .map(|w| (self.expected_interference(now, w, wanted.kind), w));
+            .map(|w| (self.expected_interference(now, w, waiting.kind), w));
         let ((present, added), worker) =
             scored.min_by(|(a, _), (b, _)| (a.0 + a.1).total_cmp(&(b.0 + b.1)))?;
-        if wanted.urgent {
+        if waiting.urgent {
             return Some((worker.name.clone(), WHOLE));
         }
-        let bearable = self.slowdown_limit() - 1.0;
-        let hurt = |share: u32| present + added * f64::from(share) / f64::from(WHOLE);
-        let share = SHARES.into_iter().find(|share| hurt(*share) <= bearable);
-        let share = share.or(wanted.starved.then_some(LOWEST))?;
+        let limit = self.slowdown_limit() - 1.0;
+        let total = |share: u32| present + added * f64::from(share) / f64::from(WHOLE);
+        let share = START_SHARES
+            .into_iter()
+            .find(|share| total(*share) <= limit);
+        let share = share.or(waiting.starved.then_some(LOWEST_SHARE))?;
         Some((worker.name.clone(), share))
     }
 
-    /// Returns the slowdown above 1 that services see on a worker now, and
-    /// what one more run of a kind would add at its whole share. Of several
-    /// services the one that would be hurt most counts.
+    /// Returns the slowdown above 1 of a service on a worker now, and what a further run of
+    /// `kind` would add at its full share. Of the services in use, the one with the largest
+    /// sum counts.
     fn expected_interference(&self, now: Millis, worker: &Worker, kind: &str) -> (f64, f64) {
         let busy = worker.is_busy();
         let mut worst = (0.0, 0.0);
@@ -279,12 +287,13 @@
         worst
     }
 
-    /// Returns the slowdown of services at which batch has to yield.
+    /// Returns the slowdown of services above which tasks are throttled.
     pub fn slowdown_limit(&self) -> f64 {
         2.5 - 1.5 * self.policy.tail_weight
     }
 
-    /// Raises a declared size to what runs of the kind were seen to use.
+    /// Returns the declared size with its cores raised to the measured use of tasks of the
+    /// kind: at most 4 times the declared cores, and at most those of the largest worker.
     fn corrected_size(&self, kind: &str, size: Size) -> Size {
         let factor = self
             .usage_factors
@@ -293,16 +302,17 @@
             .unwrap_or(1.0)
             .clamp(1.0, 4.0);
         let cores = (f64::from(size.cores) * factor) as u32;
-        let most = self.workers.values().map(|w| w.shape.cores).max();
+        let largest = self.workers.values().map(|w| w.shape.cores).max();
         Size {
-            cores: cores.min(most.unwrap_or(size.cores)).max(size.cores),
+            cores: cores.min(largest.unwrap_or(size.cores)).max(size.cores),
             ..size
         }
     }
 }
 
+/// Returns true when `size` fits on a worker once `run` has ended.
 fn fits_without(worker: &Worker, run: &Run, size: Size) -> bool {
-    let mut rest = worker.clone();
-    rest.remove_run(run.id);
-    rest.has_free(size)
+    let mut remaining = worker.clone();
+    remaining.remove_run(run.id);
+    remaining.has_free(size)
 }
--- a/src/cell/throttling.rs
+++ b/src/cell/throttling.rs
@@ -1,4 +1,4 @@
-//! Relief: which runs are throttled or evicted where services are hurt.
+//! Throttles and evicts runs that slow down services, and stops runs.
 
 use super::runs::{CallOutcome, Run, RunId, RunPhase};
 use super::state::Cell;
@@ -8,32 +8,33 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Lowest share to which a run is throttled, in thousandths.
-pub(super) const LOWEST: u32 = 250;
-/// Milliseconds between two steps of throttling on one worker.
-const STEP: Millis = 1_000;
-/// Milliseconds at the lowest share before a run is evicted.
-const PERSIST: Millis = 3_000;
-/// Milliseconds between two evictions on one worker, unless for urgent work.
-const COOL: Millis = 5_000;
+/// Lowest share of its cores to which a run is throttled, in thousandths.
+pub(super) const LOWEST_SHARE: u32 = 250;
+/// Milliseconds between two changes of shares on one worker.
+const THROTTLE_INTERVAL: Millis = 1_000;
+/// Milliseconds at the lowest share after which a run may be evicted.
+const EVICTION_DELAY: Millis = 3_000;
+/// Milliseconds between two evictions because of interference on one worker.
+const EVICTION_INTERVAL: Millis = 5_000;
 
 impl Cell {
-    /// Throttles or evicts where services are hurt, and lets go where not.
+    /// Throttles or evicts a run on each worker whose services are too slow, and raises a
+    /// run's share where the slowdown is well below the limit.
     pub fn adjust_throttles(&mut self, now: Millis) -> Vec<Action> {
         if !self.policy.throttling {
             return Vec::new();
         }
-        let bearable = self.slowdown_limit();
+        let limit = self.slowdown_limit();
         let mut steps = Vec::new();
         for worker in self.workers.values() {
-            if !worker.responsive || now < worker.last_throttle + STEP {
+            if !worker.responsive || now < worker.last_throttle + THROTTLE_INTERVAL {
                 continue;
             }
-            let slow = self.slowdowns.get(&worker.name).copied().unwrap_or(1.0);
-            if slow > bearable {
-                steps.extend(self.slow_down(now, worker));
-            } else if slow < 1.0 + (bearable - 1.0) * 0.6 {
-                steps.extend(speed_up(worker));
+            let slowdown = self.slowdowns.get(&worker.name).copied().unwrap_or(1.0);
+            if slowdown > limit {
+                steps.extend(self.lower_share(now, worker));
+            } else if slowdown < 1.0 + (limit - 1.0) * 0.6 {
+                steps.extend(raise_share(worker));
             }
         }
         let mut actions = Vec::new();
@@ -47,31 +48,34 @@
         actions
     }
 
-    /// Returns the next step against the run that hurts most: half its share,
-    /// or its eviction when that did not help for a while.
-    fn slow_down(&self, now: Millis, worker: &Worker) -> Option<(Name, RunId, Option<u32>)> {
+    /// Returns the next step against the run that causes the most interference: half its
+    /// share, or `None` for an eviction when it has been at the lowest share for a while.
+    fn lower_share(&self, now: Millis, worker: &Worker) -> Option<(Name, RunId, Option<u32>)> {
         let busy = worker.is_busy();
-        let services: Vec<&Name> = worker.requests.values().map(|a| &a.service).collect();
+        let services: Vec<&Name> = worker.requests.values().map(|r| &r.service).collect();
         let interference = |r: &Run| -> f64 {
-            let known = services
+            let estimates = services
                 .iter()
                 .map(|s| self.interference.upper_estimate(s, &r.kind, busy));
-            known.fold(0.0, f64::max) * f64::from(r.share)
+            estimates.fold(0.0, f64::max) * f64::from(r.share)
         };
         let worst = worker
             .running_runs()
             .max_by(|a, b| interference(a).total_cmp(&interference(b)))?;
-        if worst.share > LOWEST {
-            let share = (worst.share / 2).max(LOWEST);
+        if worst.share > LOWEST_SHARE {
+            let share = (worst.share / 2).max(LOWEST_SHARE);
             return Some((worker.name.clone(), worst.id, Some(share)));
         }
-        let waited = now >= worst.phase_since + PERSIST && now >= worker.last_eviction + COOL;
-        waited.then(|| (worker.name.clone(), worst.id, None))
+        let evictable = now >= worst.phase_since + EVICTION_DELAY
+            && now >= worker.last_eviction + EVICTION_INTERVAL;
+        evictable.then(|| (worker.name.clone(), worst.id, None))
     }
 
-    /// Makes room for a waiting critical request that no worker can hold.
+    /// Throttles or evicts a run for a queued critical request that no worker has the
+    /// resources for.
     pub fn free_resources(&mut self, now: Millis, size: Size) -> Vec<Action> {
-        let stuck = |w: &&Worker| w.accepts_work(now) && w.free_slots() > 0 && !w.has_free(size);
+        let lacks_resources =
+            |w: &&Worker| w.accepts_work(now) && w.free_slots() > 0 && !w.has_free(size);
         let fits = self
             .workers
             .values()
@@ -82,8 +86,8 @@
         let chosen = self
             .workers
             .values()
-            .filter(stuck)
-            .filter(|w| now >= w.last_throttle + STEP)
+            .filter(lacks_resources)
+            .filter(|w| now >= w.last_throttle + THROTTLE_INTERVAL)
             .max_by_key(|w| (w.free_cores(), w.free_slots()));
         let Some(worker) = chosen else {
             return Vec::new();
@@ -95,13 +99,15 @@
             return Vec::new();
         };
         let (name, id, share) = (worker.name.clone(), run.id, run.share);
-        let action = match share > LOWEST && self.policy.throttling {
-            true => self.throttle(now, &name, id, (share / 2).max(LOWEST)),
+        let action = match share > LOWEST_SHARE && self.policy.throttling {
+            true => self.throttle(now, &name, id, (share / 2).max(LOWEST_SHARE)),
             false => self.evict(now, &name, id),
         };
         action.into_iter().collect()
     }
 
+    /// Changes the share of a run, unless a change is pending or the worker lacks the cores
+    /// for a larger share.
     fn throttle(&mut self, now: Millis, name: &Name, id: RunId, share: u32) -> Option<Action> {
         let worker = self.workers.get_mut(name)?;
         let rpc = worker.rpc;
@@ -112,7 +118,7 @@
             return None;
         }
         worker.last_throttle = now;
-        // More is counted at once, less only when the worker has confirmed it.
+        // A larger share is accounted for at once, a smaller one when the worker confirms it.
         worker.update_run(id, |r| {
             r.throttle_pending = true;
             r.share = r.share.max(share);
@@ -125,7 +131,7 @@
         })
     }
 
-    /// Takes in how a throttle ended.
+    /// Handles the outcome of a throttle call.
     pub fn finish_throttle(
         &mut self,
         now: Millis,
@@ -133,14 +139,14 @@
         name: &Name,
         id: RunId,
         share: u32,
-        called: CallOutcome,
+        outcome: CallOutcome,
     ) -> Vec<Action> {
         let Some(worker) = self.workers.get_mut(name) else {
             return Vec::new();
         };
         worker.update_run(id, |r| {
             r.throttle_pending = false;
-            match called {
+            match outcome {
                 CallOutcome::Done(_) => {
                     r.share = share;
                     r.phase_since = now;
@@ -152,6 +158,7 @@
         self.send_queued(now, micros)
     }
 
+    /// Stops a run and saves a checkpoint of its work.
     pub(super) fn evict(&mut self, now: Millis, name: &Name, id: RunId) -> Option<Action> {
         let action = self.stop(name, id, true)?;
         let worker = self.workers.get_mut(name)?;
@@ -161,6 +168,7 @@
         Some(action)
     }
 
+    /// Stops a run, with a checkpoint of its work if `checkpoint`.
     pub(super) fn stop(&mut self, name: &Name, id: RunId, checkpoint: bool) -> Option<Action> {
         let worker = self.workers.get_mut(name)?;
         let rpc = worker.rpc;
@@ -174,8 +182,8 @@
     }
 }
 
-/// Returns the next step towards a run's full share on a calm worker.
-fn speed_up(worker: &Worker) -> Option<(Name, RunId, Option<u32>)> {
+/// Returns the next step for a throttled run on a worker: twice its share.
+fn raise_share(worker: &Worker) -> Option<(Name, RunId, Option<u32>)> {
     let run = worker.running_runs().find(|r| r.share < WHOLE)?;
     let share = (run.share * 2).min(WHOLE);
     Some((worker.name.clone(), run.id, Some(share)))
