--- a/src/rpc/server.rs
+++ b/src/rpc/server.rs
@@ -45,9 +45,7 @@
     }
     let stream = match stream.into_poll_io() {
         Ok(stream) => stream,
-        Err(e) => {
-            return log::warn!(target: "rpc", "connection setup failed: {e}");
-        }
+        Err(e) => return log::warn!(target: "rpc", "connection setup failed: {e}"),
     };
     let service = hyper::service::service_fn(move |request| {
         let reply = handle(request);
