--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -1,5 +1,4 @@
-//! Running the owned cells: the workers listed for them, their ticks and what they
-//! ask for.
+//! Runs the owned cells: ticks them, performs their actions and updates their lists of workers.
 
 use super::in_flight::UNKNOWN_AFTER_RESEND;
 use super::state::Engine;
@@ -9,14 +8,19 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Milliseconds between two scans for job shards that no hint told of.
+/// Milliseconds between two scans of a cell for job shards whose hint was lost.
 const RESCAN_INTERVAL: Millis = 10_000;
 
 impl Engine {
+    /// Ticks all owned cells and releases leaving cells in which nothing is in progress.
     pub(super) fn tick_cells(&mut self, now: Now, out: &mut Vec<Action>) {
         let names: Vec<Name> = self.cells.keys().cloned().collect();
         for name in names {
-            let leaving = self.claims.owned().get(&name).is_none_or(|m| m.leaving);
+            let leaving = self
+                .claims
+                .owned()
+                .get(&name)
+                .is_none_or(|owned| owned.leaving);
             let Some(cell) = self.cells.get_mut(&name) else {
                 continue;
             };
@@ -41,7 +45,7 @@
         self.release_dedup_shards(now, out);
     }
 
-    /// Refuses what waits while the lease has lapsed.
+    /// Refuses the queued requests of all cells, as the lease has lapsed.
     pub(super) fn refuse_queued(&mut self, now: Now, out: &mut Vec<Action>) {
         let names: Vec<Name> = self.cells.keys().cloned().collect();
         for name in names {
@@ -56,15 +60,16 @@
         }
     }
 
-    /// Returns true when this box may act for a cell under an epoch.
+    /// Returns true if this box may act for a cell under an epoch; counts a violation otherwise.
     fn may_act_for(&self, now: Now, cell: &Name, epoch: u64) -> bool {
         let owned = self.claims.owned().get(cell);
-        let rules = self.lease.may_act(now.millis) && owned.is_some_and(|m| m.epoch == epoch);
+        let allowed =
+            self.lease.may_act(now.millis) && owned.is_some_and(|owned| owned.epoch == epoch);
         let detail = || format!("{} acts for {cell} under epoch {epoch}", self.id());
-        invariant::check(rules, Rule::Owner, detail)
+        invariant::check(allowed, Rule::Owner, detail)
     }
 
-    /// Carries out what a cell asks for.
+    /// Performs an action that a cell requests.
     pub(super) fn apply_cell_action(
         &mut self,
         now: Now,
@@ -74,7 +79,7 @@
         out: &mut Vec<Action>,
     ) {
         match action {
-            // A lapsed lease ends sends here, and once more right before the socket.
+            // The lease is checked here and again right before the write to the socket.
             cell::Action::Send { ticket, .. } if !self.lease.may_act(now.millis) => {
                 self.handle_lapsed_send(now, cell, ticket, out);
             }
@@ -114,6 +119,7 @@
         }
     }
 
+    /// Applies the outcome of a call to a worker, unless the cell has another epoch by now.
     pub(super) fn handle_worker_outcome(
         &mut self,
         now: Now,
@@ -142,18 +148,18 @@
                     outcome,
                 );
                 if outranked {
-                    log::warn!(target: "claim", "{worker} knows a higher epoch of {name}");
+                    log::warn!(target: "claim", "worker {worker} knows a higher epoch of cell {name}");
                 }
                 actions
             }
-            WorkerCallOutcome::Started(run, called) => {
-                cell.finish_start(millis, worker, run, called)
+            WorkerCallOutcome::Started(run, result) => {
+                cell.finish_start(millis, worker, run, result)
             }
-            WorkerCallOutcome::Stopped(run, called) => {
-                cell.finish_stop(millis, micros, worker, run, called)
+            WorkerCallOutcome::Stopped(run, result) => {
+                cell.finish_stop(millis, micros, worker, run, result)
             }
-            WorkerCallOutcome::Throttled(run, share, called) => {
-                cell.finish_throttle(millis, micros, worker, run, share, called)
+            WorkerCallOutcome::Throttled(run, share, result) => {
+                cell.finish_throttle(millis, micros, worker, run, share, result)
             }
         };
         for action in actions {
@@ -161,6 +167,7 @@
         }
     }
 
+    /// Reads the list of workers if that is due.
     pub(super) fn poll_workers(&mut self, now: Now, out: &mut Vec<Action>) {
         let interval = self.settings.intervals.poll;
         let due = self.listed_at.is_none_or(|at| now.millis >= at + interval);
@@ -171,6 +178,7 @@
         }
     }
 
+    /// Replaces the list of workers; `None` if the read failed.
     pub(super) fn update_workers(&mut self, workers: Option<Vec<ListedWorker>>) {
         self.listing = false;
         let Some(workers) = workers else {
@@ -183,7 +191,7 @@
         self.update_cells();
     }
 
-    /// Tells cells their workers, quotas and drains.
+    /// Updates the workers, quotas and drains of all owned cells.
     pub(super) fn update_cells(&mut self) {
         let total = self.listed_workers.len().max(1) as f64;
         for cell in self.cells.values_mut() {
@@ -193,7 +201,7 @@
         }
     }
 
-    /// Reads the job shards of cells again whose last scan is long ago.
+    /// Scans the cells again whose last scan is older than [`RESCAN_INTERVAL`].
     pub(super) fn rescan_due_cells(&mut self, now: Now, out: &mut Vec<Action>) {
         let due: Vec<Name> = self
             .cells
--- a/src/engine/config_sync.rs
+++ b/src/engine/config_sync.rs
@@ -1,4 +1,4 @@
-//! How a box comes to the configuration and follows it.
+//! Loads the configuration from the table and keeps it up to date.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
 use crate::table::{Call, Outcome, decode};
 use crate::utils::Name;
 
-/// Changes that are read one by one; a box further behind reads all entries.
+/// Largest number of changes that are read one by one; a box further behind reads all entries.
 const MAX_CHANGES: u64 = 200;
-/// Polls without an answer after which a peer is asked.
+/// Poll intervals without an answer of the table after which a peer's configuration is fetched.
 const MAX_SILENT_POLLS: u64 = 2;
 
 impl Engine {
-    /// Reads the head row when that is due.
+    /// Reads the head row, which holds the latest version, if that is due.
     pub(super) fn poll_config(&mut self, now: Now, out: &mut Vec<Action>) {
         let interval = self.settings.intervals.poll;
         let due = self.polled_at.is_none_or(|at| now.millis >= at + interval);
@@ -30,6 +30,7 @@
         }
     }
 
+    /// Reads all entries or the missing changes, as the head row requires.
     pub(super) fn handle_head(&mut self, _now: Now, outcome: &Outcome, out: &mut Vec<Action>) {
         let Some(rows) = rows(outcome) else {
             self.polling = false;
@@ -50,7 +51,8 @@
         self.read_changes(self.config.version(), version, out);
     }
 
-    /// Reads the changes after `from`; with none, what is staged is whole.
+    /// Reads the changes after version `from`. If there are none, the staged configuration is
+    /// complete and adopted.
     fn read_changes(&mut self, from: u64, version: u64, out: &mut Vec<Action>) {
         if version <= from {
             self.polling = false;
@@ -62,10 +64,10 @@
         self.call_table(Purpose::ReadChanges, Call::Read(keys), out);
     }
 
-    /// Takes in all entries, read after the head had `version`.
+    /// Stages all entries, which were read after the head was at `version`.
     ///
-    /// Entries may have changed while they were read. They are staged until
-    /// the changes up to a later head were applied over them as well.
+    /// Entries may have changed during the read. They stay staged until the changes up to a later
+    /// head are applied to them.
     pub(super) fn stage_entries(
         &mut self,
         version: u64,
@@ -86,10 +88,11 @@
         let mut staged = Config::default();
         staged.replace(version, entries);
         self.staged = Some(staged);
-        // The next tick reads the head again.
+        // Makes the next tick read the head again.
         self.polled_at = None;
     }
 
+    /// Applies changes to the staged configuration, or to the active one if none is staged.
     pub(super) fn apply_changes(&mut self, outcome: &Outcome) {
         self.polling = false;
         let Some(rows) = rows(outcome) else {
@@ -102,16 +105,17 @@
         for change in &changes {
             target.apply(change);
         }
-        let stuck = target.version() == before;
+        let unchanged = target.version() == before;
         match &mut self.staged {
-            // The changes that are missing were dropped meanwhile: read all again.
-            Some(_) if stuck => self.staged = None,
+            // The missing changes were deleted from the table, so all entries are read again.
+            Some(_) if unchanged => self.staged = None,
             Some(_) => self.polled_at = None,
-            None if stuck => self.staged = None,
+            None if unchanged => self.staged = None,
             None => self.config_changed(),
         }
     }
 
+    /// Makes the staged configuration active.
     fn adopt_staged(&mut self) {
         let Some(staged) = self.staged.take() else {
             return;
@@ -119,6 +123,7 @@
         self.adopt(staged);
     }
 
+    /// Makes a configuration active unless the current one is at least as new.
     fn adopt(&mut self, config: Config) {
         if self
             .config
@@ -128,13 +133,14 @@
         }
     }
 
+    /// Logs the new version and updates the cells.
     fn config_changed(&mut self) {
-        log::info!(target: "config", "version {} is in force", self.config.version());
+        log::info!(target: "config", "configuration version {} is active", self.config.version());
         self.update_cells();
     }
 
-    /// Takes in that a peer holds a version; a newer one is read at once, from
-    /// the peer itself when the table does not answer.
+    /// Schedules an immediate read if a peer has a newer version. Fetches it from the peer if the
+    /// table does not answer.
     pub(super) fn handle_peer_version(
         &mut self,
         now: Now,
@@ -146,17 +152,16 @@
             return;
         }
         self.polled_at = None;
-        let patience = self.settings.intervals.poll * MAX_SILENT_POLLS;
-        let silent = now.millis >= self.answered_at + patience;
-        let due = self
-            .snapshot_at
-            .is_none_or(|at| now.millis >= at + patience);
-        if silent && due && version > 0 {
+        let timeout = self.settings.intervals.poll * MAX_SILENT_POLLS;
+        let table_silent = now.millis >= self.answered_at + timeout;
+        let due = self.snapshot_at.is_none_or(|at| now.millis >= at + timeout);
+        if table_silent && due && version > 0 {
             self.snapshot_at = Some(now.millis);
             out.push(Action::FetchSnapshot(rpc));
         }
     }
 
+    /// Makes a peer's configuration active; `None` if the fetch failed.
     pub(super) fn adopt_snapshot(&mut self, config: Option<Config>) {
         if let Some(config) = config.filter(Config::known) {
             self.adopt(config);
--- a/src/engine/in_flight.rs
+++ b/src/engine/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request on its way, and what may be told of it.
+//! State of a request in progress on this box, and the verdict that its state permits.
 
 use super::Verdict;
 use crate::invariant::{self, Rule};
@@ -6,78 +6,83 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// What is told of a request that was sent before and may have run.
+/// Verdict for a request of which an earlier send may have run.
 pub(super) const UNKNOWN_AFTER_RESEND: Verdict = Verdict::Unknown { reason: "retried" };
 
-/// Who asked this box.
+/// Who sent a request to this box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
     /// A caller.
     Caller,
-    /// A box that asks this one to deduplicate the id.
+    /// A box that forwarded the request because this box owns its dedup shard.
     PeerForDedup,
-    /// A box that has chosen a cell of this one.
+    /// A box that forwarded the request to a cell of this box.
     PeerForCell,
 }
 
-/// Where a request is.
+/// Where a request is being processed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Not yet anywhere.
+    /// Not routed yet, or again.
     New,
-    /// At the box that owns the dedup shard.
+    /// Forwarded to the owner of its dedup shard.
     Dedup,
-    /// Waiting for an owner of the dedup shard, or of any cell, to be known.
+    /// Waiting until this time, in ms, for the dedup shard or the cells to get an owner.
     Backoff(Millis),
-    /// In an own cell.
+    /// In a cell of this box.
     Local(Name),
-    /// At the owner of another cell.
+    /// Forwarded to the owner of another cell.
     Remote(Name),
 }
 
-/// A request on its way.
+/// A request in progress.
 #[derive(Clone, Debug)]
 pub(super) struct InFlightRequest {
-    /// What it says of itself.
+    /// Checked headers.
     pub meta: Meta,
-    /// When its caller does not wait any more, in milliseconds.
+    /// Time at which the caller stops waiting, in ms on the monotonic clock.
     pub deadline: Millis,
-    /// Who asked this box.
+    /// Who sent the request.
     pub origin: Origin,
-    /// Where it is.
+    /// Where the request is being processed.
     pub stage: Stage,
-    /// Cells that were tried.
+    /// Cells that were already tried.
     pub tried: Vec<Name>,
-    /// The dedup shard that let it through, and the epoch.
+    /// Own dedup shard that admitted the request, with the shard's epoch.
     pub dedup_shard: Option<(Name, u64)>,
-    /// Sends that are left to it.
+    /// Number of retries left.
     pub retries: u32,
-    /// True while a send of it has no outcome.
+    /// True while the outcome of a send is pending.
     pub sending: bool,
-    /// True once a send of it may have run.
+    /// True once an earlier send may have run.
     pub may_have_run: bool,
 }
 
 impl InFlightRequest {
-    /// Returns the milliseconds until its deadline.
+    /// Returns the milliseconds until the deadline.
     pub fn time_left(&self, now: Millis) -> Millis {
         self.deadline.saturating_sub(now)
     }
 
-    /// Returns the verdict, or unknown in place of a denial that is not proved.
+    /// Returns the verdict, but replaces "not run" by "unknown" if a send may have run.
     pub fn provable_verdict(&self, ticket: u64, verdict: Verdict) -> Verdict {
         let Verdict::NotRun { reason, .. } = verdict else {
             return verdict;
         };
         let proved = !self.sending && !self.may_have_run;
-        let detail = || format!("{ticket} is denied ({}) and may run", reason.as_str());
+        let detail = || {
+            format!(
+                "request {ticket} is reported as not run ({}) but may run",
+                reason.as_str()
+            )
+        };
         match invariant::check(proved, Rule::NotRun, detail) {
             true => verdict,
             false => UNKNOWN_AFTER_RESEND,
         }
     }
 
-    /// Returns true when an own dedup shard let it through.
+    /// Returns true if this dedup shard admitted the request.
     pub fn admitted_by(&self, shard: &str) -> bool {
         self.dedup_shard
             .as_ref()
--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the sends of requests came to: another try or an answer.
+//! Handles the outcomes of sends and forwards: retries a request or answers it.
 
 use super::in_flight::{Origin, Stage, UNKNOWN_AFTER_RESEND};
 use super::requests::RETRY_AFTER;
@@ -9,12 +9,12 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Steps in which the time to come back varies, up to twice as long, so that
-/// callers do not come together.
+/// Number of steps over which a retry delay is spread between one and two times its length, so that
+/// callers do not retry at the same time.
 const JITTER_STEPS: u64 = 200;
 
 impl Engine {
-    /// Takes in that an own cell refused a request; another one may be tried.
+    /// Retries a request that a cell has refused in another cell, or answers it as not run.
     pub(super) fn handle_refusal(
         &mut self,
         now: Now,
@@ -24,7 +24,8 @@
         out: &mut Vec<Action>,
     ) {
         let cell = self.leave_cell(ticket);
-        // Idle as it looks, it would draw request after request.
+        // The cell seems idle until its new owner reports its load, so it would attract all
+        // requests.
         if let Some(cell) = cell.filter(|_| reason == Reason::NotOwner) {
             self.router.remove_cell(&cell);
         }
@@ -34,7 +35,7 @@
         self.finish_not_run(now, ticket, reason, retry_after, out);
     }
 
-    /// Takes in that a request could not be sent, as the lease has lapsed.
+    /// Handles a request that a cell wanted to send after the lease had lapsed.
     pub(super) fn handle_lapsed_send(
         &mut self,
         now: Now,
@@ -43,7 +44,7 @@
         out: &mut Vec<Action>,
     ) {
         if let Some(cell) = self.cells.get_mut(cell) {
-            // What the freed room would let through can't be sent either.
+            // The cell starts no other request in the freed slot, as the lease has lapsed.
             let actions =
                 cell.finish_send(now.millis, now.micros, ticket, SendOutcome::LeaseLapsed);
             debug_assert!(actions.is_empty());
@@ -52,14 +53,14 @@
         self.handle_refusal(now, ticket, Reason::Lapsed, RETRY_AFTER, out);
     }
 
-    /// Notes that the last send of a request has an outcome.
+    /// Records that the pending send of a request has an outcome.
     fn mark_sent(&mut self, ticket: u64) {
         if let Some(request) = self.in_flight.get_mut(&ticket) {
             request.sending = false;
         }
     }
 
-    /// Takes a request out of the cell where it is; returns that cell.
+    /// Removes a request from its cell and returns the cell's name.
     fn leave_cell(&mut self, ticket: u64) -> Option<Name> {
         let request = self.in_flight.get_mut(&ticket)?;
         let stage = std::mem::replace(&mut request.stage, Stage::New);
@@ -70,7 +71,7 @@
         Some(cell)
     }
 
-    /// Returns true, and pays for it, when a request may be sent once more.
+    /// Takes one retry from the request and the box's budget; returns false if none is left.
     pub(super) fn spend_retry(&mut self, now: Now, ticket: u64) -> bool {
         let Some(request) = self.in_flight.get_mut(&ticket) else {
             return false;
@@ -86,7 +87,7 @@
         allowed
     }
 
-    /// Takes in how a send to an endpoint went.
+    /// Handles the outcome of a send to an endpoint.
     pub(super) fn handle_send_outcome(
         &mut self,
         now: Now,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Takes in how handing a request to another box went.
+    /// Handles the outcome of a forward to another box.
     pub(super) fn handle_forward_outcome(
         &mut self,
         now: Now,
@@ -148,9 +149,9 @@
                 if !at_dedup {
                     return self.handle_refusal(now, ticket, reason, retry_after, out);
                 }
-                // Only the owner of the dedup shard tries cells; the shard may have a new owner.
-                let moved = matches!(reason, Reason::NotOwner | Reason::Unreachable);
-                match moved {
+                // Only the owner of the dedup shard chooses cells. The shard may have a new owner.
+                let owner_changed = matches!(reason, Reason::NotOwner | Reason::Unreachable);
+                match owner_changed {
                     true => self.back_off(now, ticket, reason, out),
                     false => self.finish_not_run(now, ticket, reason, retry_after, out),
                 }
@@ -159,8 +160,8 @@
         }
     }
 
-    /// Goes on with a request that may have run: only a repeatable one is
-    /// sent again.
+    /// Handles a request that may have run: retries it if it is repeatable, and answers it as
+    /// unknown otherwise.
     fn handle_unknown_outcome(
         &mut self,
         now: Now,
@@ -179,7 +180,7 @@
         self.finish(ticket, Verdict::Unknown { reason }, out);
     }
 
-    /// Tells the caller that a request did not run, if that is certain.
+    /// Answers a request as not run, or as unknown if an earlier send may have run.
     pub(super) fn finish_not_run(
         &mut self,
         now: Now,
@@ -190,7 +191,6 @@
     ) {
         let jitter = crate::utils::hash::mix(ticket ^ now.micros) % JITTER_STEPS;
         let retry_after = retry_after + retry_after * jitter / JITTER_STEPS;
-        // An earlier send that may have run forbids to say that it did not.
         let may_have_run = self.in_flight.get(&ticket).is_some_and(|r| r.may_have_run);
         let verdict = match may_have_run {
             true => UNKNOWN_AFTER_RESEND,
@@ -202,11 +202,11 @@
         self.finish(ticket, verdict, out);
     }
 
-    /// Answers a request, once.
+    /// Answers a request and removes it; a request must not be answered twice.
     pub(super) fn finish(&mut self, ticket: u64, verdict: Verdict, out: &mut Vec<Action>) {
         let request = self.in_flight.remove(&ticket);
-        let twice = || format!("{ticket} answered twice");
-        invariant::check(request.is_some(), Rule::Answer, twice);
+        let detail = || format!("request {ticket} was already answered");
+        invariant::check(request.is_some(), Rule::Answer, detail);
         let Some(request) = request else {
             return;
         };
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! Requests on their way through this box.
+//! Routes requests: deduplicates them and sends each to a cell of this or another box.
 
 use super::in_flight::{InFlightRequest, Origin, Stage, UNKNOWN_AFTER_RESEND};
 use super::ownership::dedup_shard_name;
@@ -13,15 +13,17 @@
 use crate::utils::clock::Millis;
 use crate::utils::hash::stable;
 
-/// Retries that this box saves up at most.
+/// Largest number of retries that this box accumulates.
 pub(super) const RETRY_BUDGET: f64 = 100.0;
-/// Part of a retry that each request adds.
+/// Fraction of a retry that each request adds to the budget.
 const RETRY_EARNED: f64 = 0.1;
-/// Milliseconds after which to come back when nothing better is known.
+/// Default time in ms after which a caller may retry.
 pub(super) const RETRY_AFTER: Millis = 200;
-/// Milliseconds after which another owner of a dedup shard or a cell is looked for.
+/// Time in ms after which a request without an owner of its dedup shard or of any cell is retried.
 const BACKOFF: Millis = 100;
+
 impl Engine {
+    /// Starts processing a caller's request.
     pub(super) fn handle_request(
         &mut self,
         now: Now,
@@ -49,6 +51,7 @@
         }
     }
 
+    /// Records a request as in progress.
     fn track(&mut self, now: Now, ticket: u64, meta: Meta, origin: Origin) {
         let request = InFlightRequest {
             deadline: now.millis + meta.time_left,
@@ -64,19 +67,20 @@
         self.in_flight.insert(ticket, request);
     }
 
-    /// Notes that a request is sent; false when it must not be, as an earlier
-    /// send of it is in progress or may have run.
+    /// Marks a request as being sent. Returns false if it must not be sent, as an earlier send is
+    /// pending, or may have run and the request is not repeatable.
     pub(super) fn mark_sending(&mut self, ticket: u64) -> bool {
         let request = self.in_flight.get_mut(&ticket);
         let known = request.is_some();
-        let once = request.is_some_and(|r| {
-            let before = std::mem::replace(&mut r.sending, true);
-            !before && (r.meta.repeatable || !r.may_have_run)
+        let allowed = request.is_some_and(|r| {
+            let was_sending = std::mem::replace(&mut r.sending, true);
+            !was_sending && (r.meta.repeatable || !r.may_have_run)
         });
-        let detail = || format!("{ticket} is sent again; known: {known}");
-        invariant::check(once, Rule::Once, detail)
+        let detail = || format!("request {ticket} must not be sent again (in progress: {known})");
+        invariant::check(allowed, Rule::Once, detail)
     }
 
+    /// Starts processing a request that another box has forwarded.
     #[allow(clippy::too_many_arguments)] // One for each field of the event.
     pub(super) fn handle_forwarded(
         &mut self,
@@ -93,7 +97,7 @@
             return self.deduplicate(now, ticket, out);
         };
         self.track(now, ticket, meta, Origin::PeerForCell);
-        // An owner that lost its dedup shard while it was frozen must not admit a request.
+        // A box that was frozen may have lost the dedup shard before it admitted the request.
         let known = dedup_shard.and_then(|s| self.claims.owner(&s).map(|(_, epoch)| epoch));
         if known.is_some_and(|known| known > epoch) {
             return self.finish_not_run(now, ticket, Reason::NotOwner, RETRY_AFTER, out);
@@ -101,16 +105,20 @@
         self.admit_to_cell(now, ticket, cell, out);
     }
 
-    /// Asks the dedup shard of a request that must run at most once.
+    /// Admits a request that must run at most once, or forwards it to its dedup shard's owner.
     fn deduplicate(&mut self, now: Now, ticket: u64, out: &mut Vec<Action>) {
         let Some(request) = self.in_flight.get_mut(&ticket) else {
             return;
         };
         let id = request.meta.id.clone();
         let shard = dedup_shard_name(stable(&[&id]) % DEDUP_SHARDS);
-        let acts = self.lease.may_act(now.millis);
-        if let Some(dedup) = self.dedup_shards.get_mut(&shard).filter(|_| acts) {
-            let leaving = self.claims.owned().get(&shard).is_none_or(|m| m.leaving);
+        let may_act = self.lease.may_act(now.millis);
+        if let Some(dedup) = self.dedup_shards.get_mut(&shard).filter(|_| may_act) {
+            let leaving = self
+                .claims
+                .owned()
+                .get(&shard)
+                .is_none_or(|owned| owned.leaving);
             if leaving {
                 return self.finish_not_run(now, ticket, Reason::Stopping, RETRY_AFTER, out);
             }
@@ -119,13 +127,13 @@
             request.dedup_shard = Some((shard, dedup.epoch));
             return self.handle_admission(now, ticket, admission, out);
         }
-        let asked_me = request.origin == Origin::PeerForDedup;
+        let is_forwarded = request.origin == Origin::PeerForDedup;
         let owner = self.claims.owner(&shard).map(|(owner, _)| owner.clone());
         let peer = owner
             .and_then(|o| self.lease.other_box(&o))
             .map(|b| b.rpc.parse());
         match peer {
-            Some(Ok(rpc)) if !asked_me => {
+            Some(Ok(rpc)) if !is_forwarded => {
                 request.stage = Stage::Dedup;
                 let mut meta = request.meta.clone();
                 meta.time_left = request.time_left(now.millis);
@@ -142,13 +150,15 @@
                     epoch: 0,
                 });
             }
-            _ if asked_me => self.finish_not_run(now, ticket, Reason::NotOwner, RETRY_AFTER, out),
+            _ if is_forwarded => {
+                self.finish_not_run(now, ticket, Reason::NotOwner, RETRY_AFTER, out)
+            }
             _ => self.back_off(now, ticket, Reason::NotOwner, out),
         }
     }
 
-    /// Waits a little for a dedup shard or the cells to get other owners, if
-    /// the request has time and sends left.
+    /// Delays a request until its dedup shard or the cells may have new owners, if it has time and
+    /// retries left; answers it as not run otherwise.
     pub(super) fn back_off(
         &mut self,
         now: Now,
@@ -170,7 +180,7 @@
         }
     }
 
-    /// Looks again for the dedup shards or cells of requests that wait for one.
+    /// Resumes the requests whose backoff has ended.
     pub(super) fn resume_backed_off(&mut self, now: Now, out: &mut Vec<Action>) {
         let due =
             |r: &InFlightRequest| matches!(r.stage, Stage::Backoff(until) if until <= now.millis);
@@ -186,6 +196,7 @@
         }
     }
 
+    /// Routes an admitted request, or answers it with the reason why it was not admitted.
     fn handle_admission(
         &mut self,
         now: Now,
@@ -196,7 +207,8 @@
         if admission == Admission::Admitted {
             return self.route(now, ticket, out);
         }
-        // The id was not let through by this request, so it is not to be forgotten with it.
+        // An earlier request with this id was admitted. The end of this one must not change its
+        // entry in the dedup shard.
         if let Some(request) = self.in_flight.get_mut(&ticket) {
             request.dedup_shard = None;
         }
@@ -213,24 +225,24 @@
         self.finish(ticket, Verdict::Unknown { reason }, out);
     }
 
-    /// Chooses a cell for a request and hands it there.
+    /// Chooses a cell for a request and sends the request there.
     pub(super) fn route(&mut self, now: Now, ticket: u64, out: &mut Vec<Action>) {
         let Some(request) = self.in_flight.get_mut(&ticket) else {
             return;
         };
-        // An owner that has lost its dedup shard meanwhile admits no request.
+        // The admission is void if this box has lost the dedup shard since.
         if let Some((shard, epoch)) = &request.dedup_shard {
-            let kept = self
+            let is_owned = self
                 .dedup_shards
                 .get(shard)
                 .is_some_and(|s| s.epoch == *epoch);
-            if !kept || !self.lease.may_act(now.millis) {
+            if !is_owned || !self.lease.may_act(now.millis) {
                 return self.finish_not_run(now, ticket, Reason::Lapsed, RETRY_AFTER, out);
             }
         }
         let Some(cell) = self.router.choose(&request.tried) else {
-            let known = !self.router.views().is_empty();
-            return match known {
+            let cells_known = !self.router.views().is_empty();
+            return match cells_known {
                 true => self.finish_not_run(now, ticket, Reason::NoRoom, RETRY_AFTER, out),
                 false => self.back_off(now, ticket, Reason::NotReady, out),
             };
@@ -258,7 +270,7 @@
         });
     }
 
-    /// Takes a request into an own cell.
+    /// Passes a request to a cell of this box.
     fn admit_to_cell(&mut self, now: Now, ticket: u64, name: Name, out: &mut Vec<Action>) {
         let Some(request) = self.in_flight.get_mut(&ticket) else {
             return;
@@ -270,7 +282,7 @@
         let Some(size) = self.config.size(&request.meta.service) else {
             return self.handle_refusal(now, ticket, Reason::NoService, RETRY_AFTER, out);
         };
-        let ask = PendingRequest {
+        let pending = PendingRequest {
             ticket,
             service: request.meta.service.clone(),
             class: request.meta.class,
@@ -281,7 +293,7 @@
             return self.handle_refusal(now, ticket, Reason::NotOwner, RETRY_AFTER, out);
         };
         let epoch = cell.epoch;
-        for action in cell.admit(now.millis, now.micros, ask) {
+        for action in cell.admit(now.millis, now.micros, pending) {
             self.apply_cell_action(now, &name, epoch, action, out);
         }
     }
