--- a/tests/processes/main.rs
+++ b/tests/processes/main.rs
@@ -1,10 +1,10 @@
 //! The parts as separate processes: killed, frozen, stopped and replaced.
 
+#[path = "../support/diagnostics.rs"]
+mod diagnostics;
 mod parts;
 #[path = "../support/proxy.rs"]
 mod proxy;
-#[path = "../support/sight.rs"]
-mod sight;
 #[path = "../support/mod.rs"]
 mod support;
 
--- a/tests/processes/parts.rs
+++ b/tests/processes/parts.rs
@@ -10,8 +10,8 @@
 use std::thread::JoinHandle;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
+use super::diagnostics::{Looks, doing};
 use super::proxy::{self, Way};
-use super::sight::{Looks, doing};
 use super::support::{PAUSE, becomes, binary, exchange, finish, free, spawn, wait, words};
 use willowpoint::claim;
 use willowpoint::program::block_on;
