--- a/tests/platform/cordon.rs
+++ b/tests/platform/cordon.rs
@@ -4,18 +4,18 @@
 
 use serde_json::json;
 
-use super::support::wait;
-use super::{Deployment, SHORT};
+use super::support::wait_for;
+use super::{Deployment, SHORT_DURATION};
 
 /// Key of the row that cordons the hall of the second worker.
-const ROW: &str = "evacuate/h2";
+const CORDON_KEY: &str = "evacuate/h2";
 
 /// Returns two workers in two halls, and boxes that know both.
 fn two_halls(boxes: usize) -> Deployment {
-    let deployment = Deployment::start(boxes, 2, SHORT);
-    deployment.workers[1].stand_in("h2");
+    let deployment = Deployment::start(boxes, 2, SHORT_DURATION);
+    deployment.workers[1].move_to_hall("h2");
     run_jobs(&deployment, 0xa0);
-    wait("both to run tasks", || {
+    wait_for("both to run tasks", || {
         run_jobs(&deployment, 0xb0);
         deployment.workers.iter().all(|w| w.started() > 0)
     });
@@ -26,16 +26,16 @@
 fn run_jobs(deployment: &Deployment, first: u64) {
     for number in first..first + 3 {
         let id = format!("{number:016x}");
-        deployment.submit_until_taken(&id, 4);
+        deployment.submit_until_accepted(&id, 4);
         deployment.wait_completed(&id);
     }
 }
 
 /// Waits until every box knows so many cordoned halls.
-fn wait_known(deployment: &Deployment, boxes: std::ops::Range<usize>, halls: u64) {
+fn wait_cordoned(deployment: &Deployment, boxes: std::ops::Range<usize>, halls: u64) {
     for number in boxes {
-        wait("word of the cordon", || {
-            deployment.gauge(number, "halls_cordoned") == Some(halls)
+        wait_for("word of the cordon", || {
+            deployment.metric(number, "halls_cordoned") == Some(halls)
         });
     }
 }
@@ -44,24 +44,26 @@
 fn a_cordoned_hall_gets_nothing_through_changes_of_owner() {
     let mut deployment = two_halls(3);
     // Whatever the value is, the row cordons.
-    deployment.store.put("op", ROW, &json!(["unexpected", 7]));
+    deployment
+        .store
+        .put("op", CORDON_KEY, &json!(["unexpected", 7]));
     deployment.store.put("op", "evacuate/nowhere", &json!({}));
-    wait_known(&deployment, 0..3, 2);
+    wait_cordoned(&deployment, 0..3, 2);
     let before = deployment.workers[1].started();
     run_jobs(&deployment, 0x100);
     for round in 0..2 {
         let owner = deployment.owner();
         deployment.kill(owner);
-        wait("another owner", || deployment.owner() != owner);
+        wait_for("another owner", || deployment.owner() != owner);
         run_jobs(&deployment, 0x200 + round * 0x10);
     }
-    deployment.store.forget();
+    deployment.store.forget_history();
     run_jobs(&deployment, 0x300);
     assert_eq!(deployment.workers[1].started(), before);
-    deployment.store.drop_row("op", ROW);
+    deployment.store.delete_row("op", CORDON_KEY);
     let owner = deployment.owner();
-    wait_known(&deployment, owner..owner + 1, 1);
-    wait("the hall to serve again", || {
+    wait_cordoned(&deployment, owner..owner + 1, 1);
+    wait_for("the hall to serve again", || {
         run_jobs(&deployment, 0x400);
         run_jobs(&deployment, 0x500);
         deployment.workers[1].started() > before
@@ -77,12 +79,12 @@
 #[test]
 fn a_hall_that_was_taken_back_unheard_serves_again() {
     let deployment = two_halls(1);
-    deployment.store.put("op", ROW, &json!({}));
-    wait_known(&deployment, 0..1, 1);
-    deployment.store.set(super::Mood::Busy);
+    deployment.store.put("op", CORDON_KEY, &json!({}));
+    wait_cordoned(&deployment, 0..1, 1);
+    deployment.store.set_behavior(super::Behavior::Rejecting);
     std::thread::sleep(Duration::from_millis(300));
-    deployment.store.drop_row("op", ROW);
-    deployment.store.forget();
-    deployment.store.set(super::Mood::Well);
-    wait_known(&deployment, 0..1, 0);
+    deployment.store.delete_row("op", CORDON_KEY);
+    deployment.store.forget_history();
+    deployment.store.set_behavior(super::Behavior::Serving);
+    wait_cordoned(&deployment, 0..1, 0);
 }
--- a/tests/platform/deployment.rs
+++ b/tests/platform/deployment.rs
@@ -18,7 +18,9 @@
 
 use super::proxy;
 use super::store::Store;
-use super::support::{becomes, exchange, finish, free, spawn, wait, words};
+use super::support::{
+    complete_request, eventually, free_address, send_request, spawn, split_arguments, wait_for,
+};
 use super::worker::{Record, Worker};
 
 /// Host and path of the queue that the configuration names.
@@ -27,7 +29,7 @@
 /// Service that runs its tasks.
 const SERVICE: &str = "stock";
 /// Lines of each box that a failure prints.
-const LAST_LINES: usize = 40;
+const PRINTED_LINES: usize = 40;
 const LIMITS: Limits = Limits {
     head: 16 << 10,
     body: 1 << 20,
@@ -36,9 +38,9 @@
 };
 
 /// A box as a process.
-struct Node {
+struct BoxProcess {
     web: SocketAddr,
-    ready: SocketAddr,
+    admin: SocketAddr,
     settings: PathBuf,
     child: Child,
 }
@@ -49,24 +51,24 @@
     record: Arc<Mutex<Record>>,
     /// Stand-ins of the workers, in their order.
     pub workers: Vec<Worker>,
-    nodes: Vec<Node>,
+    boxes: Vec<BoxProcess>,
     folder: PathBuf,
     /// Between the boxes and the store, one for each box.
     proxies: Vec<SocketAddr>,
     /// Boxes to which the store says nothing.
-    cut: Arc<Mutex<BTreeSet<usize>>>,
+    disconnected: Arc<Mutex<BTreeSet<usize>>>,
     /// When the connections through it fell silent that were open then.
-    silenced: Arc<Mutex<Option<Instant>>>,
+    silenced_at: Arc<Mutex<Option<Instant>>>,
     /// True when what the boxes wrote outlasts this value.
-    kept: bool,
+    keeps_output: bool,
 }
 
 /// Serves calls on a thread of its own until the test process ends.
-fn host<F>(handle: impl Fn(Request) -> F + Clone + Send + 'static) -> SocketAddr
+fn serve_on_thread<F>(handle: impl Fn(Request) -> F + Clone + Send + 'static) -> SocketAddr
 where
     F: Future<Output = Reply> + 'static,
 {
-    let address = free();
+    let address = free_address();
     std::thread::spawn(move || {
         block_on(async {
             let listener = listen::bind(address).expect("a free port");
@@ -83,32 +85,36 @@
         let store = Store::default();
         let record: Arc<Mutex<Record>> = Arc::default();
         let served = store.clone();
-        let store_address = host(move |request| served.clone().handle(request));
+        let store_address = serve_on_thread(move |request| served.clone().handle(request));
         let folder = std::env::temp_dir().join(format!(
             "willowpoint-p-{}-{}",
             std::process::id(),
             store_address.port()
         ));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let silenced: Arc<Mutex<Option<Instant>>> = Arc::default();
-        let seen = silenced.clone();
+        let silenced_at: Arc<Mutex<Option<Instant>>> = Arc::default();
+        let shared_silence = silenced_at.clone();
         let mut deployment = Self {
             store,
             record,
             workers: Vec::new(),
-            nodes: Vec::new(),
+            boxes: Vec::new(),
             folder,
             proxies: Vec::new(),
-            cut: Arc::default(),
-            silenced,
-            kept: false,
+            disconnected: Arc::default(),
+            silenced_at,
+            keeps_output: false,
         };
         for number in 0..boxes {
-            let (seen, cut) = (seen.clone(), deployment.cut.clone());
+            let (silenced_at, disconnected) =
+                (shared_silence.clone(), deployment.disconnected.clone());
             let proxy = proxy::start(store_address, move |_, opened| {
-                let silenced = *seen.lock().expect("no holder panicked");
-                let cut = cut.lock().expect("no holder panicked").contains(&number);
-                cut || silenced.is_some_and(|at| opened < at)
+                let silenced = *silenced_at.lock().expect("the lock is not poisoned");
+                let disconnected = disconnected
+                    .lock()
+                    .expect("the lock is not poisoned")
+                    .contains(&number);
+                disconnected || silenced.is_some_and(|at| opened < at)
             });
             deployment.proxies.push(proxy);
         }
@@ -117,8 +123,8 @@
             deployment.add_worker(&format!("i-{number}"), span);
         }
         for number in 0..boxes {
-            let node = deployment.node(number);
-            deployment.nodes.push(node);
+            let process = deployment.start_box(number);
+            deployment.boxes.push(process);
         }
         for number in 0..boxes {
             deployment.wait_ready(number);
@@ -141,98 +147,102 @@
     fn add_worker(&mut self, id: &str, span: Duration) {
         let worker = Worker::new(id, span, self.record.clone(), self.store.clone());
         let served = worker.clone();
-        let address = host(move |request| served.clone().handle(request));
+        let address = serve_on_thread(move |request| served.clone().handle(request));
         let listing = json!({ "service": SERVICE, "address": address, "zone": "h1",
             "state": "ready", "labels": ["a", "r1"],
             "capacity": { "cpu": 4000, "memMb": 8000, "gpu": 0 } });
-        worker.list(listing);
+        worker.register(listing);
         self.workers.push(worker);
     }
 
-    fn node(&self, number: usize) -> Node {
-        let (web, ready, rpc) = (free(), free(), free());
+    fn start_box(&self, number: usize) -> BoxProcess {
+        let (web, admin, rpc) = (free_address(), free_address(), free_address());
         let settings = self.folder.join(format!("e{number}.toml"));
         let text = format!(
-            "[box]\nname = \"e{number}\"\nhall = \"h1\"\nweb = \"{web}\"\nadmin = \"{ready}\"\n\
+            "[box]\nname = \"e{number}\"\nhall = \"h1\"\nweb = \"{web}\"\nadmin = \"{admin}\"\n\
              rpc = \"{rpc}\"\n[platform]\nstore = \"{}\"\n",
             self.proxies[number]
         );
         std::fs::write(&settings, text).expect("settings are written");
         let line = format!("serve --config {}", settings.display());
-        let child = spawn(&words(&line), &settings.with_extension("log"));
-        Node {
+        let child = spawn(&split_arguments(&line), &settings.with_extension("log"));
+        BoxProcess {
             web,
-            ready,
+            admin,
             settings,
             child,
         }
     }
 
     fn wait_ready(&self, number: usize) {
-        let ready = || self.ready(number);
-        assert!(becomes(ready), "box {number} wrote {}", self.output(number));
+        let ready = || self.is_ready(number);
+        assert!(
+            eventually(ready),
+            "box {number} wrote {}",
+            self.output(number)
+        );
     }
 
     /// Returns true when a box says that it is ready.
-    pub fn ready(&self, number: usize) -> bool {
-        let ask = "GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        let answer = exchange(self.nodes[number].ready, ask);
+    pub fn is_ready(&self, number: usize) -> bool {
+        let request = "GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+        let answer = send_request(self.boxes[number].admin, request);
         answer.is_ok_and(|text| text.starts_with("HTTP/1.1 200"))
     }
 
     /// Waits until an owner serves all boxes: they are ready some time before, and one that
     /// knows no owner yet follows none.
-    pub fn wait_followed(&self) {
+    pub fn wait_served(&self) {
         let served = |n: usize| {
-            let unserved = self.gauge(n, "owner_unserved_ms");
-            self.gauge(n, "followed_epoch") > Some(0) && unserved == Some(0)
+            let unserved = self.metric(n, "owner_unserved_ms");
+            self.metric(n, "followed_epoch") > Some(0) && unserved == Some(0)
         };
-        wait("all boxes to be served", || {
-            (0..self.nodes.len()).all(served)
+        wait_for("all boxes to be served", || {
+            (0..self.boxes.len()).all(served)
         });
     }
 
     /// Returns the value of a row without labels in a box's metrics; none when the
     /// box does not answer.
-    pub fn gauge(&self, number: usize, name: &str) -> Option<u64> {
-        let ask = "GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        let text = exchange(self.nodes[number].ready, ask).ok()?;
+    pub fn metric(&self, number: usize, name: &str) -> Option<u64> {
+        let request = "GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+        let text = send_request(self.boxes[number].admin, request).ok()?;
         let row = format!("willowpoint_{name} ");
         let value = text.lines().find_map(|l| l.strip_prefix(&row));
         value?.trim().parse().ok()
     }
 
     /// Silences all open connections to the store for good; new ones work.
-    pub fn silence_store(&self) {
+    pub fn silence_connections(&self) {
         let now = Some(Instant::now());
-        *self.silenced.lock().expect("no holder panicked") = now;
+        *self.silenced_at.lock().expect("the lock is not poisoned") = now;
     }
 
     /// Has the store say nothing to these boxes, and to all others what it says.
-    pub fn cut_store(&self, boxes: &[usize]) {
+    pub fn disconnect_store(&self, boxes: &[usize]) {
         let boxes = boxes.iter().copied().collect();
-        *self.cut.lock().expect("no holder panicked") = boxes;
+        *self.disconnected.lock().expect("the lock is not poisoned") = boxes;
     }
 
     /// Returns what a box has written so far.
     pub fn output(&self, number: usize) -> String {
-        let path = self.nodes[number].settings.with_extension("log");
+        let path = self.boxes[number].settings.with_extension("log");
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
     /// Returns what the workers ran.
     pub fn record(&self) -> MutexGuard<'_, Record> {
-        self.record.lock().expect("no holder panicked")
+        self.record.lock().expect("the lock is not poisoned")
     }
 
     /// Sends a request to a box; returns the status and the text of the answer.
-    pub fn call(&self, number: usize, method: &str, path: &str, body: &str) -> (u16, String) {
+    pub fn send(&self, number: usize, method: &str, path: &str, body: &str) -> (u16, String) {
         let head = format!(
             "{method} {path} HTTP/1.1\r\nhost: {HOST}\r\nconnection: close\r\n\
              x-deadline-ms: 3000\r\ncontent-length: {}\r\n\r\n",
             body.len()
         );
-        let Ok(text) = exchange(self.nodes[number].web, &(head + body)) else {
+        let Ok(text) = send_request(self.boxes[number].web, &(head + body)) else {
             return (0, String::new());
         };
         let status = text.split(' ').nth(1).and_then(|s| s.parse().ok());
@@ -245,22 +255,22 @@
         let mut second = step.clone();
         second["after"] = json!([0]);
         let job = json!({ "spec": "text", "steps": [step, second] });
-        self.call(number, "POST", &format!("{PATH}{id}"), &job.to_string())
+        self.send(number, "POST", &format!("{PATH}{id}"), &job.to_string())
     }
 
     /// Hands a job in until it is taken, through each box in turn, as callers do.
-    pub fn submit_until_taken(&self, id: &str, tasks: u32) {
+    pub fn submit_until_accepted(&self, id: &str, tasks: u32) {
         let mut turn = 0;
-        wait("the job to be taken", || {
+        wait_for("the job to be taken", || {
             turn += 1;
-            let number = turn % self.nodes.len();
+            let number = turn % self.boxes.len();
             self.submit(number, id, tasks).0 == 200
         });
     }
 
     /// Returns the state of a job as a box shows it; empty when it does not.
     pub fn state(&self, number: usize, id: &str) -> String {
-        let (status, text) = self.call(number, "GET", &format!("{PATH}{id}"), "");
+        let (status, text) = self.send(number, "GET", &format!("{PATH}{id}"), "");
         let body = text.split("\r\n\r\n").nth(1).unwrap_or_default();
         let shown: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         match status {
@@ -276,18 +286,18 @@
 
     /// Waits until some box shows a job in a state.
     pub fn wait_state(&self, id: &str, state: &str) {
-        let shown = || (0..self.nodes.len()).any(|n| self.state(n, id) == state);
+        let shown = || (0..self.boxes.len()).any(|n| self.state(n, id) == state);
         let all = |n: usize| format!("box {n}:\n{}", self.output(n));
-        let wrote = || (0..self.nodes.len()).map(all).collect::<String>();
-        assert!(becomes(shown), "{id} is not {state}; {}", wrote());
+        let wrote = || (0..self.boxes.len()).map(all).collect::<String>();
+        assert!(eventually(shown), "{id} is not {state}; {}", wrote());
     }
 
     /// Returns the box that is the owner now, by the latest that has begun; waits for
     /// one, since lines come a little late and boxes are ready before there is an owner.
     pub fn owner(&self) -> usize {
         let mut latest = None;
-        wait("an owner", || {
-            let epochs = (0..self.nodes.len()).map(|n| self.epoch(n).map(|e| (e, n)));
+        wait_for("an owner", || {
+            let epochs = (0..self.boxes.len()).map(|n| self.last_epoch(n).map(|e| (e, n)));
             latest = epochs.flatten().max();
             latest.is_some()
         });
@@ -295,7 +305,7 @@
     }
 
     /// Returns the highest epoch as the owner of which a box has begun.
-    fn epoch(&self, number: usize) -> Option<u64> {
+    fn last_epoch(&self, number: usize) -> Option<u64> {
         let text = self.output(number);
         let begun = text.lines().filter(|l| l.contains("event=owner-begins"));
         let epochs = begun.filter_map(|l| l.split("epoch=").nth(1)?.split(' ').next());
@@ -303,7 +313,7 @@
     }
 
     /// Returns the jobs that a box loaded when it became the owner last.
-    pub fn loaded(&self, number: usize) -> usize {
+    pub fn loaded_jobs(&self, number: usize) -> usize {
         let text = self.output(number);
         let line = text.lines().rfind(|l| l.contains("event=owner-begins"));
         let jobs = line.and_then(|l| l.split(" jobs=").nth(1)?.split(' ').next());
@@ -312,7 +322,7 @@
 
     /// Returns where callers reach the boxes.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.nodes.iter().map(|node| node.web).collect()
+        self.boxes.iter().map(|process| process.web).collect()
     }
 
     /// Returns what the workers ran, for other threads.
@@ -321,60 +331,63 @@
     }
 
     /// Has what the boxes wrote outlast this value; returns the files.
-    pub fn keep(&mut self) -> Vec<PathBuf> {
-        self.kept = true;
-        let settings = self.nodes.iter().map(|node| &node.settings);
+    pub fn keep_output(&mut self) -> Vec<PathBuf> {
+        self.keeps_output = true;
+        let settings = self.boxes.iter().map(|process| &process.settings);
         settings.map(|s| s.with_extension("log")).collect()
     }
 
     /// Prints the last lines of all boxes, and where they stand whole: a failure that shows
     /// once has nothing else that leads to its cause.
-    fn tell(&self) {
+    fn print_output(&self) {
         println!("what the boxes wrote is kept in {}", self.folder.display());
-        for number in 0..self.nodes.len() {
+        for number in 0..self.boxes.len() {
             let text = self.output(number);
             let lines: Vec<&str> = text.lines().collect();
-            let last = lines[lines.len().saturating_sub(LAST_LINES)..].join("\n");
+            let last = lines[lines.len().saturating_sub(PRINTED_LINES)..].join("\n");
             println!("box {number}, the last of {} lines:\n{last}", lines.len());
         }
     }
 
     /// Kills a box.
     pub fn kill(&mut self, number: usize) {
-        let child = &mut self.nodes[number].child;
+        let child = &mut self.boxes[number].child;
         child.kill().expect("killed");
         child.wait().expect("ended");
     }
 
     /// Has all boxes lose power at the same moment.
     pub fn kill_all(&mut self) {
-        for node in &mut self.nodes {
-            node.child.kill().expect("killed");
+        for process in &mut self.boxes {
+            process.child.kill().expect("killed");
         }
-        for node in &mut self.nodes {
-            node.child.wait().expect("ended");
+        for process in &mut self.boxes {
+            process.child.wait().expect("ended");
         }
     }
 
     /// Starts a box again that has ended, with the same settings.
     pub fn restart(&mut self, number: usize) {
-        let node = &mut self.nodes[number];
-        let line = format!("serve --config {}", node.settings.display());
-        node.child = spawn(&words(&line), &node.settings.with_extension("log"));
+        let process = &mut self.boxes[number];
+        let line = format!("serve --config {}", process.settings.display());
+        process.child = spawn(
+            &split_arguments(&line),
+            &process.settings.with_extension("log"),
+        );
     }
 
     /// Sends a signal to a box.
     pub fn signal(&self, number: usize, signal: libc::c_int) {
-        let id = self.nodes[number].child.id() as libc::pid_t;
+        let id = self.boxes[number].child.id() as libc::pid_t;
         // SAFETY: the child was started here and has not been waited for.
         assert_eq!(unsafe { libc::kill(id, signal) }, 0);
     }
 
     /// Waits for the end of a box and returns its exit code.
     pub fn wait_end(&mut self, number: usize) -> Option<i32> {
-        let child = &mut self.nodes[number].child;
+        let child = &mut self.boxes[number].child;
         let mut code = None;
-        wait("the end of a box", || {
+        wait_for("the end of a box", || {
             let status = child.try_wait().expect("status");
             code = status.and_then(|s| s.code());
             status.is_some()
@@ -384,27 +397,27 @@
 
     /// Opens a connection to a box; a request on it can be sent later.
     pub fn connect(&self, number: usize) -> std::net::TcpStream {
-        std::net::TcpStream::connect(self.nodes[number].web).expect("connected")
+        std::net::TcpStream::connect(self.boxes[number].web).expect("connected")
     }
 }
 
 /// Asks for a job on a connection that is already open.
-pub fn show_on(stream: std::net::TcpStream, id: &str) -> String {
-    let ask = format!("GET {PATH}{id} HTTP/1.1\r\nhost: {HOST}\r\nconnection: close\r\n\r\n");
-    finish(stream, &ask).unwrap_or_default()
+pub fn show_job_on(stream: std::net::TcpStream, id: &str) -> String {
+    let request = format!("GET {PATH}{id} HTTP/1.1\r\nhost: {HOST}\r\nconnection: close\r\n\r\n");
+    complete_request(stream, &request).unwrap_or_default()
 }
 
 impl Drop for Deployment {
     fn drop(&mut self) {
-        for node in &mut self.nodes {
-            let _ = node.child.kill();
-            let _ = node.child.wait();
+        for process in &mut self.boxes {
+            let _ = process.child.kill();
+            let _ = process.child.wait();
         }
         if std::thread::panicking() {
-            self.tell();
+            self.print_output();
             return;
         }
-        if self.kept {
+        if self.keeps_output {
             return;
         }
         let _ = std::fs::remove_dir_all(&self.folder);
--- a/tests/platform/faults.rs
+++ b/tests/platform/faults.rs
@@ -2,59 +2,59 @@
 
 use std::time::Duration;
 
-use super::support::{becomes, wait};
+use super::support::{eventually, wait_for};
 use super::worker::Worker;
-use super::{Deployment, LONG, SPAN, assert_ran};
+use super::{Deployment, LONG_DURATION, TASK_DURATION, assert_ran};
 
 #[test]
 fn a_task_that_crashes_its_workers_is_given_up_and_told() {
-    let deployment = Deployment::start(2, 4, SPAN);
-    deployment.record().fatal = Some("00000000000000c0.0.0.0".into());
+    let deployment = Deployment::start(2, 4, TASK_DURATION);
+    deployment.record().crash_prefix = Some("00000000000000c0.0.0.0".into());
     for id in ["00000000000000c0", "00000000000000c1", "00000000000000c2"] {
-        deployment.submit_until_taken(id, 3);
+        deployment.submit_until_accepted(id, 3);
     }
     deployment.wait_state("00000000000000c0", "failed");
     deployment.wait_completed("00000000000000c1");
     deployment.wait_completed("00000000000000c2");
     let crashes = deployment.record().crashes["00000000000000c0.0.0.0"];
     assert_eq!(crashes, 2, "{}", deployment.output(deployment.owner()));
-    assert!(deployment.record().doubled.is_empty());
+    assert!(deployment.record().duplicates.is_empty());
     let owner = deployment.owner();
-    assert_eq!(deployment.gauge(owner, "worker_crashes_total"), Some(2));
-    assert_eq!(deployment.gauge(owner, "tasks_given_up_total"), Some(1));
+    assert_eq!(deployment.metric(owner, "worker_crashes_total"), Some(2));
+    assert_eq!(deployment.metric(owner, "tasks_given_up_total"), Some(1));
     let told = |event: &str| {
         let text = deployment.output(owner);
         let mut lines = text.lines();
         lines.any(|l| l.contains("task=00000000000000c0.0.0.0") && l.contains(event))
     };
     for event in ["orphaned", "crash-counted", "abandoned"] {
-        wait(event, || told(&format!("event={event}")));
+        wait_for(event, || told(&format!("event={event}")));
     }
 }
 
 #[test]
 fn a_worker_whose_room_shrinks_gets_what_fits_it() {
-    let deployment = Deployment::start(1, 1, SPAN);
+    let deployment = Deployment::start(1, 1, TASK_DURATION);
     let worker = &deployment.workers[0];
     // A box is ready before it is the owner and knows a worker.
-    wait("the worker to be known", || {
+    wait_for("the worker to be known", || {
         deployment.output(0).contains("worker=i-0 event=answers")
     });
     worker.resize(1_000);
-    wait("word of the room", || {
+    wait_for("word of the room", || {
         deployment.output(0).contains("worker=i-0 event=room")
     });
-    deployment.submit_until_taken("00000000000000d0", 2);
+    deployment.submit_until_accepted("00000000000000d0", 2);
     let mut most = 0;
-    let done = becomes(|| {
+    let done = eventually(|| {
         most = most.max(deployment.record().running.len());
         deployment.state(0, "00000000000000d0") == "completed"
     });
     assert!(done, "{}", deployment.output(0));
     assert_eq!(most, 1, "one fits at a time");
     worker.resize(4_000);
-    deployment.submit_until_taken("00000000000000d1", 4);
-    wait("all of a step at once", || {
+    deployment.submit_until_accepted("00000000000000d1", 4);
+    wait_for("all of a step at once", || {
         deployment.record().running.len() == 4
     });
 }
@@ -63,43 +63,43 @@
 /// their ends anew. Their entries tell so at once, or after a while.
 #[test]
 fn what_a_worker_ends_after_it_has_started_again_is_taken_in() {
-    let deployment = Deployment::start(2, 3, SPAN);
+    let deployment = Deployment::start(2, 3, TASK_DURATION);
     for number in 0..6 {
-        deployment.submit_until_taken(&format!("00000000000000e{number}"), 4);
+        deployment.submit_until_accepted(&format!("00000000000000e{number}"), 4);
     }
     for number in 0..6 {
         deployment.wait_completed(&format!("00000000000000e{number}"));
     }
     for (wave, late) in [(0, 0), (1, 1_000), (2, 0)] {
         for number in 0..4 {
-            deployment.submit_until_taken(&format!("0000000000000f{wave}{number}"), 4);
+            deployment.submit_until_accepted(&format!("0000000000000f{wave}{number}"), 4);
         }
         for worker in &deployment.workers {
             worker.restart();
         }
         std::thread::sleep(Duration::from_millis(late));
-        deployment.workers.iter().for_each(Worker::list_again);
+        deployment.workers.iter().for_each(Worker::register_again);
         for number in 0..4 {
             deployment.wait_completed(&format!("0000000000000f{wave}{number}"));
         }
     }
-    let doubled = deployment.record().doubled.clone();
+    let doubled = deployment.record().duplicates.clone();
     assert!(
         doubled.is_empty(),
         "{doubled:?}; {}",
         deployment.output(deployment.owner())
     );
     let owner = deployment.owner();
-    assert!(deployment.gauge(owner, "worker_lives_total") >= Some(3));
+    assert!(deployment.metric(owner, "worker_lives_total") >= Some(3));
 }
 
 /// All boxes lose power right after a job was accepted; nothing but the store knows of it.
 #[test]
 fn a_job_outlasts_the_loss_of_power_of_all_boxes() {
-    let mut deployment = Deployment::start(3, 3, LONG);
-    deployment.submit_until_taken("00000000000000e0", 2);
-    wait("tasks to run", || deployment.record().running.len() == 2);
-    deployment.submit_until_taken("00000000000000e1", 2);
+    let mut deployment = Deployment::start(3, 3, LONG_DURATION);
+    deployment.submit_until_accepted("00000000000000e0", 2);
+    wait_for("tasks to run", || deployment.record().running.len() == 2);
+    deployment.submit_until_accepted("00000000000000e1", 2);
     deployment.kill_all();
     std::thread::sleep(Duration::from_millis(1_000));
     for number in 0..3 {
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -15,31 +15,31 @@
 
 use std::time::Duration;
 
-use deployment::{Deployment, show_on};
-use store::Mood;
-use support::wait;
+use deployment::{Deployment, show_job_on};
+use store::Behavior;
+use support::wait_for;
 
 /// How long tasks run.
-const SPAN: Duration = Duration::from_millis(300);
+const TASK_DURATION: Duration = Duration::from_millis(300);
 /// How long an owner has served that counts as settled: longer than any box would
 /// let another load.
-const SETTLED: Duration = Duration::from_secs(5);
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 /// Time that each answer of a slow store takes.
-const SLOW: Duration = Duration::from_millis(300);
+const STORE_DELAY: Duration = Duration::from_millis(300);
 /// How long tasks run that should outlast a trouble.
-const LONG: Duration = Duration::from_millis(3_000);
+const LONG_DURATION: Duration = Duration::from_millis(3_000);
 /// How long tasks run of jobs that are only to be over.
-const SHORT: Duration = Duration::from_millis(20);
+const SHORT_DURATION: Duration = Duration::from_millis(20);
 /// Jobs that are over before a takeover; more than one page of the store's rows.
-const OVER: usize = 110;
+const FINISHED_JOBS: usize = 110;
 
 /// Starts three boxes that all follow the owner, which has taken a job; returns the owner and
 /// one that follows it.
-fn followed(id: &str) -> (Deployment, usize, usize) {
-    let deployment = Deployment::start(3, 2, SPAN);
-    deployment.submit_until_taken(id, 1);
+fn start_followed(id: &str) -> (Deployment, usize, usize) {
+    let deployment = Deployment::start(3, 2, TASK_DURATION);
+    deployment.submit_until_accepted(id, 1);
     let owner = deployment.owner();
-    deployment.wait_followed();
+    deployment.wait_served();
     (deployment, owner, (owner + 1) % 3)
 }
 
@@ -48,13 +48,13 @@
     let record = deployment.record();
     let ran = record.starts.keys().filter(|t| t.starts_with(id)).count();
     assert_eq!(ran as u32, tasks * 2, "{:?}", record.starts);
-    assert!(record.doubled.is_empty(), "{:?}", record.doubled);
+    assert!(record.duplicates.is_empty(), "{:?}", record.duplicates);
 }
 
 /// Waits until new jobs are refused with the time to come back.
 fn wait_refused(deployment: &Deployment) {
     let mut number = 0;
-    wait("a refusal", || {
+    wait_for("a refusal", || {
         number += 1;
         let (status, text) = deployment.submit(0, &format!("ffff{number:012x}"), 1);
         let back = text.to_ascii_lowercase().contains("retry-after");
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_job_runs_once_through_whichever_box_it_comes() {
-    let deployment = Deployment::start(3, 3, SPAN);
+    let deployment = Deployment::start(3, 3, TASK_DURATION);
     for number in 0..3 {
         let id = format!("000000000000000{number}");
         assert_eq!(deployment.submit(number, &id, 4).0, 200);
@@ -85,22 +85,22 @@
 
 #[test]
 fn bad_requests_are_told_what_is_wrong() {
-    let deployment = Deployment::start(1, 1, SPAN);
-    assert_eq!(deployment.call(0, "GET", "/elsewhere/1", "").0, 404);
-    assert_eq!(deployment.call(0, "POST", "/holds/short", "{}").0, 400);
+    let deployment = Deployment::start(1, 1, TASK_DURATION);
+    assert_eq!(deployment.send(0, "GET", "/elsewhere/1", "").0, 404);
+    assert_eq!(deployment.send(0, "POST", "/holds/short", "{}").0, 400);
     assert_eq!(
-        deployment.call(0, "PUT", "/holds/0123456789abcdef", "").0,
+        deployment.send(0, "PUT", "/holds/0123456789abcdef", "").0,
         405
     );
-    let (status, text) = deployment.call(0, "POST", "/holds/0123456789abcdef", "{");
+    let (status, text) = deployment.send(0, "POST", "/holds/0123456789abcdef", "{");
     assert_eq!(status, 400, "{text}");
     assert_eq!(
-        deployment.call(0, "GET", "/holds/0123456789abcdef", "").0,
+        deployment.send(0, "GET", "/holds/0123456789abcdef", "").0,
         410
     );
     assert_eq!(
         deployment
-            .call(0, "DELETE", "/holds/0123456789abcdef", "")
+            .send(0, "DELETE", "/holds/0123456789abcdef", "")
             .0,
         410
     );
@@ -108,13 +108,13 @@
 
 #[test]
 fn a_job_outlives_the_kill_of_two_owners() {
-    let mut deployment = Deployment::start(3, 3, LONG);
-    deployment.submit_until_taken("00000000000000aa", 4);
-    wait("tasks to run", || !deployment.record().running.is_empty());
+    let mut deployment = Deployment::start(3, 3, LONG_DURATION);
+    deployment.submit_until_accepted("00000000000000aa", 4);
+    wait_for("tasks to run", || !deployment.record().running.is_empty());
     for _ in 0..2 {
         let owner = deployment.owner();
         deployment.kill(owner);
-        wait("another owner", || deployment.owner() != owner);
+        wait_for("another owner", || deployment.owner() != owner);
     }
     deployment.wait_completed("00000000000000aa");
     assert_ran(&deployment, "00000000000000aa", 4);
@@ -122,35 +122,40 @@
 
 #[test]
 fn a_takeover_loads_open_jobs_only_and_knows_those_that_are_over() {
-    let mut deployment = Deployment::start(2, 4, SHORT);
-    let ids: Vec<String> = (0..OVER).map(|n| format!("00000000000b{n:04x}")).collect();
+    let mut deployment = Deployment::start(2, 4, SHORT_DURATION);
+    let ids: Vec<String> = (0..FINISHED_JOBS)
+        .map(|n| format!("00000000000b{n:04x}"))
+        .collect();
     for id in &ids {
-        deployment.submit_until_taken(id, 1);
+        deployment.submit_until_accepted(id, 1);
     }
     for id in &ids {
         deployment.wait_completed(id);
     }
     let owner = deployment.owner();
     deployment.kill(owner);
-    wait("another owner", || deployment.owner() != owner);
+    wait_for("another owner", || deployment.owner() != owner);
     let next = deployment.owner();
-    let loaded = deployment.loaded(next);
-    assert!(loaded < OVER / 10, "{loaded} jobs loaded, and none is open");
+    let loaded = deployment.loaded_jobs(next);
+    assert!(
+        loaded < FINISHED_JOBS / 10,
+        "{loaded} jobs loaded, and none is open"
+    );
     for id in &ids {
-        wait("the end to be shown", || {
+        wait_for("the end to be shown", || {
             deployment.state(next, id) == "completed"
         });
     }
     let path = "/holds/00000000000c0000";
-    wait("word of an unknown job", || {
-        deployment.call(next, "GET", path, "").0 == 410
+    wait_for("word of an unknown job", || {
+        deployment.send(next, "GET", path, "").0 == 410
     });
     assert_eq!(
         deployment.submit(next, &ids[0], 1).0,
         200,
         "handed in again"
     );
-    deployment.submit_until_taken("00000000000c0000", 1);
+    deployment.submit_until_accepted("00000000000c0000", 1);
     deployment.wait_completed("00000000000c0000");
     let starts = deployment.record().starts.values().copied().max();
     assert_eq!(starts, Some(1), "what is over does not run again");
@@ -158,13 +163,13 @@
 
 #[test]
 fn a_planned_stop_of_the_owner_hands_over_and_answers_open_connections() {
-    let mut deployment = Deployment::start(2, 2, LONG);
-    deployment.submit_until_taken("00000000000000bb", 2);
+    let mut deployment = Deployment::start(2, 2, LONG_DURATION);
+    deployment.submit_until_accepted("00000000000000bb", 2);
     let owner = deployment.owner();
     let open = deployment.connect(owner);
     deployment.signal(owner, libc::SIGTERM);
-    wait("another owner", || deployment.owner() != owner);
-    let told = show_on(open, "00000000000000bb");
+    wait_for("another owner", || deployment.owner() != owner);
+    let told = show_job_on(open, "00000000000000bb");
     assert!(told.starts_with("HTTP/1.1 200"), "{told}");
     assert_eq!(deployment.wait_end(owner), Some(0));
     deployment.wait_completed("00000000000000bb");
@@ -181,11 +186,11 @@
 /// in vain, and a weak one came first, which needs seconds to load the jobs.
 #[test]
 fn a_planned_stop_is_not_taken_for_an_owner_that_never_served() {
-    let deployment = Deployment::start(3, 1, SPAN);
-    std::thread::sleep(SETTLED);
+    let deployment = Deployment::start(3, 1, TASK_DURATION);
+    std::thread::sleep(SETTLE_TIME);
     let owner = deployment.owner();
     deployment.signal(owner, libc::SIGTERM);
-    wait("another owner", || deployment.owner() != owner);
+    wait_for("another owner", || deployment.owner() != owner);
     for number in 0..3 {
         let text = deployment.output(number);
         let taken = |l: &&str| {
@@ -205,14 +210,14 @@
 /// constant, and loads grow with the jobs. Here the store is slow and a load takes 8 s.
 #[test]
 fn an_owner_that_loads_for_long_is_left_to_it_while_it_goes_on() {
-    let mut deployment = Deployment::start(3, 1, SPAN);
-    deployment.store.fill("spec", "main", 2_400);
-    deployment.store.slow(SLOW);
+    let mut deployment = Deployment::start(3, 1, TASK_DURATION);
+    deployment.store.fill_rows("spec", "main", 2_400);
+    deployment.store.set_delay(STORE_DELAY);
     let owner = deployment.owner();
     deployment.kill(owner);
-    wait("another owner", || deployment.owner() != owner);
-    deployment.store.slow(Duration::ZERO);
-    deployment.submit_until_taken("00000000000000b1", 1);
+    wait_for("another owner", || deployment.owner() != owner);
+    deployment.store.set_delay(Duration::ZERO);
+    deployment.submit_until_accepted("00000000000000b1", 1);
     deployment.wait_completed("00000000000000b1");
     let outputs: String = (0..3).map(|n| deployment.output(n)).collect();
     for sign in ["event=replaced-loading", "cause=Unconfirmed", "cause=Stuck"] {
@@ -223,46 +228,46 @@
 /// A page that the store does not give is read again by itself, and not the load.
 #[test]
 fn a_load_goes_on_where_the_store_turned_it_away() {
-    let mut deployment = Deployment::start(2, 1, SPAN);
-    deployment.store.fill("spec", "main", 1_000);
-    deployment.store.slow(SLOW);
+    let mut deployment = Deployment::start(2, 1, TASK_DURATION);
+    deployment.store.fill_rows("spec", "main", 1_000);
+    deployment.store.set_delay(STORE_DELAY);
     let owner = deployment.owner();
     deployment.kill(owner);
-    wait("a load", || deployment.store.reads("spec") > 2);
-    deployment.store.set(Mood::Busy);
-    wait("a page that fails", || {
+    wait_for("a load", || deployment.store.pages_read("spec") > 2);
+    deployment.store.set_behavior(Behavior::Rejecting);
+    wait_for("a page that fails", || {
         deployment.output(1 - owner).contains("event=load-failed")
     });
-    deployment.store.set(Mood::Well);
-    wait("another owner", || deployment.owner() != owner);
+    deployment.store.set_behavior(Behavior::Serving);
+    wait_for("another owner", || deployment.owner() != owner);
     let text = deployment.output(1 - owner);
     assert!(!text.contains("event=replaced-loading"), "{text}");
     // Ten pages and perhaps one that has rows of jobs; the first load is that of the
     // owner that was killed.
-    let reads = deployment.store.reads("spec");
+    let reads = deployment.store.pages_read("spec");
     assert!(reads <= 13, "{reads} pages were read");
 }
 
 #[test]
 fn metrics_and_log_tell_who_is_the_owner_and_how_one_ended() {
-    let mut deployment = Deployment::start(2, 1, SPAN);
-    deployment.submit_until_taken("00000000000000ab", 1);
+    let mut deployment = Deployment::start(2, 1, TASK_DURATION);
+    deployment.submit_until_accepted("00000000000000ab", 1);
     let owner = deployment.owner();
     let other = 1 - owner;
-    let epoch = deployment.gauge(owner, "owner_epoch").expect("an answer");
+    let epoch = deployment.metric(owner, "owner_epoch").expect("an answer");
     assert!(epoch > 0);
-    assert_eq!(deployment.gauge(other, "owner_epoch"), Some(0));
-    wait("the other box to follow", || {
-        let served = deployment.gauge(other, "owner_unserved_ms") == Some(0);
-        served && deployment.gauge(other, "followed_epoch") == Some(epoch)
+    assert_eq!(deployment.metric(other, "owner_epoch"), Some(0));
+    wait_for("the other box to follow", || {
+        let served = deployment.metric(other, "owner_unserved_ms") == Some(0);
+        served && deployment.metric(other, "followed_epoch") == Some(epoch)
     });
     deployment.signal(owner, libc::SIGTERM);
-    wait("the next owner", || {
-        deployment.gauge(other, "owner_epoch") > Some(epoch)
+    wait_for("the next owner", || {
+        deployment.metric(other, "owner_epoch") > Some(epoch)
     });
     for name in ["owner_epoch", "jobs", "workers", "unconfirmed_ms"] {
         // It ends once the answer to its last commit is in, or is gone by then.
-        wait(name, || deployment.gauge(owner, name).unwrap_or(0) == 0);
+        wait_for(name, || deployment.metric(owner, name).unwrap_or(0) == 0);
     }
     assert_eq!(deployment.wait_end(owner), Some(0));
     let text = deployment.output(owner);
@@ -279,42 +284,45 @@
 
 #[test]
 fn a_hangup_reads_the_settings_and_ends_nothing() {
-    let deployment = Deployment::start(1, 1, SPAN);
+    let deployment = Deployment::start(1, 1, TASK_DURATION);
     deployment.signal(0, libc::SIGHUP);
-    wait("the reload", || {
+    wait_for("the reload", || {
         deployment.output(0).contains("event=reload ")
     });
-    deployment.submit_until_taken("00000000000000cc", 1);
+    deployment.submit_until_accepted("00000000000000cc", 1);
     deployment.wait_completed("00000000000000cc");
 }
 
 #[test]
 fn what_runs_outlasts_a_silent_store_and_new_jobs_are_refused_at_once() {
-    let deployment = Deployment::start(2, 2, LONG);
-    deployment.submit_until_taken("00000000000000dd", 2);
-    wait("tasks to run", || deployment.record().running.len() == 2);
-    deployment.store.set(Mood::Silent);
+    let deployment = Deployment::start(2, 2, LONG_DURATION);
+    deployment.submit_until_accepted("00000000000000dd", 2);
+    wait_for("tasks to run", || deployment.record().running.len() == 2);
+    deployment.store.set_behavior(Behavior::Silent);
     wait_refused(&deployment);
     let asked = std::time::Instant::now();
     assert_eq!(deployment.submit(1, "00000000000000ee", 1).0, 503);
-    assert!(asked.elapsed() < LONG, "a refusal is not held back");
-    deployment.store.set(Mood::Well);
+    assert!(
+        asked.elapsed() < LONG_DURATION,
+        "a refusal is not held back"
+    );
+    deployment.store.set_behavior(Behavior::Serving);
     deployment.wait_completed("00000000000000dd");
     assert_ran(&deployment, "00000000000000dd", 2);
     let starts = deployment.record().starts.values().copied().max();
     assert_eq!(starts, Some(1), "nothing was started again");
-    deployment.submit_until_taken("00000000000000ee", 1);
+    deployment.submit_until_accepted("00000000000000ee", 1);
     deployment.wait_completed("00000000000000ee");
 }
 
 #[test]
 fn commits_whose_answers_are_lost_are_found() {
-    let deployment = Deployment::start(2, 2, SPAN);
-    deployment.submit_until_taken("00000000000000f0", 1);
-    deployment.store.set(Mood::Mute);
-    deployment.submit_until_taken("00000000000000f1", 2);
+    let deployment = Deployment::start(2, 2, TASK_DURATION);
+    deployment.submit_until_accepted("00000000000000f0", 1);
+    deployment.store.set_behavior(Behavior::DroppingReplies);
+    deployment.submit_until_accepted("00000000000000f1", 2);
     deployment.wait_completed("00000000000000f1");
-    deployment.store.set(Mood::Well);
+    deployment.store.set_behavior(Behavior::Serving);
     assert_ran(&deployment, "00000000000000f1", 2);
     let found = (0..2).any(|n| deployment.output(n).contains("event=commit-found"));
     assert!(found, "the row told of a commit");
@@ -322,29 +330,29 @@
 
 #[test]
 fn jobs_go_on_while_the_store_is_slow() {
-    let deployment = Deployment::start(2, 2, SPAN);
-    deployment.store.slow(Duration::from_millis(300));
-    deployment.submit_until_taken("00000000000000f2", 2);
+    let deployment = Deployment::start(2, 2, TASK_DURATION);
+    deployment.store.set_delay(Duration::from_millis(300));
+    deployment.submit_until_accepted("00000000000000f2", 2);
     deployment.wait_completed("00000000000000f2");
     assert_ran(&deployment, "00000000000000f2", 2);
 }
 
 #[test]
 fn a_configuration_arrives_after_the_history_was_forgotten() {
-    let deployment = Deployment::start(2, 1, SPAN);
-    assert_eq!(deployment.call(0, "GET", "/more/", "").0, 404);
-    deployment.store.forget();
+    let deployment = Deployment::start(2, 1, TASK_DURATION);
+    assert_eq!(deployment.send(0, "GET", "/more/", "").0, 404);
+    deployment.store.forget_history();
     deployment.configure(2, &["/holds/", "/more/"]);
     for number in 0..2 {
-        wait("the queue", || {
-            deployment.call(number, "GET", "/more/", "").0 == 200
+        wait_for("the queue", || {
+            deployment.send(number, "GET", "/more/", "").0 == 200
         });
     }
     deployment.configure(1, &["/holds/"]);
-    deployment.submit_until_taken("00000000000000f3", 1);
+    deployment.submit_until_accepted("00000000000000f3", 1);
     deployment.wait_completed("00000000000000f3");
     assert_eq!(
-        deployment.call(0, "GET", "/more/", "").0,
+        deployment.send(0, "GET", "/more/", "").0,
         200,
         "never an older one"
     );
@@ -352,14 +360,14 @@
 
 #[test]
 fn a_worker_that_is_dropped_from_the_directory_gets_nothing_new() {
-    let deployment = Deployment::start(1, 2, SPAN);
-    deployment.submit_until_taken("00000000000000f4", 8);
+    let deployment = Deployment::start(1, 2, TASK_DURATION);
+    deployment.submit_until_accepted("00000000000000f4", 8);
     deployment.wait_completed("00000000000000f4");
-    deployment.store.drop_row("servers", "i-0");
-    wait("the news", || {
+    deployment.store.delete_row("servers", "i-0");
+    wait_for("the news", || {
         deployment.output(0).contains("worker=i-0 event=unlisted")
     });
-    deployment.submit_until_taken("00000000000000f5", 8);
+    deployment.submit_until_accepted("00000000000000f5", 8);
     deployment.wait_completed("00000000000000f5");
     let text = deployment.output(0);
     let late = text
@@ -374,11 +382,11 @@
 
 #[test]
 fn a_store_that_turns_calls_away_is_waited_for() {
-    let deployment = Deployment::start(2, 1, SPAN);
-    deployment.store.set(Mood::Busy);
+    let deployment = Deployment::start(2, 1, TASK_DURATION);
+    deployment.store.set_behavior(Behavior::Rejecting);
     wait_refused(&deployment);
-    deployment.store.set(Mood::Well);
-    deployment.submit_until_taken("00000000000000f6", 1);
+    deployment.store.set_behavior(Behavior::Serving);
+    deployment.submit_until_accepted("00000000000000f6", 1);
     deployment.wait_completed("00000000000000f6");
     assert_ran(&deployment, "00000000000000f6", 1);
 }
@@ -387,15 +395,15 @@
 /// that one who comes next.
 #[test]
 fn a_box_that_the_store_turns_away_follows_the_next_owner() {
-    let (deployment, owner, follower) = followed("00000000000000e0");
-    deployment.cut_store(&[owner, follower]);
-    wait("another owner", || deployment.owner() != owner);
+    let (deployment, owner, follower) = start_followed("00000000000000e0");
+    deployment.disconnect_store(&[owner, follower]);
+    wait_for("another owner", || deployment.owner() != owner);
     for (number, id) in [(follower, "00000000000000e1"), (owner, "00000000000000e2")] {
-        wait("a job to be taken through a box that is cut off", || {
+        wait_for("a job to be taken through a box that is cut off", || {
             deployment.submit(number, id, 1).0 == 200
         });
     }
-    deployment.cut_store(&[]);
+    deployment.disconnect_store(&[]);
     for id in ["00000000000000e0", "00000000000000e1", "00000000000000e2"] {
         deployment.wait_completed(id);
         assert_ran(&deployment, id, 1);
@@ -407,14 +415,14 @@
 /// lasted: `owner-silent` and `owner-unread` was all that it wrote. Others know.
 #[test]
 fn a_box_that_the_store_turns_away_finds_the_owner_after_a_dead_one() {
-    let (mut deployment, owner, follower) = followed("00000000000000e8");
-    wait("the boxes to know one another", || {
-        let known = |n| deployment.gauge(n, "other_boxes") > Some(0);
+    let (mut deployment, owner, follower) = start_followed("00000000000000e8");
+    wait_for("the boxes to know one another", || {
+        let known = |n| deployment.metric(n, "other_boxes") > Some(0);
         (0..3).filter(|n| *n != owner).all(known)
     });
-    deployment.cut_store(&[follower]);
+    deployment.disconnect_store(&[follower]);
     deployment.kill(owner);
-    wait("a job to be taken through a box that is cut off", || {
+    wait_for("a job to be taken through a box that is cut off", || {
         deployment.submit(follower, "00000000000000e9", 1).0 == 200
     });
     deployment.wait_completed("00000000000000e9");
@@ -427,23 +435,23 @@
 /// boxes that served. Nobody can tell it of an owner, so it has to say that it is not ready.
 #[test]
 fn a_box_that_knows_neither_an_owner_nor_the_store_is_not_ready() {
-    let (mut deployment, owner, late) = followed("00000000000000e3");
+    let (mut deployment, owner, late) = start_followed("00000000000000e3");
     deployment.kill(late);
     deployment.store.refuse_reads(Some("owner"));
     deployment.restart(late);
-    wait("its configuration", || {
-        deployment.gauge(late, "config_version") == Some(1)
+    wait_for("its configuration", || {
+        deployment.metric(late, "config_version") == Some(1)
     });
-    deployment.cut_store(&[late]);
+    deployment.disconnect_store(&[late]);
     deployment.store.refuse_reads(None);
-    wait("the box to say that it is not ready", || {
-        !deployment.ready(late)
+    wait_for("the box to say that it is not ready", || {
+        !deployment.is_ready(late)
     });
-    assert!(deployment.ready(owner), "one that serves is");
+    assert!(deployment.is_ready(owner), "one that serves is");
     assert_eq!(deployment.submit(late, "00000000000000e4", 1).0, 503);
-    deployment.cut_store(&[]);
-    wait("the box to be ready", || deployment.ready(late));
-    wait("a job to be taken through it", || {
+    deployment.disconnect_store(&[]);
+    wait_for("the box to be ready", || deployment.is_ready(late));
+    wait_for("a job to be taken through it", || {
         deployment.submit(late, "00000000000000e4", 1).0 == 200
     });
     deployment.wait_completed("00000000000000e4");
@@ -452,17 +460,17 @@
 /// The box that takes over cannot load at first, and then finds its own row before it.
 #[test]
 fn a_box_that_takes_over_at_its_second_try_tells_the_owner_before() {
-    let (deployment, owner, follower) = followed("00000000000000e5");
+    let (deployment, owner, follower) = start_followed("00000000000000e5");
     deployment.store.refuse_reads(Some("spec"));
-    deployment.cut_store(&[owner, follower]);
+    deployment.disconnect_store(&[owner, follower]);
     let third = (owner + 2) % 3;
-    wait("a load that fails", || {
+    wait_for("a load that fails", || {
         let text = deployment.output(third);
         text.contains("event=load-failed epoch=2") && text.contains("event=load-failed epoch=3")
     });
     deployment.store.refuse_reads(None);
     for (number, id) in [(follower, "00000000000000e6"), (owner, "00000000000000e7")] {
-        wait("a job to be taken through a box that is cut off", || {
+        wait_for("a job to be taken through a box that is cut off", || {
             deployment.submit(number, id, 1).0 == 200
         });
     }
@@ -470,11 +478,11 @@
 
 #[test]
 fn connections_to_the_store_that_fell_silent_are_replaced() {
-    let deployment = Deployment::start(2, 2, SPAN);
-    deployment.submit_until_taken("0000000000000001", 2);
+    let deployment = Deployment::start(2, 2, TASK_DURATION);
+    deployment.submit_until_accepted("0000000000000001", 2);
     deployment.wait_completed("0000000000000001");
-    deployment.silence_store();
-    deployment.submit_until_taken("0000000000000002", 2);
+    deployment.silence_connections();
+    deployment.submit_until_accepted("0000000000000002", 2);
     deployment.wait_completed("0000000000000002");
     assert_ran(&deployment, "0000000000000002", 2);
     let owner = deployment.output(deployment.owner());
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -11,26 +11,26 @@
 use willowpoint::web::{Reply, Request};
 
 /// How long a call that gets no answer is held; callers have gone by then.
-const HELD: Duration = Duration::from_secs(5);
+const HOLD_TIME: Duration = Duration::from_secs(5);
 /// Pause between two looks for a change that a feed waits for.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What the store does with calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum Behavior {
     /// It serves them.
     #[default]
-    Well,
+    Serving,
     /// It answers none and does nothing.
     Silent,
     /// It turns all away and does nothing.
-    Busy,
+    Rejecting,
     /// It does what it is told and answers no transaction.
-    Mute,
+    DroppingReplies,
 }
 
 #[derive(Clone, Debug)]
-struct Stored {
+struct Row {
     /// Base64; none for a dropped row.
     value: Option<String>,
     version: u64,
@@ -38,17 +38,17 @@
 
 #[derive(Default)]
 struct State {
-    rows: BTreeMap<(String, String, String), Stored>,
+    rows: BTreeMap<(String, String, String), Row>,
     version: u64,
     /// Changes up to this version are forgotten.
-    forgotten: u64,
-    mood: Mood,
+    forgotten_version: u64,
+    behavior: Behavior,
     /// Time added to each answer.
     delay: Duration,
     /// Table of which no page is given.
-    unread: Option<String>,
+    unreadable_table: Option<String>,
     /// Pages given of each table.
-    reads: HashMap<String, usize>,
+    page_reads: HashMap<String, usize>,
 }
 
 /// The store; clones share it.
@@ -59,29 +59,29 @@
 
 impl Store {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panicked")
+        self.state.lock().expect("the lock is not poisoned")
     }
 
     /// Changes what it does with calls from now on.
-    pub fn set(&self, mood: Mood) {
-        self.state().mood = mood;
+    pub fn set_behavior(&self, behavior: Behavior) {
+        self.state().behavior = behavior;
     }
 
     /// Gives no page of a table from now on; of any with none.
     pub fn refuse_reads(&self, table: Option<&str>) {
-        self.state().unread = table.map(String::from);
+        self.state().unreadable_table = table.map(String::from);
     }
 
     /// Adds a time to each answer from now on.
-    pub fn slow(&self, delay: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         self.state().delay = delay;
     }
 
     /// Forgets its history: feeds from before have to read anew.
-    pub fn forget(&self) {
+    pub fn forget_history(&self) {
         let mut state = self.state();
         state.version += 1;
-        state.forgotten = state.version;
+        state.forgotten_version = state.version;
     }
 
     /// Writes a row as the operator or a worker does.
@@ -91,62 +91,62 @@
         let mut state = self.state();
         state.version += 1;
         let version = state.version;
-        let place = (table.to_string(), String::new(), key.to_string());
+        let key = (table.to_string(), String::new(), key.to_string());
         let value = Some(text);
-        state.rows.insert(place, Stored { value, version });
+        state.rows.insert(key, Row { value, version });
     }
 
     /// Writes so many small rows as the boxes do, into a part of a table.
-    pub fn fill(&self, table: &str, part: &str, count: usize) {
+    pub fn fill_rows(&self, table: &str, part: &str, count: usize) {
         let mut state = self.state();
         state.version += 1;
         let version = state.version;
         for number in 0..count {
-            let place = (table.into(), part.into(), format!("z{number:05}"));
+            let key = (table.into(), part.into(), format!("z{number:05}"));
             let value = Some("e30=".into());
-            state.rows.insert(place, Stored { value, version });
+            state.rows.insert(key, Row { value, version });
         }
     }
 
     /// Returns how many pages of a table were given.
-    pub fn reads(&self, table: &str) -> usize {
-        self.state().reads.get(table).copied().unwrap_or(0)
+    pub fn pages_read(&self, table: &str) -> usize {
+        self.state().page_reads.get(table).copied().unwrap_or(0)
     }
 
     /// Removes a row as a worker does.
-    pub fn drop_row(&self, table: &str, key: &str) {
+    pub fn delete_row(&self, table: &str, key: &str) {
         let mut state = self.state();
         state.version += 1;
         let version = state.version;
-        let place = (table.to_string(), String::new(), key.to_string());
+        let key = (table.to_string(), String::new(), key.to_string());
         let value = None;
-        state.rows.insert(place, Stored { value, version });
+        state.rows.insert(key, Row { value, version });
     }
 
     /// Serves one call.
     pub async fn handle(self, request: Request) -> Reply {
-        let (mood, delay) = {
+        let (behavior, delay) = {
             let state = self.state();
-            (state.mood, state.delay)
+            (state.behavior, state.delay)
         };
         sleep(delay).await;
-        match mood {
-            Mood::Silent => {
-                sleep(HELD).await;
+        match behavior {
+            Behavior::Silent => {
+                sleep(HOLD_TIME).await;
                 Reply::text(StatusCode::GATEWAY_TIMEOUT, "")
             }
-            Mood::Busy => Reply::text(StatusCode::SERVICE_UNAVAILABLE, ""),
-            Mood::Well | Mood::Mute => self.serve(request, mood).await,
+            Behavior::Rejecting => Reply::text(StatusCode::SERVICE_UNAVAILABLE, ""),
+            Behavior::Serving | Behavior::DroppingReplies => self.serve(request, behavior).await,
         }
     }
 
-    async fn serve(self, request: Request, mood: Mood) -> Reply {
-        let query = query(request.uri.query().unwrap_or(""));
+    async fn serve(self, request: Request, behavior: Behavior) -> Reply {
+        let query = parse_query(request.uri.query().unwrap_or(""));
         match (&request.method, request.uri.path()) {
             (&Method::POST, "/rows-tx") => {
                 let reply = self.transact(&request.body);
-                if mood == Mood::Mute {
-                    sleep(HELD).await;
+                if behavior == Behavior::DroppingReplies {
+                    sleep(HOLD_TIME).await;
                 }
                 reply
             }
@@ -161,9 +161,9 @@
             return Reply::text(StatusCode::BAD_REQUEST, "no JSON");
         };
         let mut state = self.state();
-        let conditions = list(&call, "expectedRevision");
+        let conditions = entries(&call, "expectedRevision");
         let version = |state: &State, entry: &Value| {
-            let row = state.rows.get(&place(entry)).filter(|r| r.value.is_some());
+            let row = state.rows.get(&key_of(entry)).filter(|r| r.value.is_some());
             row.map_or(0, |r| r.version)
         };
         let failed = conditions
@@ -172,20 +172,20 @@
         if failed {
             let rows: Vec<Value> = conditions
                 .iter()
-                .map(|c| shown(&state, &place(c)))
+                .map(|c| row_json(&state, &key_of(c)))
                 .collect();
             let answer = json!({ "rows": rows, "ver": state.version });
             return Reply::text(StatusCode::PRECONDITION_FAILED, answer.to_string());
         }
         state.version += 1;
         let version = state.version;
-        for entry in list(&call, "put") {
+        for entry in entries(&call, "put") {
             let value = entry["value"].as_str().map(str::to_string);
-            state.rows.insert(place(&entry), Stored { value, version });
+            state.rows.insert(key_of(&entry), Row { value, version });
         }
-        for entry in list(&call, "remove") {
+        for entry in entries(&call, "remove") {
             let value = None;
-            state.rows.insert(place(&entry), Stored { value, version });
+            state.rows.insert(key_of(&entry), Row { value, version });
         }
         let answer = json!({ "ver": version, "now_ms": 1 });
         Reply::text(StatusCode::OK, answer.to_string())
@@ -195,19 +195,19 @@
         let mut state = self.state();
         let wanted = |name: &str| query.get(name).cloned().unwrap_or_default();
         let (table, part, from) = (wanted("table"), wanted("part"), wanted("from"));
-        if state.unread.as_ref() == Some(&table) {
+        if state.unreadable_table.as_ref() == Some(&table) {
             return Reply::text(StatusCode::SERVICE_UNAVAILABLE, "");
         }
-        *state.reads.entry(table.clone()).or_default() += 1;
+        *state.page_reads.entry(table.clone()).or_default() += 1;
         let limit = wanted("limit").parse().unwrap_or(500);
-        let here = |p: &&(String, String, String)| p.0 == table && p.1 == part && p.2 >= from;
-        let places = state.rows.iter().filter(|(_, r)| r.value.is_some());
-        let places: Vec<_> = places.map(|(p, _)| p).filter(here).collect();
-        let more = places.len() > limit;
-        let rows: Vec<Value> = places
+        let wanted_key = |p: &&(String, String, String)| p.0 == table && p.1 == part && p.2 >= from;
+        let keys = state.rows.iter().filter(|(_, r)| r.value.is_some());
+        let keys: Vec<_> = keys.map(|(p, _)| p).filter(wanted_key).collect();
+        let more = keys.len() > limit;
+        let rows: Vec<Value> = keys
             .iter()
             .take(limit)
-            .map(|p| shown(&state, p))
+            .map(|p| row_json(&state, p))
             .collect();
         let answer = json!({ "rows": rows, "more": more, "ver": state.version });
         Reply::text(StatusCode::OK, answer.to_string())
@@ -222,14 +222,14 @@
             if let Some(reply) = self.changes(&table, after, std::time::Instant::now() >= end) {
                 return reply;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Returns the answer of a feed once there are changes, or none may be waited for.
     fn changes(&self, table: &str, after: u64, last: bool) -> Option<Reply> {
         let state = self.state();
-        if after < state.forgotten {
+        if after < state.forgotten_version {
             return Some(Reply::text(StatusCode::GONE, ""));
         }
         let changed = state
@@ -241,23 +241,23 @@
         if changed.is_empty() && !last {
             return None;
         }
-        let rows: Vec<Value> = changed.iter().map(|(p, _)| shown(&state, p)).collect();
+        let rows: Vec<Value> = changed.iter().map(|(p, _)| row_json(&state, p)).collect();
         let answer = json!({ "rows": rows, "ver": state.version });
         Some(Reply::text(StatusCode::OK, answer.to_string()))
     }
 }
 
-fn list(call: &Value, name: &str) -> Vec<Value> {
+fn entries(call: &Value, name: &str) -> Vec<Value> {
     call[name].as_array().cloned().unwrap_or_default()
 }
 
-fn place(entry: &Value) -> (String, String, String) {
+fn key_of(entry: &Value) -> (String, String, String) {
     let text = |name: &str| entry[name].as_str().unwrap_or_default().to_string();
     (text("table"), text("part"), text("key"))
 }
 
-fn shown(state: &State, place: &(String, String, String)) -> Value {
-    let (table, part, key) = place;
+fn row_json(state: &State, full_key: &(String, String, String)) -> Value {
+    let (table, part, key) = full_key;
     let row = json!({ "table": table, "part": part, "key": key });
     let with = |more: Value| {
         let mut row = row.clone();
@@ -265,17 +265,17 @@
         row.as_object_mut().expect("an object").extend(fields);
         row
     };
-    match state.rows.get(place) {
-        Some(Stored {
+    match state.rows.get(full_key) {
+        Some(Row {
             value: Some(value),
             version,
         }) => with(json!({ "value": value, "ver": version })),
-        Some(Stored { version, .. }) => with(json!({ "gone": true, "ver": version })),
+        Some(Row { version, .. }) => with(json!({ "gone": true, "ver": version })),
         None => with(json!({ "ver": 0 })),
     }
 }
 
-fn query(text: &str) -> HashMap<String, String> {
+fn parse_query(text: &str) -> HashMap<String, String> {
     let pairs = text.split('&').filter_map(|pair| pair.split_once('='));
     pairs
         .map(|(name, value)| (name.to_string(), value.replace("%00", "\0")))
--- a/tests/processes/parts.rs
+++ b/tests/processes/parts.rs
@@ -10,9 +10,12 @@
 use std::thread::JoinHandle;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use super::diagnostics::{Looks, doing};
-use super::proxy::{self, Way};
-use super::support::{PAUSE, becomes, binary, exchange, finish, free, spawn, wait, words};
+use super::diagnostics::{Observations, process_state};
+use super::proxy::{self, Direction};
+use super::support::{
+    POLL_INTERVAL, binary, complete_request, eventually, free_address, send_request, spawn,
+    split_arguments, wait_for,
+};
 use willowpoint::claim;
 use willowpoint::program::block_on;
 use willowpoint::proto;
@@ -111,18 +114,18 @@
 
 impl Deployment {
     pub fn start(boxes: usize, workers: usize) -> Self {
-        let platform = free();
+        let platform = free_address();
         let name = format!("willowpoint-{}-{}", std::process::id(), platform.port());
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).expect("a folder");
         let line = format!("stand-in platform --rpc {platform}");
-        let process = spawn(&words(&line), &folder.join("platform.log"));
+        let process = spawn(&split_arguments(&line), &folder.join("platform.log"));
         let deaf: Arc<AtomicBool> = Arc::default();
         let held = deaf.clone();
         let mut deployment = Self {
             platform,
             proxy: proxy::start(platform, move |way, _| {
-                way == Way::Back && held.load(Ordering::Relaxed)
+                way == Direction::ToClient && held.load(Ordering::Relaxed)
             }),
             deaf,
             process,
@@ -143,7 +146,7 @@
     }
 
     fn start_worker(&mut self, index: usize) {
-        let (http, rpc) = (free(), free());
+        let (http, rpc) = (free_address(), free_address());
         let line = format!(
             "stand-in worker --name w{index} --hall h{} --rack r0 --http {http} --rpc {rpc} \
              --platform {} --service 2000",
@@ -151,7 +154,7 @@
             self.platform
         );
         let output = self.folder.join(format!("w{index}.log"));
-        let child = spawn(&words(&line), &output);
+        let child = spawn(&split_arguments(&line), &output);
         let alive = true;
         self.workers.push(Worker { rpc, child, alive });
     }
@@ -159,7 +162,8 @@
     /// Starts a box, at the addresses of the one before it if there was one.
     pub fn start_box(&mut self, index: usize) {
         let known = self.nodes.get(index).map(|n| (n.web, n.rpc, n.admin));
-        let (web, rpc, admin) = known.unwrap_or_else(|| (free(), free(), free()));
+        let (web, rpc, admin) =
+            known.unwrap_or_else(|| (free_address(), free_address(), free_address()));
         let settings = self.folder.join(format!("e{index}.toml"));
         let platform = match index {
             0 => self.proxy,
@@ -175,7 +179,7 @@
         );
         std::fs::write(&settings, text).expect("settings are written");
         let line = format!("entry --config {}", settings.display());
-        let child = spawn(&words(&line), &settings.with_extension("log"));
+        let child = spawn(&split_arguments(&line), &settings.with_extension("log"));
         let node = Node {
             web,
             rpc,
@@ -191,10 +195,10 @@
 
     pub fn wait_ready(&self, index: usize) {
         let node = &self.nodes[index];
-        let mut looks = Looks::new();
-        let ready = becomes(|| {
-            let answer = looks.look(|| {
-                exchange(
+        let mut observations = Observations::new();
+        let ready = eventually(|| {
+            let answer = observations.observe(|| {
+                send_request(
                     node.admin,
                     "GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n",
                 )
@@ -203,7 +207,7 @@
         });
         assert!(
             ready,
-            "waited in vain: readiness of e{index}; {looks}; {}",
+            "waited in vain: readiness of e{index}; {observations}; {}",
             self.sight(index)
         );
         assert!(node.settings.exists());
@@ -217,9 +221,9 @@
         format!(
             "the box: {}; its log: {:?}; platform: {}, reached {:?}, by the proxy {:?}; \
              its log: {:?}",
-            doing(&node.child),
+            process_state(&node.child),
             text(node.settings.with_extension("log")),
-            doing(&self.process),
+            process_state(&self.process),
             reached(self.platform),
             reached(self.proxy),
             text(self.folder.join("platform.log")),
@@ -230,7 +234,7 @@
         self.operate(&["service", "create", "stock", "--team", "pharmacy"]);
         // In force at every box.
         for node in &self.nodes {
-            wait("the service", || {
+            wait_for("the service", || {
                 let shown = command_at(&node.rpc.to_string(), &["service", "list"]);
                 shown.text.contains("stock")
             });
@@ -276,7 +280,7 @@
     /// Waits until a job is in a state and returns what is shown of it.
     pub fn wait_job(&self, id: &str, state: &str) -> serde_json::Value {
         let mut shown = serde_json::Value::Null;
-        wait(&format!("job {id} to be {state}"), || {
+        wait_for(&format!("job {id} to be {state}"), || {
             let printed = self.command(&["job", "show", id]);
             let list = serde_json::from_str::<Vec<serde_json::Value>>(&printed.text);
             let job = list.ok().and_then(|mut l| l.pop());
@@ -299,7 +303,7 @@
                 let id = format!("caller{number}");
                 let at = |turn: usize| boxes[(number + turn) % boxes.len()];
                 let mut told = (0..boxes.len()).map(|turn| request(at(turn), &id, true));
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(POLL_INTERVAL);
                 told.find(|t| *t != Told::Refused).unwrap_or(Told::Refused)
             };
             (0..count).map(one).collect()
@@ -348,7 +352,7 @@
     /// Waits until callers can't connect to a box any more.
     pub fn wait_closed(&self, index: usize) {
         let web = self.nodes[index].web;
-        wait("closed listeners", || TcpStream::connect(web).is_err());
+        wait_for("closed listeners", || TcpStream::connect(web).is_err());
     }
 
     /// Sends the first part of a request to a box.
@@ -365,7 +369,7 @@
     pub fn wait_end(&mut self, index: usize) -> Option<i32> {
         let mut code = None;
         let child = &mut self.nodes[index].child;
-        wait("the planned stop", || {
+        wait_for("the planned stop", || {
             let status = child.try_wait().expect("status");
             code = status.and_then(|s| s.code());
             status.is_some()
@@ -378,7 +382,7 @@
         let other = (index + 1) % self.nodes.len();
         let address = self.nodes[other].rpc.to_string();
         let wanted = self.workers.len();
-        wait("the successors", || {
+        wait_for("the successors", || {
             let shown = command_at(&address, &["worker", "list"]);
             let value: serde_json::Value = serde_json::from_str(&shown.text).unwrap_or_default();
             let workers = value["workers"].as_array().cloned().unwrap_or_default();
@@ -468,13 +472,13 @@
 impl Half {
     /// Sends the rest and returns what the caller is told.
     pub fn finish(self) -> Told {
-        told(finish(self.stream, &self.rest))
+        told(complete_request(self.stream, &self.rest))
     }
 }
 
 fn request(address: SocketAddr, id: &str, repeatable: bool) -> Told {
     let began = Instant::now();
-    let result = exchange(address, &message(id, repeatable));
+    let result = send_request(address, &message(id, repeatable));
     let seen = format!("{result:?}");
     let told = told(result);
     if matches!(told, Told::Lost | Told::Unknown) {
--- a/tests/support/diagnostics.rs
+++ b/tests/support/diagnostics.rs
@@ -3,54 +3,59 @@
 use std::process::Child;
 use std::time::{Duration, Instant};
 
-/// Looks at what is waited for: how long they took, and what the last one saw.
-pub struct Looks {
-    began: Instant,
+/// Observations at what is waited for: how long they took, and what the last one saw.
+pub struct Observations {
+    started: Instant,
     ended: Instant,
-    look: Duration,
-    pause: Duration,
-    last: String,
+    longest_observation: Duration,
+    longest_pause: Duration,
+    last_observed: String,
 }
 
-impl Looks {
+impl Observations {
     pub fn new() -> Self {
         Self {
-            began: Instant::now(),
+            started: Instant::now(),
             ended: Instant::now(),
-            look: Duration::ZERO,
-            pause: Duration::ZERO,
-            last: String::new(),
+            longest_observation: Duration::ZERO,
+            longest_pause: Duration::ZERO,
+            last_observed: String::new(),
         }
     }
 
     /// Takes a look and keeps what it saw.
-    pub fn look<T: std::fmt::Debug>(&mut self, at: impl FnOnce() -> T) -> T {
+    pub fn observe<T: std::fmt::Debug>(&mut self, observe: impl FnOnce() -> T) -> T {
         let start = Instant::now();
-        self.pause = self.pause.max(start - self.ended);
-        let seen = at();
+        self.longest_pause = self.longest_pause.max(start - self.ended);
+        let observed = observe();
         self.ended = Instant::now();
-        self.look = self.look.max(self.ended - start);
-        self.last = format!("{seen:?}");
-        seen
+        self.longest_observation = self.longest_observation.max(self.ended - start);
+        self.last_observed = format!("{observed:?}");
+        observed
     }
 }
 
 /// A pause far above `PAUSE` tells that the machine stood still, a long look that
 /// a connection was made and had no answer.
-impl std::fmt::Display for Looks {
+impl std::fmt::Display for Observations {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Self { look, pause, .. } = self;
-        let after = self.ended - self.began;
-        let last = &self.last;
+        let Self {
+            longest_observation,
+            longest_pause,
+            ..
+        } = self;
+        let after = self.ended - self.started;
+        let last = &self.last_observed;
         write!(
             f,
-            "longest look {look:?}, longest pause {pause:?}, the last after {after:?} saw {last}"
+            "longest observation {longest_observation:?}, longest pause {longest_pause:?}, \
+             last observation after {after:?}: {last}"
         )
     }
 }
 
 /// Returns what a process is doing by the kernel's word.
-pub fn doing(child: &Child) -> String {
+pub fn process_state(child: &Child) -> String {
     let read = |name: &str| {
         let path = format!("/proc/{}/{name}", child.id());
         std::fs::read_to_string(path).unwrap_or_else(|e| e.to_string())
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -9,24 +9,24 @@
 use std::time::{Duration, Instant};
 
 /// Generous bound of every wait for an event.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 /// First port of the tests, runs that begin at ports of their own, and ports of each.
-const PORTS: (u16, u32, u16) = (12_000, 60, 300);
+const PORT_BLOCKS: (u16, u32, u16) = (12_000, 60, 300);
 /// Time between two looks at what is waited for.
-pub const PAUSE: Duration = Duration::from_millis(50);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A range of ports that only this run of the tests uses.
-struct Block {
+struct PortBlock {
     first: u16,
     /// Holds the first port, so that another run at once takes another block.
     _claim: TcpListener,
 }
 
-impl Block {
+impl PortBlock {
     fn claim() -> Self {
-        let start = std::process::id() % PORTS.1;
-        for number in 0..PORTS.1 {
-            let first = PORTS.0 + ((start + number) % PORTS.1) as u16 * PORTS.2;
+        let start = std::process::id() % PORT_BLOCKS.1;
+        for number in 0..PORT_BLOCKS.1 {
+            let first = PORT_BLOCKS.0 + ((start + number) % PORT_BLOCKS.1) as u16 * PORT_BLOCKS.2;
             if let Ok(claim) = TcpListener::bind(("127.0.0.1", first)) {
                 return Self {
                     first,
@@ -34,19 +34,19 @@
                 };
             }
         }
-        panic!("another run holds each block of ports");
+        panic!("no block of ports is free: other test runs use all of them");
     }
 }
 
 /// Returns an address that nothing uses, below the ports that outgoing
 /// connections get, so that none of them takes it meanwhile.
-pub fn free() -> SocketAddr {
-    static BLOCK: LazyLock<Block> = LazyLock::new(Block::claim);
-    static TAKEN: AtomicU16 = AtomicU16::new(1);
+pub fn free_address() -> SocketAddr {
+    static PORT_BLOCK: LazyLock<PortBlock> = LazyLock::new(PortBlock::claim);
+    static NEXT_PORT: AtomicU16 = AtomicU16::new(1);
     loop {
-        let port = TAKEN.fetch_add(1, Ordering::Relaxed);
-        assert!(port < PORTS.2, "the block of ports is used up");
-        let address = SocketAddr::from(([127, 0, 0, 1], BLOCK.first + port));
+        let port = NEXT_PORT.fetch_add(1, Ordering::Relaxed);
+        assert!(port < PORT_BLOCKS.2, "all ports of the block are used");
+        let address = SocketAddr::from(([127, 0, 0, 1], PORT_BLOCK.first + port));
         if TcpListener::bind(address).is_ok() {
             return address;
         }
@@ -60,9 +60,9 @@
         return built.into();
     }
     let own = std::env::current_exe().expect("the path of this program");
-    let folder = own.parent().expect("a folder");
+    let folder = own.parent().expect("the folder of this program");
     let folder = match folder.ends_with("deps") {
-        true => folder.parent().expect("a folder"),
+        true => folder.parent().expect("the folder of this program"),
         false => folder,
     };
     folder.join("willowpoint")
@@ -74,42 +74,42 @@
         .create(true)
         .append(true)
         .open(output)
-        .expect("a file for what the program writes");
-    let errors = file.try_clone().expect("the same file again");
+        .expect("the output file can be opened");
+    let errors = file.try_clone().expect("the output file can be duplicated");
     let mut command = Command::new(binary());
     command.args(arguments).stdout(file).stderr(errors);
     command.spawn().expect("the program starts")
 }
 
 /// Waits for something to be so; false when it was not within the bound.
-pub fn becomes(mut done: impl FnMut() -> bool) -> bool {
-    let end = Instant::now() + PATIENCE;
+pub fn eventually(mut done: impl FnMut() -> bool) -> bool {
+    let end = Instant::now() + TIMEOUT;
     while !done() {
         if Instant::now() >= end {
             return false;
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
     true
 }
 
-pub fn wait(what: &str, done: impl FnMut() -> bool) {
-    assert!(becomes(done), "waited in vain: {what}");
+pub fn wait_for(condition: &str, done: impl FnMut() -> bool) {
+    assert!(eventually(done), "timed out waiting for: {condition}");
 }
 
 /// Returns the words of a command line.
-pub fn words(line: &str) -> Vec<String> {
+pub fn split_arguments(line: &str) -> Vec<String> {
     line.split_whitespace().map(str::to_string).collect()
 }
 
 /// Sends a message on a connection of its own and returns the whole answer.
-pub fn exchange(address: SocketAddr, message: &str) -> std::io::Result<String> {
-    finish(TcpStream::connect_timeout(&address, PATIENCE)?, message)
+pub fn send_request(address: SocketAddr, message: &str) -> std::io::Result<String> {
+    complete_request(TcpStream::connect_timeout(&address, TIMEOUT)?, message)
 }
 
 /// Sends the rest of a message and returns the whole answer.
-pub fn finish(mut stream: TcpStream, message: &str) -> std::io::Result<String> {
-    stream.set_read_timeout(Some(PATIENCE))?;
+pub fn complete_request(mut stream: TcpStream, message: &str) -> std::io::Result<String> {
+    stream.set_read_timeout(Some(TIMEOUT))?;
     stream.write_all(message.as_bytes())?;
     let mut text = String::new();
     stream.read_to_string(&mut text)?;
--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -12,7 +12,7 @@
 
 use crate::checks::{self, Findings};
 use crate::jobs::{Jobs, Told};
-use crate::platform::support::wait;
+use crate::platform::support::wait_for;
 use crate::platform::worker::{LASTING_SPEC, Record};
 use crate::platform::{HOST, PATH};
 
@@ -134,7 +134,7 @@
     jobs.ask(LASTING_ID, tasks);
     jobs.note(LASTING_ID, |job| job.lasting = true);
     let mut turn = 0;
-    wait("the lasting job to be taken", || {
+    wait_for("the lasting job to be taken", || {
         turn += 1;
         let answer = boxes.call(turn, "POST", LASTING_ID, &body);
         matches!(answer, Answer::Status(200, _))
--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -66,7 +66,7 @@
 
 /// Checks what must hold at each moment.
 pub fn during(jobs: &BTreeMap<String, Job>, record: &Record, findings: &Findings) {
-    for task in &record.doubled {
+    for task in &record.duplicates {
         let what = format!("{task} ran twice at a time, or again after its end was noted");
         findings.tell(owner(task), what);
     }
@@ -127,6 +127,9 @@
 
 /// Returns the most lives of workers that have ended with a task of a job.
 fn lost(record: &Record, id: &str) -> u32 {
-    let tasks = record.lost.iter().filter(|(task, _)| owner(task) == id);
+    let tasks = record
+        .lost_runs
+        .iter()
+        .filter(|(task, _)| owner(task) == id);
     tasks.map(|(_, count)| *count).max().unwrap_or(0)
 }
--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -5,7 +5,7 @@
 
 use crate::plan::{Fault, Kind, Plan, Target};
 use crate::platform::deployment::Deployment;
-use crate::platform::store::Mood;
+use crate::platform::store::Behavior;
 
 /// Time that a slow store adds to each answer.
 const SLOW: Duration = Duration::from_millis(250);
@@ -131,15 +131,15 @@
                 let boxes = deployment.addresses().len();
                 self.ill = (0..boxes).collect();
             }
-            Kind::StoreForgets => deployment.store.forget(),
-            Kind::SilentConnections => deployment.silence_store(),
+            Kind::StoreForgets => deployment.store.forget_history(),
+            Kind::SilentConnections => deployment.silence_connections(),
             Kind::RestartWorker => {
                 let worker = &deployment.workers[number];
                 worker.restart();
-                worker.list_again();
+                worker.register_again();
             }
-            Kind::LateWorker => deployment.workers[number].delay(LATE),
-            Kind::SilentWorker => deployment.workers[number].delay(SILENT),
+            Kind::LateWorker => deployment.workers[number].delay_orders(LATE),
+            Kind::SilentWorker => deployment.workers[number].delay_orders(SILENT),
             Kind::SmallWorker => deployment.workers[number].resize(ROOM.1),
             Kind::Configuration => {
                 self.version += 1;
@@ -166,7 +166,7 @@
                 (0..boxes).for_each(|n| self.revive(deployment, n));
             }
             Kind::LateWorker | Kind::SilentWorker => {
-                deployment.workers[number].delay(Duration::ZERO);
+                deployment.workers[number].delay_orders(Duration::ZERO);
             }
             Kind::SmallWorker => deployment.workers[number].resize(ROOM.0),
             _ => {}
@@ -180,26 +180,28 @@
         self.ill.remove(&number);
     }
 
-    /// Has the store do what all faults that go on want of it; of several moods the last.
+    /// Has the store do what all faults that go on want of it; of several behaviors the last.
     fn apply(&self, deployment: &Deployment) {
         let kinds = self.active.iter().map(|a| a.fault.kind);
-        let mood = kinds.clone().filter_map(mood).next_back();
-        deployment.store.set(mood.unwrap_or(Mood::Well));
+        let behavior = kinds.clone().filter_map(store_behavior).next_back();
+        deployment
+            .store
+            .set_behavior(behavior.unwrap_or(Behavior::Serving));
         let slow = kinds.clone().any(|kind| kind == Kind::StoreSlow);
         deployment
             .store
-            .slow(if slow { SLOW } else { Duration::ZERO });
+            .set_delay(if slow { SLOW } else { Duration::ZERO });
         let cut = self.active.iter().filter(|a| a.fault.kind == Kind::CutBox);
         let cut: Vec<usize> = cut.map(|a| a.number).collect();
-        deployment.cut_store(&cut);
+        deployment.disconnect_store(&cut);
     }
 }
 
-fn mood(kind: Kind) -> Option<Mood> {
+fn store_behavior(kind: Kind) -> Option<Behavior> {
     match kind {
-        Kind::StoreSilent => Some(Mood::Silent),
-        Kind::StoreBusy => Some(Mood::Busy),
-        Kind::StoreMute => Some(Mood::Mute),
+        Kind::StoreSilent => Some(Behavior::Silent),
+        Kind::StoreBusy => Some(Behavior::Rejecting),
+        Kind::StoreMute => Some(Behavior::DroppingReplies),
         _ => None,
     }
 }
--- a/tools/soak/src/run.rs
+++ b/tools/soak/src/run.rs
@@ -15,7 +15,7 @@
 use crate::jobs::{Jobs, Told};
 use crate::plan::{Kind, Plan};
 use crate::platform::deployment::Deployment;
-use crate::platform::support::{becomes, binary};
+use crate::platform::support::{binary, eventually};
 
 /// Callers that hand in jobs.
 const CALLERS: usize = 4;
@@ -75,7 +75,7 @@
     if !cut_short {
         settle(&deployment, &boxes, &jobs, &findings);
         // Where they do not, the checks that follow tell it.
-        let _ = becomes(|| checks::running(&deployment.record(), lasting) == LASTING);
+        let _ = eventually(|| checks::running(&deployment.record(), lasting) == LASTING);
     }
     findings.give_up();
     for thread in threads {
@@ -135,7 +135,7 @@
     let broken = findings.all();
     let logs = match broken.is_empty() {
         true => Vec::new(),
-        false => deployment.keep(),
+        false => deployment.keep_output(),
     };
     let all = jobs.all();
     let told = |told| all.values().filter(|job| job.told == told).count();
--- a/tools/soak/src/tests.rs
+++ b/tools/soak/src/tests.rs
@@ -59,7 +59,7 @@
 fn each_broken_promise_is_found() {
     type Break = fn(&mut Job, &mut Record);
     let breaks: [(&str, Break); 7] = [
-        ("ran twice", |_, r| r.doubled.push(format!("{ID}.0.0.0"))),
+        ("ran twice", |_, r| r.duplicates.push(format!("{ID}.0.0.0"))),
         ("nobody asked", |_, r| {
             r.starts.insert("ffffffffffffffff.0.0.0".into(), 1);
         }),
@@ -101,7 +101,7 @@
 fn a_job_may_fail_after_its_workers_have_gone_twice() {
     let (mut jobs, mut record) = well();
     jobs.get_mut(ID).expect("the job").ended = "failed".into();
-    record.lost.insert(format!("{ID}.0.1.0"), 2);
+    record.lost_runs.insert(format!("{ID}.0.1.0"), 2);
     assert_eq!(found(&jobs, &record), [""; 0]);
 }
 
