--- a/src/engine/job_shards.rs
+++ b/src/engine/job_shards.rs
@@ -1,4 +1,4 @@
-//! Job shards: how they are read, written in groups and cancelled.
+//! Reads job shards, writes them in groups and cancels their jobs.
 
 use super::ownership::cell_key;
 use super::state::Engine;
@@ -11,13 +11,13 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Rows of job shards in one commit.
-const MAX_GROUP: usize = 64;
-/// Milliseconds between two reads of the jobs that have open job shards here.
+/// Number of rows of job shards from which on no further cell joins a commit.
+const GROUP_SIZE: usize = 64;
+/// Milliseconds between two checks whether the jobs of open job shards were cancelled.
 const JOB_CHECK_INTERVAL: Millis = 30_000;
 
 impl Engine {
-    /// Commits changed job shards of all cells in one group.
+    /// Writes changed job shards of several cells in one commit if that is due.
     pub(super) fn write_job_shards(&mut self, now: Now, out: &mut Vec<Action>) {
         if now.millis < self.flushed_at + self.settings.intervals.journal {
             return;
@@ -27,9 +27,9 @@
         let mut ops = Vec::new();
         let mut shards = Vec::new();
         let names: Vec<Name> = self.cells.keys().cloned().collect();
-        let first = self.next_op as usize % names.len().max(1);
-        for name in names[first..].iter().chain(&names[..first]) {
-            if shards.len() >= MAX_GROUP {
+        let start = self.last_op as usize % names.len().max(1);
+        for name in names[start..].iter().chain(&names[..start]) {
+            if shards.len() >= GROUP_SIZE {
                 break;
             }
             self.collect_writes(name, &mut ops, &mut shards);
@@ -39,6 +39,7 @@
         }
     }
 
+    /// Adds the changed job shards of one cell to a commit.
     fn collect_writes(
         &mut self,
         name: &Name,
@@ -70,11 +71,12 @@
             shards.push((name.clone(), epoch, key));
         }
         if shards.len() > before {
-            // An owner that was replaced writes nothing any more.
+            // Fails the commit if the cell has another owner by now.
             ops.push(Op::keep(cell_key(name), Expect::Version(version)));
         }
     }
 
+    /// Reads the job shards whose last write is in doubt, unless such a read is pending.
     fn reread_in_doubt(&mut self, out: &mut Vec<Action>) {
         let pending = self
             .table_calls
@@ -85,8 +87,8 @@
         }
         let mut shards = Vec::new();
         for (name, cell) in &self.cells {
-            let doubted = cell.shards.iter().filter(|(_, l)| l.needs_reread());
-            shards.extend(doubted.map(|(key, _)| (name.clone(), cell.epoch, key.clone())));
+            let in_doubt = cell.shards.iter().filter(|(_, shard)| shard.needs_reread());
+            shards.extend(in_doubt.map(|(key, _)| (name.clone(), cell.epoch, key.clone())));
         }
         if !shards.is_empty() {
             let keys = shards.iter().map(|(_, _, key)| key.clone()).collect();
@@ -94,6 +96,7 @@
         }
     }
 
+    /// Resolves writes in doubt by the rows that were read.
     pub(super) fn handle_reread(&mut self, shards: &[(Name, u64, Name)], outcome: &Outcome) {
         let Some(rows) = rows(outcome) else {
             return;
@@ -113,6 +116,7 @@
         }
     }
 
+    /// Applies the outcome of a write of job shards.
     pub(super) fn handle_write(&mut self, shards: &[(Name, u64, Name)], written: WriteOutcome) {
         for (name, epoch, key) in shards {
             if let Some(cell) = self.cells.get_mut(name).filter(|c| c.epoch == *epoch) {
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Reads the job shards of a cell.
+    /// Reads all job shards of a cell.
     pub(super) fn scan_shards(&mut self, cell: &Name, out: &mut Vec<Action>) {
         let Some(epoch) = self.cells.get(cell).map(|c| c.epoch) else {
             return;
@@ -134,6 +138,7 @@
         );
     }
 
+    /// Applies the job shards of a cell: loads them after the first scan, adds new ones later.
     pub(super) fn handle_scan(
         &mut self,
         now: Now,
@@ -146,7 +151,7 @@
             return;
         };
         let Some(rows) = rows(outcome) else {
-            // Without its job shards a cell starts no task, so that is tried again.
+            // A cell starts no task without its job shards, so a failed scan is retried at once.
             return self.scan_shards(name, out);
         };
         let versioned = rows.iter().filter_map(|row| {
@@ -166,15 +171,17 @@
         }
     }
 
-    /// Reads whether the jobs of open job shards were cancelled.
+    /// Reads the jobs of open job shards, if that is due, to find cancelled ones.
     pub(super) fn read_jobs(&mut self, now: Now, out: &mut Vec<Action>) {
         if now.millis < self.jobs_checked + JOB_CHECK_INTERVAL {
             return;
         }
         self.jobs_checked = now.millis;
         let shards = self.cells.values().flat_map(|c| c.shards.values());
-        let open = shards.filter(|l| !l.cancelled);
-        let mut keys: Vec<Name> = open.map(|l| job::key(&l.row.spec.id).into()).collect();
+        let open = shards.filter(|shard| !shard.cancelled);
+        let mut keys: Vec<Name> = open
+            .map(|shard| job::key(&shard.row.spec.id).into())
+            .collect();
         keys.sort();
         keys.dedup();
         if !keys.is_empty() {
@@ -182,6 +189,7 @@
         }
     }
 
+    /// Cancels the tasks of the jobs that were read as cancelled.
     pub(super) fn handle_jobs(&mut self, now: Now, outcome: &Outcome, out: &mut Vec<Action>) {
         let Some(rows) = rows(outcome) else {
             return;
@@ -191,6 +199,7 @@
         self.cancel_jobs(now, &cancelled, out);
     }
 
+    /// Cancels the tasks of jobs in all cells.
     fn cancel_jobs(&mut self, now: Now, jobs: &[Name], out: &mut Vec<Action>) {
         if jobs.is_empty() {
             return;
@@ -208,7 +217,7 @@
         }
     }
 
-    /// Takes in that job shards were added to cells or jobs were cancelled.
+    /// Scans cells to which job shards were added and cancels the tasks of cancelled jobs.
     pub(super) fn handle_hint(
         &mut self,
         now: Now,
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -1,4 +1,4 @@
-//! The lease of the box and the cells that it owns under it.
+//! Renews the box's lease and acquires and releases cells under it.
 
 use std::collections::BTreeSet;
 
@@ -15,6 +15,7 @@
 use crate::utils::clock::Millis;
 
 impl Engine {
+    /// Performs the actions that are due for the lease.
     pub(super) fn tick_lease(&mut self, now: Now, out: &mut Vec<Action>) {
         let actions = self
             .lease
@@ -22,6 +23,7 @@
         self.apply_lease_actions(now, actions, out);
     }
 
+    /// Performs actions that the lease requests.
     pub(super) fn apply_lease_actions(
         &mut self,
         now: Now,
@@ -39,7 +41,7 @@
                     self.call_table(Purpose::Renew(row.beat), Call::Commit(vec![op]), out);
                 }
                 lease::Action::DeclareDead { id, version } => {
-                    log::warn!(target: "lease", "{id} is taken to be dead");
+                    log::warn!(target: "lease", "declaring box {id} dead");
                     let op = Op::delete(box_key(&id), Expect::Version(version));
                     self.call_table(Purpose::DeclareDead(id), Call::Commit(vec![op]), out);
                 }
@@ -48,22 +50,22 @@
         }
     }
 
-    /// Starts again as a new incarnation that owns nothing.
+    /// Starts over as a new incarnation that owns nothing, as another box declared this one dead.
     fn restart(&mut self, now: Now, out: &mut Vec<Action>) {
-        log::error!(target: "lease", "{} was taken to be dead; starting again", self.id());
+        log::error!(target: "lease", "{} was declared dead; starting a new incarnation", self.id());
         let cells: Vec<Name> = self.cells.keys().cloned().collect();
         for cell in cells {
             self.stop_owning(now, &cell, Reason::Lapsed, out);
         }
         self.dedup_shards.clear();
         self.settings.boot += 1;
-        let mut me = self.lease.own_row().clone();
-        me.id = incarnation(&self.settings.name, self.settings.boot);
-        me.beat = 0;
-        me.successors = Vec::new();
+        let mut row = self.lease.own_row().clone();
+        row.id = incarnation(&self.settings.name, self.settings.boot);
+        row.beat = 0;
+        row.successors = Vec::new();
         self.router.remove_owner(&self.lease.id().clone());
-        self.claims = Claims::new(me.id.clone());
-        self.lease = Lease::new(self.settings.lease_timings, me);
+        self.claims = Claims::new(row.id.clone());
+        self.lease = Lease::new(self.settings.lease_timings, row);
         self.table_calls.retain(|_, p| {
             matches!(
                 p,
@@ -75,6 +77,7 @@
         }
     }
 
+    /// Performs the actions that are due for the ownership of cells.
     pub(super) fn tick_claims(&mut self, now: Now, out: &mut Vec<Action>) {
         if !self.lease.is_registered() {
             return;
@@ -82,8 +85,8 @@
         let (cells, boxes) = (self.cell_names(), self.live_boxes(now.millis));
         self.claims.update_assignment(now.millis, cells, boxes);
         let lease = &self.lease;
-        let me = lease.id().clone();
-        let gone = |owner: &Name| *owner != me && lease.other_box(owner).is_none();
+        let own_id = lease.id().clone();
+        let gone = |owner: &Name| *owner != own_id && lease.other_box(owner).is_none();
         let interval = self.settings.intervals.poll;
         let actions = self.claims.tick(now.millis, interval, gone);
         for action in actions {
@@ -91,8 +94,7 @@
         }
     }
 
-    /// Returns the names of all cells: racks by the list of workers, racks
-    /// that have an owner, and the dedup shards.
+    /// Returns the names of all cells: the racks of the listed workers, and the dedup shards.
     fn cell_names(&self) -> BTreeSet<Name> {
         let mut names: BTreeSet<Name> =
             self.listed_workers.iter().map(|p| p.cell.clone()).collect();
@@ -100,10 +102,11 @@
         names
     }
 
+    /// Returns the boxes that may own cells: those with a fresh row that are not stopping.
     fn live_boxes(&self, now: Millis) -> Vec<LiveBox> {
-        let stays =
+        let may_own =
             |b: &&BoxRow| self.lease.is_fresh(&b.id, now) && !self.stopping_peers.contains(&b.id);
-        let others = self.lease.other_boxes().filter(stays);
+        let others = self.lease.other_boxes().filter(may_own);
         let mut boxes: Vec<LiveBox> = others.map(live_box).collect();
         if self.stopping_since.is_none() {
             boxes.push(live_box(self.lease.own_row()));
@@ -111,6 +114,7 @@
         boxes
     }
 
+    /// Performs an action that the claims request.
     pub(super) fn apply_claim_action(
         &mut self,
         now: Now,
@@ -149,28 +153,29 @@
         }
     }
 
+    /// Sets up an acquired cell or dedup shard.
     fn start_owning(&mut self, now: Now, cell: Name, epoch: u64, out: &mut Vec<Action>) {
-        log::info!(target: "claim", "{cell} is owned under epoch {epoch}");
+        log::info!(target: "claim", "acquired cell {cell} under epoch {epoch}");
         if cell.starts_with(DEDUP_PREFIX) {
             let shard = DedupShard::new(epoch, now.wall, self.settings.dedup_timings);
             self.dedup_shards.insert(cell, shard);
             return;
         }
         let intervals = self.settings.intervals;
-        let times = Timings {
+        let timings = Timings {
             run_lease: intervals.task_lease,
             margin: self.settings.lease_timings.margin,
             poll_interval: intervals.worker_poll,
         };
         let policy = self.settings.policy.clone();
-        let mut won = Cell::new(cell.clone(), epoch, now.millis, policy, times);
-        won.set_workers(&self.listed_workers, self.config.drained());
-        self.cells.insert(cell.clone(), won);
+        let mut acquired = Cell::new(cell.clone(), epoch, now.millis, policy, timings);
+        acquired.set_workers(&self.listed_workers, self.config.drained());
+        self.cells.insert(cell.clone(), acquired);
         self.update_cells();
         self.scan_shards(&cell, out);
     }
 
-    /// Stops acting for a cell that is no longer owned.
+    /// Drops a cell that is no longer owned and refuses its queued requests.
     pub(super) fn stop_owning(
         &mut self,
         now: Now,
@@ -183,7 +188,7 @@
         let Some(mut old) = self.cells.remove(cell) else {
             return;
         };
-        log::info!(target: "claim", "{cell} is given up ({})", reason.as_str());
+        log::info!(target: "claim", "dropped cell {cell} ({})", reason.as_str());
         let endpoints = old.workers.values().map(|w| w.http).collect();
         let refused = old.refuse_all(reason);
         for action in refused {
@@ -192,6 +197,7 @@
         out.push(Action::Disconnect(endpoints));
     }
 
+    /// Releases the leaving dedup shards of which no admitted request is in progress.
     pub(super) fn release_dedup_shards(&mut self, now: Now, out: &mut Vec<Action>) {
         let leaving: Vec<Name> = self
             .claims
@@ -208,6 +214,7 @@
         }
     }
 
+    /// Releases a cell in which nothing is in progress.
     pub(super) fn release(&mut self, now: Now, cell: &Name, out: &mut Vec<Action>) {
         for action in self.claims.release(cell) {
             self.apply_claim_action(now, action, out);
@@ -220,14 +227,17 @@
     format!("{DEDUP_PREFIX}{shard:02}").into()
 }
 
+/// Returns the key of a box's row.
 fn box_key(id: &str) -> Name {
     format!("{}{id}", lease::PREFIX).into()
 }
 
+/// Returns the key of a cell's row.
 pub(super) fn cell_key(cell: &str) -> Name {
     format!("{}{cell}", claim::PREFIX).into()
 }
 
+/// Returns what the assignment of cells needs of a box's row.
 fn live_box(row: &BoxRow) -> LiveBox {
     LiveBox {
         id: row.id.clone(),
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other.
+//! Exchanges greetings with other boxes: loads, moved cells, promises and configuration versions.
 
 use super::state::Engine;
 use super::{Action, Greeting, Now, largest};
@@ -7,11 +7,11 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Heartbeats for which a move of a cell is told.
+/// Heartbeat intervals for which greetings list the latest cells acquired or released.
 const MOVE_HEARTBEATS: u64 = 3;
 
 impl Engine {
-    /// Greets the other boxes when that is due.
+    /// Greets the other boxes for which a greeting is due.
     pub(super) fn greet_peers(&mut self, now: Now, out: &mut Vec<Action>) {
         let interval = self.settings.intervals.heartbeat;
         let others: Vec<(Name, _)> = self
@@ -19,7 +19,7 @@
             .other_boxes()
             .filter_map(|b| b.rpc.parse().ok().map(|rpc| (b.id.clone(), rpc)))
             .collect();
-        // A cell that has moved is told at once.
+        // Acquired and released cells are announced to all boxes at once.
         if self.announced_moves != self.claims.move_count() {
             self.announced_moves = self.claims.move_count();
             self.announce_until = now.millis + interval * MOVE_HEARTBEATS;
@@ -36,8 +36,8 @@
             }
             self.greeted_at.insert(id.clone(), now.millis);
             let mut greeting = self.build_greeting(now.millis);
-            let listed = self.lease.successors().contains(&id);
-            greeting.ask = listed.then(|| id.clone());
+            let is_successor = self.lease.successors().contains(&id);
+            greeting.ask = is_successor.then(|| id.clone());
             out.push(Action::Greet {
                 to: id,
                 rpc,
@@ -46,6 +46,7 @@
         }
     }
 
+    /// Returns a greeting with the current state of this box.
     fn build_greeting(&self, now: Millis) -> Greeting {
         Greeting {
             from: self.id().clone(),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Returns the last own moves of cells, while they are news.
+    /// Returns the rows of the latest cells acquired or released, while they are announced.
     fn recent_moves(&self, now: Millis) -> Vec<VersionedCell> {
         match now < self.announce_until {
             true => self.claims.recent_moves().cloned().collect(),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Returns the load of the own cells that take requests.
+    /// Returns the loads of the own cells that accept requests.
     fn own_loads(&self, now: Millis) -> Vec<CellLoad> {
         if !self.lease.may_act(now) {
             return Vec::new();
@@ -86,13 +87,14 @@
         .collect()
     }
 
-    /// Tells the own router the load of the own cells.
+    /// Reports the loads of the own cells to the router.
     pub(super) fn report_own_loads(&mut self, now: Millis) {
         let loads = self.own_loads(now);
         let me = self.id().clone();
         self.router.update_owner(now, &me, None, loads);
     }
 
+    /// Applies a greeting of another box and replies to it.
     pub(super) fn handle_greeting(
         &mut self,
         now: Now,
@@ -110,6 +112,7 @@
         });
     }
 
+    /// Applies the reply to a greeting that was sent at `sent`.
     pub(super) fn handle_greeting_reply(
         &mut self,
         now: Now,
@@ -121,14 +124,16 @@
         let Some((greeting, promised)) = reply else {
             return;
         };
-        // A restarted box at the same address is another incarnation, and its
-        // word does not count for the one that was asked.
+        // A restarted box at the same address is another incarnation, whose promise does not count
+        // for the incarnation that was asked.
         if promised && greeting.from == *to {
             self.lease.record_promise(to, sent);
         }
         self.apply_greeting(now, &greeting, out);
     }
 
+    /// Applies the moved cells, loads and configuration version of another box. Rereads all owners
+    /// if some of its moves were missed.
     fn apply_greeting(&mut self, now: Now, greeting: &Greeting, out: &mut Vec<Action>) {
         for versioned in &greeting.moved {
             if let Some(action) = self.claims.apply_move(versioned.clone()) {
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! The engine's state and its steps.
+//! State of the engine, dispatch of events and the planned stop.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,50 +15,71 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Heartbeats without a word after which a peer's loads are forgotten.
+/// Heartbeat intervals without a report after which the load of a cell is discarded.
 const LOAD_EXPIRY: u64 = 5;
-/// Heartbeats for which a box that stops goes on refusing.
+/// Heartbeat intervals for which a stopped box keeps refusing requests of its peers.
 const LINGER_HEARTBEATS: u64 = 3;
-/// Milliseconds that the servers have to end when the time of the stop is over.
+/// Shortest time limit in ms for the drain of the servers, also once the stop has timed out.
 const MIN_DRAIN: Millis = 1_000;
 
-/// The decisions of one entry box.
+/// State machine of one entry box. All times are in ms on the monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Engine {
     pub(super) settings: EngineSettings,
     pub(super) lease: Lease,
     pub(super) claims: Claims,
+    /// Owned cells with workers.
     pub(super) cells: BTreeMap<Name, Cell>,
+    /// Owned dedup shards.
     pub(super) dedup_shards: BTreeMap<Name, DedupShard>,
+    /// Active configuration.
     pub(super) config: Config,
-    /// A configuration that is read and not yet known to be whole.
+    /// Configuration that was read but may still lack changes made during the read.
     pub(super) staged: Option<Config>,
     pub(super) router: Router,
+    /// Workers of the whole deployment as last listed.
     pub(super) listed_workers: Vec<ListedWorker>,
+    /// Requests in progress, by ticket.
     pub(super) in_flight: BTreeMap<u64, InFlightRequest>,
+    /// Pending calls to the table, by number.
     pub(super) table_calls: BTreeMap<u64, Purpose>,
-    pub(super) next_op: u64,
+    /// Number of the last call to the table.
+    pub(super) last_op: u64,
+    /// Number of retries that this box may make for all requests together.
     pub(super) retry_budget: f64,
+    /// Start of the planned stop, if any.
     pub(super) stopping_since: Option<Millis>,
+    /// Time of the last request for the list of workers.
     pub(super) listed_at: Option<Millis>,
+    /// True while that request is pending.
     pub(super) listing: bool,
+    /// Time of the last read of the configuration's head; `None` if a read is due at once.
     pub(super) polled_at: Option<Millis>,
+    /// True while a read of the configuration is pending.
     pub(super) polling: bool,
+    /// Time of the last greeting to each peer; a peer without an entry is greeted at once.
     pub(super) greeted_at: BTreeMap<Name, Millis>,
-    /// Moves of cells that each peer told of, and the own ones told to all.
+    /// Number of cells acquired or released that each peer last reported.
     pub(super) peer_moves: BTreeMap<Name, u64>,
+    /// Number of cells acquired or released that this box last announced.
     pub(super) announced_moves: u64,
-    /// Other boxes that are stopping: nothing is given to them.
+    /// Peers that are stopping; they are assigned no cells.
     pub(super) stopping_peers: BTreeSet<Name>,
-    /// Until when the last own moves are told.
+    /// Time until which greetings list the latest cells acquired or released.
     pub(super) announce_until: Millis,
+    /// Time of the last write of job shards.
     pub(super) flushed_at: Millis,
+    /// Time of the last scan of each cell's job shards; no entry before the first scan.
     pub(super) scanned_at: BTreeMap<Name, Millis>,
+    /// Time of the last check for cancelled jobs.
     pub(super) jobs_checked: Millis,
+    /// Time of the table's last answer.
     pub(super) answered_at: Millis,
+    /// Time of the last fetch of a peer's configuration.
     pub(super) snapshot_at: Option<Millis>,
-    /// Since when nothing is in progress, during a planned stop.
+    /// Time since which nothing is owned or in progress during a planned stop.
     idle_since: Option<Millis>,
+    /// True once the exit was requested.
     exited: bool,
 }
 
@@ -86,7 +107,7 @@
             listed_workers: Vec::new(),
             in_flight: BTreeMap::new(),
             table_calls: BTreeMap::new(),
-            next_op: 0,
+            last_op: 0,
             retry_budget: RETRY_BUDGET,
             stopping_since: None,
             listed_at: None,
@@ -124,7 +145,7 @@
         self.lease.may_act(now)
     }
 
-    /// Returns true while the box acts past its lease by promises.
+    /// Returns true while the box may act by promises alone, as its lease has ended.
     pub fn acts_on_promises(&self, now: Millis) -> bool {
         self.lease.acts_by_promises(now)
     }
@@ -137,22 +158,22 @@
             .map(|(cell, owned)| (cell, owned.epoch))
     }
 
-    /// Returns the version of the configuration in force.
+    /// Returns the version of the active configuration.
     pub fn config_version(&self) -> u64 {
         self.config.version()
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Returns true when callers' requests can be taken.
+    /// Returns true if the box accepts callers' requests.
     pub fn ready(&self) -> bool {
         self.stopping_since.is_none() && self.config.known() && !self.router.views().is_empty()
     }
 
-    /// Takes in an event; returns what is to be done.
+    /// Applies an event and returns the resulting actions.
     pub fn step(&mut self, now: Now, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         match event {
@@ -198,6 +219,7 @@
         out
     }
 
+    /// Does all periodic work that is due.
     fn tick(&mut self, now: Now, out: &mut Vec<Action>) {
         let intervals = self.settings.intervals;
         self.tick_lease(now, out);
@@ -220,19 +242,21 @@
         self.finish_stop(now, out);
     }
 
+    /// Begins a planned stop: this box gives its cells away and takes no new ones.
     fn begin_stop(&mut self, now: Now) {
         if self.stopping_since.is_none() {
-            log::info!(target: "engine", "a planned stop begins");
+            log::info!(target: "engine", "planned stop begins");
             self.stopping_since = Some(now.millis);
             self.claims.stop();
-            // All others are told at once, so that they give it no cells.
+            // Greets all peers at once, so that they assign no cells to this box.
             self.greeted_at.clear();
         }
     }
 
-    /// Ends a planned stop when nothing is owned or in progress, or when its
-    /// time is over. It lingers until its peers know, and refuses what they
-    /// still hand over; ended at once it would cut that off.
+    /// Ends a planned stop once nothing is owned or in progress, or at its timeout.
+    ///
+    /// An idle box stays up for [`LINGER_HEARTBEATS`] until its peers know of the stop, and refuses
+    /// the requests that they still forward. An immediate exit would break these off.
     fn finish_stop(&mut self, now: Now, out: &mut Vec<Action>) {
         let Some(since) = self.stopping_since else {
             return;
@@ -241,11 +265,11 @@
         if busy {
             self.idle_since = None;
         }
-        let idle = *self.idle_since.get_or_insert(now.millis);
-        let quiet =
-            !busy && now.millis >= idle + self.settings.intervals.heartbeat * LINGER_HEARTBEATS;
-        let over = now.millis >= since + self.settings.intervals.stop_timeout;
-        if (quiet || over) && !self.exited {
+        let idle_since = *self.idle_since.get_or_insert(now.millis);
+        let quiet = !busy
+            && now.millis >= idle_since + self.settings.intervals.heartbeat * LINGER_HEARTBEATS;
+        let timed_out = now.millis >= since + self.settings.intervals.stop_timeout;
+        if (quiet || timed_out) && !self.exited {
             self.exited = true;
             let end = since + self.settings.intervals.stop_timeout;
             let within = end.saturating_sub(now.millis).max(MIN_DRAIN);
@@ -254,7 +278,7 @@
     }
 }
 
-/// Returns the name of one life of a box.
+/// Returns the name of one incarnation of a box.
 pub(super) fn incarnation(name: &str, boot: u64) -> Name {
     format!("{name}.{boot:x}").into()
 }
--- a/src/engine/table_calls.rs
+++ b/src/engine/table_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the table, and where their outcomes go.
+//! Issues calls to the table and dispatches their outcomes.
 
 use super::state::Engine;
 use super::{Action, Now};
@@ -8,34 +8,49 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// What a call to the table is for.
+/// Purpose of a pending call to the table, with the data needed to handle its outcome.
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
+    /// Read the rows of all boxes.
     ReadBoxes,
+    /// Renew the own lease, with the beat of the renewal.
     Renew(u64),
+    /// Declare another box dead.
     DeclareDead(Name),
+    /// Read the rows of all cells.
     ReadCells,
+    /// Claim a cell, with the expected version and the new row.
     Claim(Name, u64, CellRow),
+    /// Release a cell, with the expected version and the new row.
     Release(Name, u64, CellRow),
+    /// Read the head of the configuration.
     ReadHead,
+    /// Read all entries of the configuration, with the version of the head.
     ReadEntries(u64),
+    /// Read changes of the configuration.
     ReadChanges,
+    /// Read all job shards of a cell, with its epoch.
     ScanShards(Name, u64),
+    /// Read job shards whose last write is in doubt: cell, epoch and key of each.
     RereadShards(Vec<(Name, u64, Name)>),
+    /// Write job shards: cell, epoch and key of each.
     WriteShards(Vec<(Name, u64, Name)>),
+    /// Read the jobs of open job shards.
     ReadJobs,
 }
 
 impl Engine {
+    /// Requests a call to the table.
     pub(super) fn call_table(&mut self, purpose: Purpose, call: Call, out: &mut Vec<Action>) {
-        self.next_op += 1;
-        self.table_calls.insert(self.next_op, purpose);
+        self.last_op += 1;
+        self.table_calls.insert(self.last_op, purpose);
         out.push(Action::CallTable {
-            op: self.next_op,
+            op: self.last_op,
             call,
         });
     }
 
+    /// Passes the outcome of a call, which was sent at `sent`, to the part that made it.
     pub(super) fn handle_table_outcome(
         &mut self,
         now: Now,
@@ -47,11 +62,11 @@
         let Some(purpose) = self.table_calls.remove(&op) else {
             return;
         };
-        let reached = !matches!(
+        let answered = !matches!(
             outcome,
             Outcome::Failed | Outcome::Written(WriteOutcome::NotSent | WriteOutcome::Unknown)
         );
-        if reached {
+        if answered {
             self.answered_at = now.millis;
         }
         match purpose {
@@ -104,6 +119,7 @@
     }
 }
 
+/// Returns the rows of a successful read.
 pub(super) fn rows(outcome: &Outcome) -> Option<&Vec<Row>> {
     match outcome {
         Outcome::Rows(rows) => Some(rows),
@@ -111,6 +127,7 @@
     }
 }
 
+/// Returns the outcome of a write.
 pub(super) fn write_outcome(outcome: &Outcome) -> WriteOutcome {
     match outcome {
         Outcome::Written(written) => *written,
@@ -118,6 +135,7 @@
     }
 }
 
+/// Decodes the rows of boxes; skips invalid ones.
 fn decode_boxes(rows: &[Row]) -> Vec<lease::VersionedBox> {
     let versioned = |row: &Row| {
         let version = row.version;
@@ -126,6 +144,7 @@
     rows.iter().filter_map(versioned).collect()
 }
 
+/// Decodes the rows of cells; skips invalid ones.
 fn decode_cells(rows: &[Row]) -> Vec<claim::VersionedCell> {
     let versioned = |row: &Row| {
         let cell: Name = row.key.strip_prefix(claim::PREFIX)?.into();
--- a/src/engine/views.rs
+++ b/src/engine/views.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of the state.
+//! Views of the engine's state for operators.
 
 use std::net::SocketAddr;
 
@@ -9,99 +9,99 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// A question about the state.
+/// Request for a view of the state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// The box itself.
+    /// Status of this box.
     Status,
     /// All boxes.
     Boxes,
-    /// The workers of own cells.
+    /// Workers of own cells.
     Workers,
-    /// Running and waiting tasks of own cells, of one job or of all.
+    /// Running and waiting tasks of own cells, of one job or of all jobs.
     Tasks(Option<Name>),
-    /// The cells that can take job shards.
+    /// Cells to which job shards can be assigned.
     CandidateCells,
-    /// The configuration in force.
+    /// Active configuration.
     Config,
 }
 
-/// The box itself.
+/// Status of this box.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusView {
     /// Incarnation.
     pub id: Name,
-    /// Hall in which it stands.
+    /// Hall of the box.
     pub hall: Name,
-    /// True when it takes requests.
+    /// True if the box accepts callers' requests.
     pub ready: bool,
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     pub config: u64,
-    /// Cells owned.
+    /// Number of owned cells.
     pub cells: usize,
-    /// Boxes known, itself included.
+    /// Number of known boxes, including this one.
     pub boxes: usize,
-    /// True while it may act for its cells.
+    /// True while the box may act for its cells.
     pub may_act: bool,
     /// Milliseconds since the table last answered.
     pub table_silence: Millis,
 }
 
-/// A box.
+/// A box as known to this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BoxView {
     /// Incarnation.
     pub id: Name,
-    /// Address for other boxes.
+    /// RPC address for other boxes.
     pub rpc: Name,
-    /// Hall in which it stands.
+    /// Hall of the box.
     pub hall: Name,
-    /// Cells owned, as far as known.
+    /// Number of owned cells, as last read.
     pub cells: usize,
-    /// True when it stops, as far as known.
+    /// True if the box is stopping; known only of this box.
     pub stopping: bool,
 }
 
-/// A worker.
+/// A worker of an own cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerView {
     /// Name of the worker.
     pub name: Name,
     /// Cell to which it belongs.
     pub cell: Name,
-    /// `open`, `silent`, `leaving`, `ejected` or `quarantine`.
+    /// State: `open`, `silent`, `leaving`, `ejected` or `quarantine`.
     pub state: &'static str,
-    /// What it has.
+    /// Capacity of the worker.
     pub shape: Shape,
-    /// Slots in use.
+    /// Number of used slots.
     pub used_slots: u32,
-    /// Free thousandths of cores.
+    /// Free cores in thousandths.
     pub free_cores: u32,
-    /// Runs on it.
+    /// Number of runs on the worker.
     pub runs: usize,
 }
 
-/// A task.
+/// A task of a job shard in an own cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskView {
     /// Job of the task.
     pub job: Name,
     /// Number of the task within the job.
     pub task: u32,
-    /// Where it is.
+    /// State of the task.
     pub state: &'static str,
-    /// Worker that runs it, or an empty name.
+    /// Worker that runs the task; empty if there is none.
     pub worker: Name,
-    /// Milliseconds of work done.
+    /// Completed work in milliseconds.
     pub progress: Millis,
-    /// Times it was evicted.
+    /// Number of evictions.
     pub evictions: u32,
 }
 
-/// The answer to a question.
+/// Answer to a [`Query`].
 #[derive(Clone, Debug)]
 pub enum View {
-    /// The box itself.
+    /// Status of this box.
     Status(StatusView),
     /// All boxes.
     Boxes(Vec<BoxView>),
@@ -109,13 +109,15 @@
     Workers(Vec<WorkerView>),
     /// Tasks of own cells.
     Tasks(Vec<TaskView>),
-    /// Cells that can take job shards, with the address of the owner; none for own ones.
+    /// Cells to which job shards can be assigned, with the owner's RPC address; `None` for own
+    /// cells.
     CandidateCells(Vec<(CandidateCell, Option<SocketAddr>)>),
-    /// The configuration in force.
+    /// Active configuration.
     Config(Config),
 }
 
 impl Engine {
+    /// Returns the view that a query requests.
     pub(super) fn view(&self, now: Millis, query: &Query) -> View {
         match query {
             Query::Status => View::Status(self.status(now)),
