--- a/src/options.rs
+++ b/src/options.rs
@@ -1,4 +1,4 @@
-//! Settings: arguments and file, merged once into checked structs.
+//! Command-line arguments and settings files, parsed and checked once at the start.
 
 pub mod args;
 mod check;
@@ -20,8 +20,8 @@
 
 pub use reader::{Finding, is_name};
 
-/// Checks a settings file of either kind of daemon: one that names a store is
-/// for a box on the platform.
+/// Checks a settings file of either daemon. A file that sets `platform.store` is for the daemon of
+/// `serve`, any other one for that of `entry`.
 pub fn check_file(path: &str) -> Result<(), Vec<Finding>> {
     let text = entry::read_file(path)?;
     let mut reader = reader::Reader::new(path, &text).map_err(|f| vec![f])?;
@@ -31,50 +31,50 @@
     }
 }
 
-/// Checked settings of an entry box.
+/// Settings of the `entry` daemon, after all checks.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of the box, the same after a restart.
+    /// Name of the box; a restart keeps it.
     pub name: Name,
-    /// Hall in which it stands.
+    /// Hall that the box is in.
     pub hall: Name,
-    /// Address for callers.
+    /// Listening address for callers.
     pub web: SocketAddr,
-    /// Address for other boxes and for operators.
+    /// Listening address for other boxes and for operators.
     pub rpc: SocketAddr,
-    /// Address for health, readiness and metrics.
+    /// Listening address for health, readiness and metrics.
     pub admin: SocketAddr,
-    /// Address of the platform's RPC.
+    /// Address of the platform's RPC service.
     pub platform: SocketAddr,
-    /// Bound of one call to the platform, in milliseconds.
+    /// Longest duration of a call to the platform, in milliseconds.
     pub call_timeout: Millis,
-    /// Lease of the box and promises.
+    /// Durations of the box's lease and of its successors' promises.
     pub lease_timings: LeaseTimings,
-    /// Times of the control work.
+    /// Intervals and timeouts of background work.
     pub intervals: Intervals,
-    /// Bounds for callers' requests.
+    /// Limits on callers' connections and requests.
     pub limits: Limits,
-    /// Decisions about requests and tasks.
+    /// Parameters of routing and scheduling decisions.
     pub policy: Policy,
-    /// Part of requests without a trace context that are traced, from 0 to 1.
+    /// Fraction, from 0 to 1, of the requests without a trace context that are traced.
     pub trace_share: f64,
-    /// Logs.
+    /// Format and levels of the log.
     pub logs: LogSettings,
 }
 
 /// Intervals and timeouts of background work, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Intervals {
-    /// Between two greetings to the same box.
+    /// Interval between two heartbeats to the same box.
     pub heartbeat: Millis,
-    /// Between two reads of the table's head rows.
+    /// Interval between two reads of the table's head rows.
     pub poll: Millis,
-    /// Between two exchanges with the same worker.
+    /// Interval between two polls of the same worker.
     pub worker_poll: Millis,
-    /// Between two commits of the journal.
+    /// Interval between two commits of the journal.
     pub journal: Millis,
-    /// Lease of tasks on workers.
+    /// Length of a task's lease on its worker.
     pub task_lease: Millis,
-    /// Longest wait of a planned stop for what is in progress.
+    /// Longest time that a planned stop waits for requests and tasks in progress.
     pub stop_timeout: Millis,
 }
--- a/src/options/check.rs
+++ b/src/options/check.rs
@@ -1,11 +1,11 @@
-//! Checks that concern several settings at once.
+//! Checks of settings against each other.
 
 use std::net::SocketAddr;
 
 use super::reader::Reader;
 use super::{Settings, daemon};
 
-/// Records a finding for each pair of settings that do not fit together.
+/// Reports settings of the `entry` daemon that contradict each other.
 pub fn entry(settings: &Settings, reader: &mut Reader) {
     check_addresses(settings, reader);
     let (lease_timings, intervals) = (settings.lease_timings, settings.intervals);
@@ -18,36 +18,35 @@
         lease_timings.margin * 2 <= lease_timings.length,
         "lease.margin",
         "is more than half of lease.length",
-        "make it smaller, or the lease longer",
+        "shorten it, or lengthen lease.length",
     );
     check(
         lease_timings.promise < lease_timings.length,
         "lease.promise",
-        "is not below lease.length",
-        "make it smaller, or the lease longer",
+        "is not less than lease.length",
+        "shorten it, or lengthen lease.length",
     );
     check(
         intervals.heartbeat * 3 <= lease_timings.promise,
         "pace.heartbeat",
         "is more than a third of lease.promise",
-        "make it smaller, or the promise longer",
+        "shorten it, or lengthen lease.promise",
     );
     check(
         intervals.worker_poll * 3 <= intervals.task_lease,
         "pace.sync",
         "is more than a third of pace.task",
-        "make it smaller, or the task lease longer",
+        "shorten it, or lengthen pace.task",
     );
     check(
         settings.call_timeout < lease_timings.length,
         "platform.patience",
-        "is not below lease.length",
-        "make it smaller, or the lease longer",
+        "is not less than lease.length",
+        "shorten it, or lengthen lease.length",
     );
 }
 
-/// Records a finding for each pair of settings of a box on the platform that
-/// do not fit together.
+/// Reports settings of the `serve` daemon that contradict each other.
 pub fn daemon(settings: &daemon::Settings, reader: &mut Reader) {
     let mut all = vec![
         ("box.web", settings.web),
@@ -60,8 +59,8 @@
     check_distinct(&all, reader);
     check_reachable(&[all[1], all[3]], reader);
     if settings.owner.max_unconfirmed < settings.owner.lease_length {
-        let problem = "is below workers.lease";
-        let hint = "make it longer, or the lease shorter";
+        let problem = "is less than workers.lease";
+        let hint = "lengthen it, or shorten workers.lease";
         reader.report("workers.unconfirmed", problem, hint);
     }
 }
@@ -77,26 +76,30 @@
     check_reachable(&[all[1], all[3]], reader);
 }
 
-/// Records a finding for each address that stands twice or has no port.
+/// Reports addresses that are used twice, and addresses with port 0.
 fn check_distinct(all: &[(&str, SocketAddr)], reader: &mut Reader) {
     for (i, (key, address)) in all.iter().enumerate() {
         if address.port() == 0 && !address.ip().is_unspecified() {
-            reader.report(key, "has port 0", "give a port from 1 to 65535");
+            reader.report(key, "has port 0", "set a port from 1 to 65535");
         }
         let twin = all[..i].iter().find(|(_, a)| a == address && a.port() != 0);
         if let Some((other, _)) = twin {
-            let problem = format!("clashes with {other} ({address})");
-            reader.report(key, problem, "give each its own address");
+            let problem = format!("is the same as {other} ({address})");
+            reader.report(key, problem, "use a different address");
         }
     }
 }
 
-/// Records a finding for each address that no other box can reach.
+/// Reports unspecified addresses (such as 0.0.0.0), which other boxes cannot connect to.
 fn check_reachable(all: &[(&str, SocketAddr)], reader: &mut Reader) {
     for (key, address) in all {
         if address.ip().is_unspecified() && address.port() != 0 {
-            let hint = "give the number that other boxes can reach";
-            reader.report(key, format!("`{address}` can't be reached by others"), hint);
+            let hint = "set an IP address that other boxes can connect to";
+            reader.report(
+                key,
+                format!("other boxes cannot connect to `{address}`"),
+                hint,
+            );
         }
     }
 }
--- a/src/options/daemon.rs
+++ b/src/options/daemon.rs
@@ -1,4 +1,4 @@
-//! The settings file of a box on the platform.
+//! Reads and checks the settings file of the `serve` daemon, for a box on the platform.
 
 use std::net::SocketAddr;
 
@@ -12,87 +12,86 @@
 use crate::utils::clock::Millis;
 use crate::web::server::Limits;
 
-/// Longest lease on a worker that is ever wished for, in milliseconds; a
-/// shorter one frees the tasks of a dead worker sooner, a longer one bridges
-/// a takeover of about 2 s.
+/// Default of a worker's lease and of its upper limit, in milliseconds. A shorter lease frees
+/// the tasks of a dead worker sooner; a longer one outlasts a takeover, which takes about 2 s.
 const DEFAULT_LEASE: Millis = 4_000;
-/// Milliseconds of the platform's grace that a planned stop leaves unused.
+/// Part of the platform's grace period that a planned stop leaves unused, in milliseconds.
 const STOP_MARGIN: Millis = 800;
-/// Shortest grace, in milliseconds: the balancer needs most of it to send no
-/// more callers.
+/// Shortest grace period, in milliseconds. The load balancer needs most of it to stop sending
+/// callers.
 const MIN_GRACE: Millis = 3_500;
-/// Milliseconds of an hour, the longest of any setting.
+/// Longest value of any duration in the file, in milliseconds.
 const HOUR: Millis = 3_600_000;
-/// Milliseconds of the platform's grace for a planned stop, unless it is set.
+/// Default grace period that the platform gives a planned stop, in milliseconds.
 const DEFAULT_GRACE: Millis = 6_000;
-/// Milliseconds that an owner extends leases without a commit, unless it is
-/// set: longer than the outages of the store that tasks should outlast.
+/// Default time for which an owner extends leases without a confirmed commit, in milliseconds. It
+/// is longer than the outages of the store that tasks must survive.
 const DEFAULT_MAX_UNCONFIRMED: Millis = 10_000;
-/// Least milliseconds that a worker serves on after its listing is gone,
-/// unless the platform's bound is set.
+/// Default least time for which a worker still serves after the platform removed its listing, in
+/// milliseconds.
 const DEFAULT_DRAIN: Millis = 2_000;
-/// Milliseconds that a serving task may stay over its target because of fillers, unless
-/// the platform's bound is set.
+/// Default longest time for which best-effort tasks may keep a serving task over its latency
+/// target, in milliseconds.
 const DEFAULT_MAX_BREACH: Millis = 4_000;
-/// Milliseconds for which the state of an ended job is told, unless the
-/// platform's bound is set.
+/// Default time for which the state of a finished job can be queried, in milliseconds.
 const DEFAULT_RETENTION: Millis = 120_000;
 
-/// Most cores of one box.
+/// Largest number of cores of a box.
 const MAX_CORES: f64 = 1_024.0;
-/// Thousandths of a core.
+/// Thousandths in one core.
 const MILLICORES: f64 = 1_000.0;
 
-/// Descriptors of a box, unless they are set.
+/// Default number of file descriptors of a box.
 const DEFAULT_DESCRIPTORS: f64 = 4_096.0;
-/// Least and most that make sense: those of a box that never is the owner, and those of
-/// the largest machine.
+/// Accepted numbers of file descriptors: from what a box needs that never is the owner, to the
+/// limit of the largest machine.
 const DESCRIPTORS_RANGE: std::ops::RangeInclusive<f64> = 64.0..=4_000_000.0;
-/// Share of them for idle connections to workers. Each worker has one more for its open
-/// exchange and one idle one in any case, so that an owner of 890 workers and its orders fit
-/// into 4,096.
+/// Share of the file descriptors that idle connections to workers may use. Each worker always has
+/// one further descriptor for its open poll and one for an idle connection, so that an owner of
+/// 890 workers and its orders fit into 4,096 descriptors.
 const IDLE_SHARE: f64 = 0.375;
 
-/// Checked settings of a box on the platform.
+/// Settings of the `serve` daemon, after all checks.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of the box, the same after a restart.
+    /// Name of the box; a restart keeps it.
     pub name: Name,
-    /// Hall in which it stands.
+    /// Hall that the box is in.
     pub hall: Name,
-    /// Thousandths of cores that it may use; boxes with more of them own the cell.
+    /// Processors that the box may use, in thousandths of a core; the box with the most is preferred
+    /// as owner of the cell.
     pub cores: u32,
-    /// Idle connections to workers that it may keep.
+    /// Most idle connections to workers that are kept open.
     pub idle_connections: usize,
-    /// Address for callers.
+    /// Listening address for callers.
     pub web: SocketAddr,
-    /// Address for other boxes.
+    /// Listening address for other boxes.
     pub rpc: SocketAddr,
-    /// Address for readiness.
+    /// Listening address for readiness checks and metrics.
     pub admin: SocketAddr,
-    /// Address for metrics, when it is another one.
+    /// Second listening address for readiness checks and metrics, if set.
     pub metrics: Option<SocketAddr>,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Address of the advisor that tells which workers may run a step.
+    /// Address of the platform's advisor, which says which workers may run a step.
     pub advisor: Option<SocketAddr>,
-    /// Bounds of decisions.
+    /// Durations and mechanisms of this box as the owner of the cell.
     pub owner: OwnerSettings,
-    /// Milliseconds within which a planned stop is complete.
+    /// Longest duration of a planned stop, in milliseconds.
     pub stop_timeout: Millis,
-    /// Bounds for callers' requests.
+    /// Limits on callers' connections and requests.
     pub limits: Limits,
-    /// Logs.
+    /// Format and levels of the log.
     pub logs: LogSettings,
 }
 
-/// Reads and checks a settings file; all findings are reported together.
+/// Reads and checks a settings file. Returns all findings, not only the first.
 pub fn load(path: &str) -> Result<Settings, Vec<Finding>> {
     let text = super::entry::read_file(path)?;
     parse(path, &text)
 }
 
-/// Reads which mechanisms are on; all are unless they are switched off.
+/// Reads which mechanisms of the scheduler are enabled; all are by default.
 fn mechanisms(reader: &mut Reader<'_>) -> Mechanisms {
     Mechanisms {
         preempt: reader.flag("mechanisms.preempt", true),
@@ -104,7 +103,7 @@
     }
 }
 
-/// Checks the text of a settings file.
+/// Parses and checks the text of a settings file.
 pub fn parse(file: &str, text: &str) -> Result<Settings, Vec<Finding>> {
     let mut reader = Reader::new(file, text).map_err(|f| vec![f])?;
     let grace = reader.duration("platform.grace", DEFAULT_GRACE, MIN_GRACE..=HOUR);
--- a/src/options/entry.rs
+++ b/src/options/entry.rs
@@ -1,4 +1,4 @@
-//! The settings file of an entry box.
+//! Reads and checks the settings file of the `entry` daemon.
 
 use log::LevelFilter;
 
@@ -9,15 +9,17 @@
 use crate::logs::{Format, LogSettings};
 use crate::web::server::Limits;
 
+/// Milliseconds in an hour.
 const HOUR: u64 = 3_600_000;
+/// Milliseconds in a minute.
 const MINUTE: u64 = 60_000;
 
-/// Reads and checks a settings file; all findings are reported together.
+/// Reads and checks a settings file. Returns all findings, not only the first.
 pub fn load(path: &str) -> Result<Settings, Vec<Finding>> {
     parse(path, &read_file(path)?)
 }
 
-/// Reads the text of a settings file.
+/// Returns the text of a settings file, or a finding if it cannot be read.
 pub(super) fn read_file(path: &str) -> Result<String, Vec<Finding>> {
     std::fs::read_to_string(path).map_err(|e| {
         vec![Finding {
@@ -30,7 +32,7 @@
     })
 }
 
-/// Checks the text of a settings file.
+/// Parses and checks the text of a settings file.
 pub fn parse(file: &str, text: &str) -> Result<Settings, Vec<Finding>> {
     let mut reader = Reader::new(file, text).map_err(|f| vec![f])?;
     let settings = Settings {
@@ -110,7 +112,7 @@
         "json" => Format::Json,
         "text" => Format::Text,
         other => {
-            let problem = format!("`{other}` is no format");
+            let problem = format!("`{other}` is not a log format");
             reader.report("log.format", problem, "write \"json\" or \"text\"");
             Format::Json
         }
@@ -131,7 +133,7 @@
 
 fn parse_level(reader: &mut Reader, key: &str, text: &str) -> LevelFilter {
     text.parse().unwrap_or_else(|_| {
-        let problem = format!("`{text}` is no level");
+        let problem = format!("`{text}` is not a log level");
         reader.report(key, problem, "write off, error, warn, info, debug or trace");
         LevelFilter::Info
     })
--- a/src/options/reader.rs
+++ b/src/options/reader.rs
@@ -1,4 +1,4 @@
-//! Reads values out of a TOML document and collects findings with their place.
+//! Reads typed values from a TOML document and collects findings with their line numbers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 /// A problem in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Name of the file.
+    /// Path of the settings file.
     pub file: String,
-    /// Line, counted from 1.
+    /// Line in the file, counted from 1.
     pub line: usize,
     /// Key with its section, such as `lease.length`.
     pub key: String,
@@ -44,18 +44,20 @@
     ("B", 1),
 ];
 
-/// Reader of one document.
+/// Reads values from one document. Values that are missing or invalid are replaced by defaults and
+/// reported as findings, so that one pass finds all problems.
 pub struct Reader<'a> {
     file: &'a str,
     text: &'a str,
     document: Document<&'a str>,
+    /// Keys that were read, which are all that the settings have.
     known_keys: BTreeSet<String>,
-    /// What was found so far.
+    /// Problems found so far.
     pub findings: Vec<Finding>,
 }
 
 impl<'a> Reader<'a> {
-    /// Parses a document; the finding tells where it is no TOML.
+    /// Parses a document. Returns a finding at the line of the first syntax error.
     pub fn new(file: &'a str, text: &'a str) -> Result<Self, Finding> {
         let document = Document::parse(text).map_err(|e| Finding {
             file: file.into(),
@@ -73,9 +75,9 @@
         })
     }
 
-    /// Records a finding at a key.
+    /// Adds a finding at a key, or at the nearest section above it if the key is missing.
     pub fn report(&mut self, key: &str, problem: impl Into<String>, hint: impl Into<String>) {
-        let start = self.span(key);
+        let start = self.offset_of(key);
         self.findings.push(Finding {
             file: self.file.into(),
             line: line_number(self.text, start),
@@ -85,30 +87,30 @@
         });
     }
 
-    /// Returns a text, or a finding when it is required and absent.
+    /// Returns a string. A missing key is a finding if there is no default.
     pub fn string(&mut self, key: &str, default: Option<&str>) -> String {
         let Some(item) = self.item(key) else {
-            return self.default_or_missing(key, default, "a text");
+            return self.default_or_missing(key, default, "a string");
         };
         let Some(text) = item.as_str().map(str::to_string) else {
             let got = item.type_name();
-            self.report(key, format!("is a {got}"), "write a text in quotes");
+            self.report(key, format!("is a {got}"), "write a string in quotes");
             return default.unwrap_or_default().into();
         };
         text
     }
 
-    /// Returns a name: letters, digits, `-`, `_` and `.`.
+    /// Returns a required name, as accepted by [`is_name`].
     pub fn name(&mut self, key: &str) -> String {
         let text = self.string(key, None);
         if !text.is_empty() && !is_name(&text) {
             let hint = "use letters, digits, '-', '_' and '.', at most 128";
-            self.report(key, format!("`{text}` is no name"), hint);
+            self.report(key, format!("`{text}` is not a valid name"), hint);
         }
         text
     }
 
-    /// Returns a socket address given by IP number and port.
+    /// Returns a required socket address, written as IP address and port.
     pub fn address(&mut self, key: &str) -> SocketAddr {
         let none = SocketAddr::from(([0, 0, 0, 0], 0));
         let text = self.string(key, None);
@@ -117,23 +119,23 @@
         }
         text.parse().unwrap_or_else(|_| {
             let hint = "write IP:port, for example \"10.0.0.1:8080\"";
-            self.report(key, format!("`{text}` is no address"), hint);
+            self.report(key, format!("`{text}` is not a socket address"), hint);
             none
         })
     }
 
-    /// Returns true when a key is there.
+    /// Returns true if the document has a key.
     pub fn contains(&mut self, key: &str) -> bool {
         self.item(key).is_some()
     }
 
-    /// Returns a socket address when the key is there.
+    /// Returns a socket address if the document has the key.
     pub fn optional_address(&mut self, key: &str) -> Option<SocketAddr> {
         self.item(key)?;
         Some(self.address(key))
     }
 
-    /// Returns a duration in milliseconds, written with its unit.
+    /// Returns a duration in milliseconds; the document gives it as a string with a unit.
     pub fn duration(
         &mut self,
         key: &str,
@@ -144,13 +146,13 @@
         self.quantity(key, default, range, &DURATION_UNITS, hint)
     }
 
-    /// Returns a size in bytes, written with its unit.
+    /// Returns a size in bytes; the document gives it as a string with a unit.
     pub fn size(&mut self, key: &str, default: u64, range: RangeInclusive<u64>) -> u64 {
         let hint = "write a number with B, KiB, MiB or GiB, for example \"16KiB\"";
         self.quantity(key, default, range, &SIZE_UNITS, hint)
     }
 
-    /// Returns a whole number.
+    /// Returns a non-negative integer.
     pub fn count(&mut self, key: &str, default: u64, range: RangeInclusive<u64>) -> u64 {
         let Some(item) = self.item(key) else {
             return default;
@@ -166,15 +168,15 @@
             None => {
                 self.report(
                     key,
-                    format!("is no whole number ({got})"),
-                    "write a number from 0",
+                    format!("is not a non-negative integer (found {got})"),
+                    "write an integer from 0",
                 );
                 default
             }
         }
     }
 
-    /// Returns true or false.
+    /// Returns a boolean.
     pub fn flag(&mut self, key: &str, default: bool) -> bool {
         let Some(item) = self.item(key) else {
             return default;
@@ -200,13 +202,13 @@
             Some(value) if range.contains(&value) => value,
             _ => {
                 let hint = format!("write a number from {} to {}", range.start(), range.end());
-                self.report(key, "is no number in range", hint);
+                self.report(key, "is not a number in the accepted range", hint);
                 default
             }
         }
     }
 
-    /// Returns the entries of a table of texts.
+    /// Returns the names and values of a table whose values are strings.
     pub fn strings(&mut self, key: &str) -> Vec<(String, String)> {
         let Some(item) = self.item(key) else {
             return Vec::new();
@@ -214,7 +216,7 @@
         let Some(table) = item.as_table_like() else {
             self.report(
                 key,
-                "is no table",
+                "is not a table",
                 "write `module = \"level\"` lines under it",
             );
             return Vec::new();
@@ -229,7 +231,7 @@
         entries
     }
 
-    /// Records a finding for each key that no setting has.
+    /// Adds a finding for each key that was never read, and returns all findings by line.
     pub fn finish(mut self) -> Vec<Finding> {
         let mut keys = Vec::new();
         collect_keys(self.document.as_table(), "", &mut keys);
@@ -279,7 +281,7 @@
             None => {
                 self.report(
                     key,
-                    format!("`{text}` is no quantity with a known unit"),
+                    format!("`{text}` is not a number with a known unit"),
                     hint,
                 );
                 default
@@ -302,12 +304,14 @@
         }
     }
 
+    /// Returns the value at a key, and records the key as known.
     fn item(&mut self, key: &str) -> Option<Item> {
         self.known_keys.insert(key.to_string());
         lookup(self.document.as_item(), key).cloned()
     }
 
-    fn span(&self, key: &str) -> usize {
+    /// Returns the offset of a key, or of the nearest section above it that the document has.
+    fn offset_of(&self, key: &str) -> usize {
         let mut path = key;
         loop {
             let item = lookup(self.document.as_item(), path);
@@ -322,13 +326,14 @@
     }
 }
 
-/// Returns true for a non-empty name of letters, digits, `-`, `_` and `.`.
+/// Returns true for a name of 1 to 128 letters, digits, `-`, `_` and `.`.
 pub fn is_name(text: &str) -> bool {
     let fits = (1..=crate::constants::NAME_LIMIT).contains(&text.len());
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     fits && text.bytes().all(plain)
 }
 
+/// Parses a number followed by a unit into the smallest unit; none on overflow.
 fn parse_quantity(text: &str, units: &[(&str, u64)]) -> Option<u64> {
     let split = text.find(|c: char| !c.is_ascii_digit())?;
     let (number, unit) = text.split_at(split);
@@ -336,10 +341,12 @@
     number.parse::<u64>().ok()?.checked_mul(scale)
 }
 
+/// Returns the value at a dotted key.
 fn lookup<'i>(root: &'i Item, key: &str) -> Option<&'i Item> {
     key.split('.').try_fold(root, |item, part| item.get(part))
 }
 
+/// Collects the full keys of all values in a table and its sections.
 fn collect_keys(table: &Table, prefix: &str, keys: &mut Vec<String>) {
     for (name, item) in table.iter() {
         let key = match prefix {
@@ -353,6 +360,7 @@
     }
 }
 
+/// Returns the line of an offset, counted from 1.
 fn line_number(text: &str, offset: usize) -> usize {
     let end = offset.min(text.len());
     1 + text.as_bytes()[..end]
@@ -361,15 +369,17 @@
         .count()
 }
 
-/// Largest edit distance at which a known key is proposed for an unknown one.
+/// Largest edit distance at which a known key is suggested for an unknown one.
 const MAX_TYPO_DISTANCE: usize = 3;
 
+/// Returns the known key that is most like `key`, unless all are too different.
 fn nearest_key(key: &str, known: &BTreeSet<String>) -> Option<String> {
     let scored = known.iter().map(|k| (edit_distance(key, k), k));
     let (distance, near) = scored.min()?;
     (distance <= MAX_TYPO_DISTANCE).then(|| near.clone())
 }
 
+/// Returns the Levenshtein distance of two strings.
 fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/src/options/tests.rs
+++ b/src/options/tests.rs
@@ -1,11 +1,12 @@
-//! Tests of the settings file.
+//! Tests of the settings files and of the command line.
 
 use super::args;
 use super::daemon;
 use super::entry::parse;
 use crate::sched::mechanisms::Mechanisms;
 
-const GOOD: &str = r#"
+/// Settings of the `entry` daemon.
+const ENTRY: &str = r#"
 [box]
 name = "e1"
 hall = "leon-1"
@@ -18,13 +19,13 @@
 "#;
 
 #[test]
-fn defaults_fit_together() {
-    let settings = parse("a.toml", GOOD).expect("no findings");
+fn the_defaults_have_no_findings() {
+    let settings = parse("a.toml", ENTRY).expect("no findings");
     assert_eq!(&*settings.name, "e1");
 }
 
 #[test]
-fn findings_are_reported_together_with_their_lines() {
+fn all_findings_are_reported_with_their_lines() {
     let text = "[box]\nname = \"e 1\"\nhall = \"h\"\nweb = \"localhost:1\"\n\
                 rpc = \"127.0.0.1:9\"\nadmin = \"127.0.0.1:9\"\n\
                 [lease]\nlenght = \"10s\"\nmargin = 5\n";
@@ -41,9 +42,9 @@
 }
 
 #[test]
-fn impossible_sizes_and_units_are_found() {
+fn sizes_out_of_range_and_unknown_units_are_reported() {
     let text = format!(
-        "{GOOD}\n[lease]\nlength = \"2s\"\nmargin = \"1500ms\"\n[limits]\nbody = \"3 lightyears\"\nhead = \"1B\"\n"
+        "{ENTRY}\n[lease]\nlength = \"2s\"\nmargin = \"1500ms\"\n[limits]\nbody = \"3 lightyears\"\nhead = \"1B\"\n"
     );
     let findings = parse("c.toml", &text).expect_err("findings");
     let keys: Vec<_> = findings.iter().map(|f| f.key.as_str()).collect();
@@ -53,12 +54,12 @@
 }
 
 #[test]
-fn no_toml_is_a_finding() {
+fn invalid_toml_is_reported() {
     let findings = parse("d.toml", "[box\n").expect_err("findings");
     assert_eq!(findings[0].line, 1);
 }
 
-/// Settings of a box on the platform.
+/// Settings of the `serve` daemon.
 const PLATFORM: &str = r#"
 [box]
 name = "e1"
@@ -71,8 +72,8 @@
 store = "10.0.9.1:8000"
 "#;
 
-/// Fills the gaps of the template in `deploy/` as the platform does.
-fn filled(advisor: &str) -> String {
+/// Fills in the placeholders of the template in `deploy/` as the platform does.
+fn fill_template(advisor: &str) -> String {
     let template = include_str!("../../deploy/settings.toml");
     let values = [
         ("node", "front-1"),
@@ -101,15 +102,15 @@
     let text = section(&text, "limits.cpuShare", !advisor.is_empty());
     let text = section(&text, "limits.maxFds", !advisor.is_empty());
     let text = section(&text, "bounds.harm_ms", !advisor.is_empty());
-    values.iter().fold(text, |text, (gap, value)| {
-        text.replace(&format!("{{{{{gap}}}}}"), value)
+    values.iter().fold(text, |text, (placeholder, value)| {
+        text.replace(&format!("{{{{{placeholder}}}}}"), value)
     })
 }
 
 #[test]
-fn the_template_gives_settings_without_findings() {
+fn the_filled_template_has_no_findings() {
     for (advisor, port) in [("10.200.1.9:8169", Some(8169)), ("", None)] {
-        let text = filled(advisor);
+        let text = fill_template(advisor);
         assert!(!text.contains("{{"), "{text}");
         let settings = daemon::parse("settings.conf", &text).expect("no findings");
         assert_eq!(settings.advisor.map(|a| a.port()), port);
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn findings_on_a_box_of_the_platform_are_reported_together() {
+fn all_findings_of_the_serve_daemon_are_reported() {
     let text = PLATFORM
         .replace("10.0.0.1:8003", "10.0.0.1:8002")
         .replace("10.0.9.1", "0.0.0.0")
@@ -164,52 +165,55 @@
     let text = text.replace("0.12", "-1\ndescriptors = 0") + "pace = \"off\"\nspeed = true\n";
     let findings = daemon::parse("c.toml", &text).expect_err("findings");
     let keys: Vec<&str> = findings.iter().map(|f| f.key.as_str()).collect();
-    let keyed = ["box.cores", "box.descriptors"];
-    for key in keyed.iter().chain(&["mechanisms.pace", "mechanisms.speed"]) {
+    let expected = ["box.cores", "box.descriptors"];
+    for key in expected
+        .iter()
+        .chain(&["mechanisms.pace", "mechanisms.speed"])
+    {
         assert!(keys.contains(key), "{key} in {keys:?}");
     }
 }
 
-/// Asks a command for its help, and then each command that it names there.
-fn ask_for_help(path: &mut Vec<String>) -> usize {
+/// Prints the help of a command and of all its subcommands; returns how many were printed.
+fn count_helps(path: &mut Vec<String>) -> usize {
     let mut words = path.clone();
     words.push("--help".into());
     let failure = args::command().run_inner(bpaf::Args::from(&words[..]));
     let Err(bpaf::ParseFailure::Stdout(doc, _)) = failure else {
-        panic!("{words:?} tells no help: {failure:?}");
+        panic!("{words:?} has no help: {failure:?}");
     };
     let text = doc.monochrome(true);
     let indented = text.lines().filter_map(|l| l.strip_prefix("    "));
     let named = indented.filter(|l| l.starts_with(|c: char| c.is_ascii_lowercase()));
     let names: Vec<&str> = named.filter_map(|l| l.split(' ').next()).collect();
-    let mut asked = 1;
+    let mut count = 1;
     for name in names {
         path.push(name.into());
-        asked += ask_for_help(path);
+        count += count_helps(path);
         path.pop();
     }
-    asked
+    count
 }
 
 #[test]
-fn every_command_tells_its_help() {
-    assert!(ask_for_help(&mut Vec::new()) > 25);
+fn every_command_has_a_help() {
+    assert!(count_helps(&mut Vec::new()) > 25);
 }
 
 #[test]
-fn a_mistyped_command_is_told_to_be_wrong() {
+fn an_unknown_command_is_an_error() {
     for words in [&["chek"][..], &["service", "change"]] {
         let failure = args::command().run_inner(words);
-        let told = matches!(failure, Err(bpaf::ParseFailure::Stderr(_)));
-        assert!(told, "{words:?}: {failure:?}");
+        let expected = matches!(failure, Err(bpaf::ParseFailure::Stderr(_)));
+        assert!(expected, "{words:?}: {failure:?}");
     }
 }
 
 #[test]
-fn a_mistyped_command_that_asks_for_help_gets_that_of_the_one_above() {
+fn help_of_an_unknown_command_is_that_of_its_parent() {
     for words in [&["chek", "--help"][..], &["service", "change", "--help"]] {
         let failure = args::command().run_inner(words);
-        let told = matches!(failure, Err(bpaf::ParseFailure::Stdout(..)));
-        assert!(told, "{words:?}: {failure:?}");
+        let expected = matches!(failure, Err(bpaf::ParseFailure::Stdout(..)));
+        assert!(expected, "{words:?}: {failure:?}");
     }
 }
