--- a/src/config.rs
+++ b/src/config.rs
@@ -1,9 +1,8 @@
-//! The configuration: entries with one version for all of them.
+//! The configuration: named entries that share one version number.
 //!
-//! A change is accepted when its commit took effect: it moves the head row to
-//! the next version, writes the changed entries and one row that tells the
-//! change. Boxes apply changes in the order of their versions only, so what
-//! is in force never goes back.
+//! A change is one atomic commit to the platform's table. It advances the head row to the next
+//! version, writes the changed entries, and writes a row that describes the change. Boxes apply
+//! changes only in the order of versions, so the current configuration never goes back.
 
 mod change;
 mod state;
@@ -25,55 +24,54 @@
 pub const ENTRY: &str = "config/entry/";
 /// Prefix of the rows of changes.
 pub const CHANGE: &str = "config/change/";
-/// Prefix of the rows that tell which change an id was given to.
+/// Prefix of the rows that hold the version that a change with a given id resulted in.
 pub const ID: &str = "config/id/";
-/// Changes that are kept to be read one by one.
+/// Number of latest changes whose rows are kept, so that boxes can apply them one by one.
 pub const MAX_CHANGES: u64 = 4_096;
 
 /// The head row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Version of the configuration.
+    /// Current version of the configuration.
     pub version: u64,
 }
 
 /// The row of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRow {
-    /// Value as JSON text.
+    /// Value as JSON.
     pub value: Name,
-    /// Version of the configuration that last changed it.
+    /// Version of the configuration that last changed the entry.
     pub version: u64,
 }
 
-/// One entry of a change.
+/// The change of one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
     /// Key of the entry, such as `service/stock`.
     pub key: Name,
-    /// New value; none removes the entry.
+    /// New value as JSON; `None` removes the entry.
     pub value: Option<Name>,
-    /// Version of the entry that the change is based on; 0 expects its
-    /// absence, none accepts any.
+    /// Expected present version of the entry; 0 expects no entry, `None` accepts any version.
     pub expect: Option<u64>,
 }
 
 /// The row of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRow {
-    /// Version of the configuration after it.
+    /// Version of the configuration that the change results in.
     pub version: u64,
-    /// Id chosen by the operator's client.
+    /// Id chosen by the operator's client, which makes a repeated change idempotent.
     pub id: Name,
-    /// Who made it.
+    /// User who made the change.
     pub author: Name,
-    /// Milliseconds since the Unix epoch.
+    /// Time of the change, in milliseconds since the Unix epoch.
     pub when: Millis,
-    /// What it changed.
+    /// Changed entries.
     pub edits: Vec<Edit>,
 }
 
-/// Returns the key of the row of the change to a version.
+/// Returns the key of the row of the change that resulted in a version.
 pub fn change_key(version: u64) -> Name {
     format!("{CHANGE}{version:012}").into()
 }
--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -1,4 +1,4 @@
-//! One operator's change, from its question to its final answer.
+//! Carries out one change of the configuration, as a state machine without I/O of its own.
 
 use std::collections::BTreeMap;
 
@@ -7,60 +7,62 @@
 use crate::table::{Call, Expect, Op, Outcome, Row, decode};
 use crate::utils::Name;
 
-/// Tries against other operators' changes before the caller is told.
+/// Attempts to commit before a change that conflicts with concurrent ones is refused.
 const MAX_ATTEMPTS: u32 = 16;
 
-/// Why a change was not accepted.
+/// Reason why a change was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The change itself is wrong; one text for each finding.
+    /// The change is invalid; one message for each finding.
     Invalid(Vec<String>),
-    /// An entry has another version than the change is based on.
+    /// An entry has another version than expected.
     Conflict {
         /// Key of the entry.
         key: Name,
-        /// Its version; 0 when it is absent.
+        /// Present version of the entry; 0 if there is none.
         version: u64,
     },
-    /// Other changes were faster, time after time.
+    /// Every attempt conflicted with another change.
     Busy,
-    /// The table does not answer; the change was not made.
+    /// The table did not answer before the commit was sent; nothing was changed.
     NotReached,
-    /// The table did not answer the commit; the change may be made.
+    /// The table did not answer the commit, which may have taken effect.
     Unknown,
 }
 
-/// What comes next.
+/// What the caller of the state machine has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Make this call and come back with its outcome.
+    /// Make this call, and pass its outcome to [`ConfigTransaction::advance`].
     Call(Call),
-    /// The change is accepted as this version.
+    /// The change took effect and resulted in this version.
     Accepted(u64),
-    /// The change is not accepted, or that is unknown.
+    /// The change was not accepted, or its outcome is unknown.
     Refused(Refusal),
 }
 
+/// The call whose outcome is awaited.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
     Reading,
     Writing,
-    /// Reading whether a commit without an answer took effect.
+    /// Reading whether a commit without a reply took effect.
     Resolving,
 }
 
-/// The state machine of one change.
+/// The state machine of one change. It reads the affected rows, commits under the condition that
+/// the head row is unchanged, and reads again after a conflict or a commit without a reply.
 #[derive(Clone, Debug)]
 pub struct ConfigTransaction {
     row: ChangeRow,
     phase: Phase,
     attempts: u32,
-    /// True once a commit was sent whose outcome is not known.
+    /// True after a commit whose outcome is unknown.
     in_doubt: bool,
 }
 
 impl ConfigTransaction {
-    /// Returns the transaction of a change and its first step.
+    /// Creates the transaction of a change, and returns it with its first step.
     pub fn new(row: ChangeRow) -> (Self, Step) {
         let mut transaction = Self {
             row,
@@ -76,19 +78,21 @@
         (transaction, step)
     }
 
+    /// Returns a message for each invalid part of the change.
     fn validate(&self) -> Vec<String> {
         let mut findings = Vec::new();
         if !crate::options::is_name(&self.row.id) {
-            findings.push(format!("id: `{}` is no name", self.row.id));
+            findings.push(format!("id: `{}` is not a valid name", self.row.id));
         }
         if self.row.edits.is_empty() {
-            findings.push("nothing to change".into());
+            findings.push("the change has no entries".into());
         }
         let check = |e: &Edit| super::state::validate_entry(&e.key, e.value.as_deref());
         findings.extend(self.row.edits.iter().filter_map(check));
         findings
     }
 
+    /// Reads the head, the row of the id, and the affected entries.
     fn read(&mut self) -> Step {
         self.phase = match self.in_doubt {
             true => Phase::Resolving,
@@ -103,7 +107,7 @@
         format!("{ID}{}", self.row.id).into()
     }
 
-    /// Takes in the outcome of the last call.
+    /// Processes the outcome of the last call, and returns the next step.
     pub fn advance(&mut self, outcome: Outcome) -> Step {
         match (self.phase.clone(), outcome) {
             (Phase::Reading | Phase::Resolving, Outcome::Rows(rows)) => self.on_rows(rows),
@@ -112,6 +116,7 @@
         }
     }
 
+    /// Refuses a change because the table did not answer.
     fn refuse_unreachable(&self) -> Step {
         Step::Refused(match self.in_doubt {
             true => Refusal::Unknown,
@@ -121,7 +126,7 @@
 
     fn on_rows(&mut self, rows: Vec<Row>) -> Step {
         let rows: BTreeMap<Name, Row> = rows.into_iter().map(|r| (r.key.clone(), r)).collect();
-        // The id's row tells that an earlier try of this change took effect.
+        // The row of the id exists if an earlier attempt of this change took effect.
         if let Some(row) = rows.get(&self.id_key()) {
             return match decode::<Head>(row) {
                 Some(head) => Step::Accepted(head.version),
@@ -147,11 +152,13 @@
     }
 
     fn conflict(&self, key: Name, version: u64) -> Step {
-        // A commit in doubt expects the head as it was: that head is gone, or
-        // the entry could not have changed. So it did not and will not happen.
+        // This is certain even after a commit in doubt: the commit requires the head row as it was
+        // read, and the entry's new version shows that the head has moved on. So the commit did not
+        // take effect and never will.
         Step::Refused(Refusal::Conflict { key, version })
     }
 
+    /// Commits the change on top of the head that was read.
     fn commit(&mut self, head: Option<&Row>) -> Step {
         let version = head.and_then(decode::<Head>).map_or(0, |h| h.version) + 1;
         let expect = head.map_or(0, |h| h.version);
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -1,4 +1,4 @@
-//! The configuration as one box holds it.
+//! The current configuration as a box holds it in memory.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,16 +9,16 @@
 use crate::invariant::{self, Rule};
 use crate::utils::Name;
 
-/// A service, the value of an entry `service/NAME`.
+/// A service: the value of an entry `service/NAME`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Team that runs it.
+    /// Team that owns the service.
     pub team: Name,
-    /// Thousandths of a core that one request needs.
+    /// Processor need of one request, in thousandths of a core.
     #[serde(default = "default_cores")]
     pub cores: u32,
-    /// Mebibytes that one request needs.
+    /// Memory need of one request, in MiB.
     #[serde(default)]
     pub memory: u32,
 }
@@ -27,13 +27,13 @@
     500
 }
 
-/// A team, the value of an entry `team/NAME`.
+/// A team: the value of an entry `team/NAME`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Thousandths of cores in the whole deployment.
+    /// Processor quota in the whole deployment, in thousandths of a core.
     pub cores: u64,
-    /// Weight against other teams.
+    /// Weight of the team's share relative to other teams.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
@@ -42,10 +42,11 @@
     1
 }
 
-/// Entries in force, all of one version.
+/// The entries of the current version, with indexes of those that decisions need.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Config {
     version: u64,
+    /// True once any version was loaded.
     known: bool,
     entries: BTreeMap<Name, EntryRow>,
     #[serde(skip)]
@@ -57,27 +58,27 @@
 }
 
 impl Config {
-    /// Returns the version in force.
+    /// Returns the current version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns true once any version was taken in.
+    /// Returns true once any version was loaded.
     pub fn known(&self) -> bool {
         self.known
     }
 
-    /// Returns the entries in force.
+    /// Returns the current entries.
     pub fn entries(&self) -> &BTreeMap<Name, EntryRow> {
         &self.entries
     }
 
-    /// Returns a service.
+    /// Returns the service with a name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Returns the size of one request to a service.
+    /// Returns the resources that one request to a service needs.
     pub fn size(&self, name: &str) -> Option<Size> {
         let service = self.services.get(name)?;
         Some(Size {
@@ -87,17 +88,17 @@
         })
     }
 
-    /// Returns what teams may use.
+    /// Returns the quotas of teams.
     pub fn quotas(&self) -> &BTreeMap<Name, Quota> {
         &self.quotas
     }
 
-    /// Returns the names of the workers drained by operators.
+    /// Returns the names of the workers that operators have drained.
     pub fn drained(&self) -> &BTreeSet<Name> {
         &self.drained
     }
 
-    /// Takes in the next change; false when it is not the next.
+    /// Applies the change that follows the current version. Returns false for any other change.
     pub fn apply(&mut self, change: &ChangeRow) -> bool {
         if !self.known || change.version != self.version + 1 {
             return false;
@@ -119,7 +120,7 @@
         true
     }
 
-    /// Takes in a whole configuration if it is newer; true when it was.
+    /// Replaces the configuration if the given version is newer. Returns true if it was.
     pub fn replace(&mut self, version: u64, entries: BTreeMap<Name, EntryRow>) -> bool {
         if self.known && version <= self.version {
             return false;
@@ -135,7 +136,7 @@
         true
     }
 
-    /// Reads the entries that decisions need into typed form.
+    /// Decodes the entries that decisions need. Entries that do not decode are left out.
     fn rebuild_index(&mut self) {
         self.services.clear();
         self.quotas.clear();
@@ -163,20 +164,20 @@
     }
 }
 
-/// Returns what is wrong with an entry, if anything is.
+/// Returns an error message if the key or the new value of an entry is invalid.
 pub fn validate_entry(key: &str, value: Option<&str>) -> Option<String> {
     let Some((kind, name)) = key.split_once('/') else {
-        return Some(format!("{key}: write KIND/NAME"));
+        return Some(format!("{key}: not of the form KIND/NAME"));
     };
     if !crate::options::is_name(name) {
-        return Some(format!("{key}: `{name}` is no name"));
+        return Some(format!("{key}: `{name}` is not a valid name"));
     }
     let value = value?;
     let result = match kind {
         "service" => serde_json::from_str::<Service>(value).map(drop),
         "team" => serde_json::from_str::<Team>(value).map(drop),
         "drain" => serde_json::from_str::<bool>(value).map(drop),
-        _ => return Some(format!("{key}: the kind is none of service, team, drain")),
+        _ => return Some(format!("{key}: the kind must be service, team or drain")),
     };
     result.err().map(|e| format!("{key}: {e}"))
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of changes by operators that race and lose answers.
+//! Tests of concurrent changes, lost replies and the order of versions.
 
 use super::*;
 use crate::lease::WriteOutcome;
@@ -22,7 +22,8 @@
 
 const VALUE: &str = r#"{"team":"t","cores":100}"#;
 
-fn drive(table: &mut Table, transaction: &mut ConfigTransaction, mut step: Step) -> Step {
+/// Makes calls until the change is accepted or refused.
+fn run_to_end(table: &mut Table, transaction: &mut ConfigTransaction, mut step: Step) -> Step {
     while let Step::Call(call) = step {
         step = transaction.advance(table.call(&call));
     }
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn of_two_racing_changes_one_wins_and_the_other_is_told() {
+fn of_two_concurrent_changes_one_is_accepted_and_the_other_conflicts() {
     let mut table = Table::default();
     let (mut a, step_a) = ConfigTransaction::new(row("a", Some(0), VALUE));
     let (mut b, step_b) = ConfigTransaction::new(row("b", Some(0), VALUE));
@@ -39,16 +40,16 @@
     let commit_a = a.advance(table.call(&read));
     let Step::Call(read) = step_b else { panic!() };
     let commit_b = b.advance(table.call(&read));
-    assert_eq!(drive(&mut table, &mut a, commit_a), Step::Accepted(1));
-    let Step::Refused(Refusal::Conflict { version, .. }) = drive(&mut table, &mut b, commit_b)
+    assert_eq!(run_to_end(&mut table, &mut a, commit_a), Step::Accepted(1));
+    let Step::Refused(Refusal::Conflict { version, .. }) = run_to_end(&mut table, &mut b, commit_b)
     else {
-        panic!("the second must be told");
+        panic!("the second must be refused with a conflict");
     };
     assert_eq!(version, 1);
 }
 
 #[test]
-fn changes_of_other_entries_do_not_conflict() {
+fn changes_of_different_entries_do_not_conflict() {
     let mut table = Table::default();
     let (mut a, step_a) = ConfigTransaction::new(row("a", Some(0), VALUE));
     let mut other = row("b", Some(0), VALUE);
@@ -56,12 +57,12 @@
     let (mut b, step_b) = ConfigTransaction::new(other);
     let Step::Call(read) = step_b else { panic!() };
     let commit_b = b.advance(table.call(&read));
-    assert_eq!(drive(&mut table, &mut a, step_a), Step::Accepted(1));
-    assert_eq!(drive(&mut table, &mut b, commit_b), Step::Accepted(2));
+    assert_eq!(run_to_end(&mut table, &mut a, step_a), Step::Accepted(1));
+    assert_eq!(run_to_end(&mut table, &mut b, commit_b), Step::Accepted(2));
 }
 
 #[test]
-fn a_lost_answer_is_settled_by_the_id() {
+fn a_commit_without_a_reply_is_found_by_its_id() {
     let mut table = Table::default();
     let (mut a, step) = ConfigTransaction::new(row("a", Some(0), VALUE));
     let Step::Call(read) = step else { panic!() };
@@ -70,14 +71,14 @@
     };
     table.call(&commit);
     let step = a.advance(Outcome::Written(WriteOutcome::Unknown));
-    assert_eq!(drive(&mut table, &mut a, step), Step::Accepted(1));
-    // A resend by the client with the same id is applied once.
+    assert_eq!(run_to_end(&mut table, &mut a, step), Step::Accepted(1));
+    // A repeated change with the same id is not applied again.
     let (mut again, step) = ConfigTransaction::new(row("a", Some(0), VALUE));
-    assert_eq!(drive(&mut table, &mut again, step), Step::Accepted(1));
+    assert_eq!(run_to_end(&mut table, &mut again, step), Step::Accepted(1));
 }
 
 #[test]
-fn an_outage_after_the_commit_is_unknown_and_before_it_not_reached() {
+fn an_outage_is_not_reached_before_the_commit_and_unknown_after_it() {
     let (mut a, _) = ConfigTransaction::new(row("a", None, VALUE));
     assert_eq!(
         a.advance(Outcome::Failed),
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn findings_come_together() {
+fn all_findings_are_reported() {
     let mut bad = row("x y", None, r#"{"team":"t","coers":1}"#);
     bad.edits.push(Edit {
         key: "colour/blue".into(),
@@ -116,9 +117,12 @@
     assert!(!config.replace(5, Default::default()));
     let mut change = row("a", None, VALUE);
     change.version = 7;
-    assert!(!config.apply(&change), "a gap is not jumped");
+    assert!(
+        !config.apply(&change),
+        "a change after a gap is not applied"
+    );
     change.version = 6;
     assert!(config.apply(&change));
-    assert!(!config.apply(&change), "applied once");
+    assert!(!config.apply(&change), "not applied twice");
     assert!(config.service("stock").is_some());
 }
--- a/src/options/args.rs
+++ b/src/options/args.rs
@@ -1,4 +1,4 @@
-//! Command-line arguments.
+//! Defines the command-line arguments. Doc comments here are the help texts that are printed.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub enum Command {
-    /// Run the daemon of an entry box until TERM.
+    /// Run the daemon of an entry box until SIGTERM.
     ///
     ///
     /// Example: willowpoint entry --config settings/recoge-ya.toml
@@ -18,7 +18,7 @@
         #[bpaf(argument("FILE"))]
         config: String,
     },
-    /// Run the daemon of an entry box on the platform until TERM.
+    /// Run the daemon of a box on the platform until SIGTERM.
     ///
     ///
     /// Example: willowpoint serve --config /etc/willowpoint/settings.conf
@@ -28,7 +28,7 @@
         #[bpaf(argument("FILE"))]
         config: String,
     },
-    /// Read settings files without starting; all findings are printed.
+    /// Check settings files and print all findings.
     ///
     ///
     /// Example: willowpoint check settings/*.toml
@@ -38,10 +38,10 @@
         #[bpaf(positional("FILE"), some("name at least one settings file"))]
         files: Vec<String>,
     },
-    /// Run a stand-in for the platform or for a worker.
+    /// Run a stand-in for the platform or for a worker, for tests.
     #[bpaf(command("stand-in"))]
     StandIn(#[bpaf(external(stand_in))] StandIn),
-    /// Run everything in one process for some seconds and sum it up.
+    /// Run a whole deployment in one process for some seconds and print a summary.
     ///
     ///
     /// Example: willowpoint demo --seconds 10 --seed 1
@@ -51,70 +51,70 @@
     #[bpaf(command)]
     Service {
         #[bpaf(external(target))]
-        /// Where to ask
+        /// Entry box to call
         target: Target,
         #[bpaf(external(service))]
-        /// What to do
+        /// Command to run
         action: Service,
     },
     /// Submit, list, show and cancel batch jobs.
     #[bpaf(command)]
     Job {
         #[bpaf(external(target))]
-        /// Where to ask
+        /// Entry box to call
         target: Target,
         #[bpaf(external(job))]
-        /// What to do
+        /// Command to run
         action: Job,
     },
     /// Apply, show and list versions of the configuration.
     #[bpaf(command)]
     Config {
         #[bpaf(external(target))]
-        /// Where to ask
+        /// Entry box to call
         target: Target,
         #[bpaf(external(config))]
-        /// What to do
+        /// Command to run
         action: Config,
     },
     /// List entry boxes.
     #[bpaf(command("box"))]
     Box {
         #[bpaf(external(target))]
-        /// Where to ask
+        /// Entry box to call
         target: Target,
         #[bpaf(external(boxes))]
-        /// What to do
+        /// Command to run
         action: Boxes,
     },
     /// List, drain and restore workers.
     #[bpaf(command)]
     Worker {
         #[bpaf(external(target))]
-        /// Where to ask
+        /// Entry box to call
         target: Target,
         #[bpaf(external(worker))]
-        /// What to do
+        /// Command to run
         action: Worker,
     },
     /// List tasks.
     #[bpaf(command)]
     Task {
         #[bpaf(external(target))]
-        /// Where to ask
+        /// Entry box to call
         target: Target,
         #[bpaf(external(task))]
-        /// What to do
+        /// Command to run
         action: Task,
     },
     /// Show the state of one box.
     #[bpaf(command)]
     Status {
         #[bpaf(external(target))]
-        /// Where to ask
+        /// Entry box to call
         target: Target,
     },
-    /// Show the course of a job, task or worker out of the logs of many boxes.
+    /// Show the history of a job, task or worker, gathered from the logs of many boxes.
     ///
     ///
     /// Example: willowpoint explain 5c0e7a21d94b36f8 box1.log box2.log
@@ -125,11 +125,11 @@
         /// Id of a job, name of a task, or id of a worker
         #[bpaf(positional("ID"))]
         id: String,
-        /// Log files; the standard input without any
+        /// Log files; standard input if none is given
         #[bpaf(positional("FILE"))]
         files: Vec<String>,
     },
-    /// Show the spans of one trace out of log files.
+    /// Show the spans of a trace, gathered from log files.
     ///
     ///
     /// Example: willowpoint trace 4bf92f3577b34da6a3ce929d0e0e4736 e1.log e2.log
@@ -140,45 +140,45 @@
         /// Trace id in hexadecimal
         #[bpaf(positional("ID"))]
         id: String,
-        /// Log files; the standard input when none is named
+        /// Log files; standard input if none is given
         #[bpaf(positional("FILE"))]
         files: Vec<String>,
     },
 }
 
-/// Where an operator asks, and how the answer is printed.
+/// Boxes that an operator's command calls, and the output format.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Target {
-    /// RPC address of an entry box; repeated, the next is asked when one is not reached
+    /// RPC address of an entry box; may be repeated, the first that can be reached is called
     #[bpaf(long("at"), env("WILLOWPOINT_AT"), argument("IP:PORT"), many)]
     pub at: Vec<SocketAddr>,
-    /// Milliseconds to wait for an answer
+    /// Milliseconds to wait for a reply
     #[bpaf(argument("MS"), fallback(10_000), display_fallback)]
     pub timeout: u64,
-    /// Print JSON for scripts
+    /// Print JSON instead of a table
     pub json: bool,
 }
 
-/// Stand-ins.
+/// Stand-ins for other parts of a deployment, for tests.
 #[derive(Debug, Clone, Bpaf)]
 pub enum StandIn {
-    /// Table, object store and list of workers.
+    /// The platform: table, object store and directory of workers.
     ///
     ///
     /// Example: willowpoint stand-in platform --rpc 127.0.0.1:9000
     #[bpaf(command)]
     Platform {
-        /// Address of its RPC
+        /// Listening address of the RPC service
         #[bpaf(argument("IP:PORT"))]
         rpc: SocketAddr,
-        /// Rows written a second at most; 0 is no bound
+        /// Most rows written per second; 0 for no limit
         #[bpaf(argument("N"), fallback(300), display_fallback)]
         writes: u64,
-        /// Rows read a second at most; 0 is no bound
+        /// Most rows read per second; 0 for no limit
         #[bpaf(argument("N"), fallback(2_000), display_fallback)]
         reads: u64,
     },
-    /// An endpoint with slots, cores and batch tasks.
+    /// A worker: an endpoint with slots, and batch tasks.
     ///
     ///
     /// Example: willowpoint stand-in worker --name w1 --hall h1 --rack r1
@@ -188,74 +188,74 @@
         /// Name of the worker
         #[bpaf(argument("NAME"))]
         name: String,
-        /// Hall in which it stands
+        /// Hall of the worker
         #[bpaf(argument("HALL"))]
         hall: String,
-        /// Rack in which it stands
+        /// Rack of the worker
         #[bpaf(argument("RACK"))]
         rack: String,
-        /// Address of its endpoint
+        /// Listening address of the endpoint
         #[bpaf(argument("IP:PORT"))]
         http: SocketAddr,
-        /// Address of its control
+        /// Listening address of the RPC service
         #[bpaf(argument("IP:PORT"))]
         rpc: SocketAddr,
         /// Platform stand-in to register with
         #[bpaf(argument("IP:PORT"))]
         platform: Option<SocketAddr>,
-        /// Requests at once
+        /// Most concurrent requests
         #[bpaf(argument("N"), fallback(8), display_fallback)]
         slots: u32,
-        /// Connections at once
+        /// Most concurrent connections
         #[bpaf(argument("N"), fallback(64), display_fallback)]
         connections: u32,
-        /// Thousandths of cores
+        /// Processors in thousandths of a core
         #[bpaf(argument("N"), fallback(16_000), display_fallback)]
         cores: u32,
-        /// Mebibytes
+        /// Memory in MiB
         #[bpaf(argument("N"), fallback(60_000), display_fallback)]
         memory: u32,
-        /// Accelerators
+        /// Number of accelerators
         #[bpaf(argument("N"), fallback(0), display_fallback)]
         accelerators: u32,
-        /// Microseconds that a request takes alone
+        /// Microseconds that a request takes without interference
         #[bpaf(argument("US"), fallback(5_000), display_fallback)]
         service: u64,
-        /// Fence nothing
+        /// Accept orders of outdated epochs
         unfenced: bool,
     },
 }
 
-/// The demo.
+/// Options of the demo.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Demo {
     /// Seconds of load
     #[bpaf(argument("N"), fallback(10), display_fallback)]
     pub seconds: u64,
-    /// Seed of the load
+    /// Seed of the random load
     #[bpaf(argument("N"), fallback(1), display_fallback)]
     pub seed: u64,
     /// Print the summary as JSON
     pub json: bool,
 }
 
-/// Services.
+/// Commands on services.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Service {
-    /// Create a service; refused when it exists.
+    /// Create a service; refused if it exists.
     ///
     ///
     /// Example: willowpoint service --at 127.0.0.1:9080 create stock --team pharmacy
     #[bpaf(command)]
     Create(#[bpaf(external(service_spec))] ServiceSpec),
-    /// Update a service; refused when it does not exist or is not at --expect.
+    /// Update a service; refused if it does not exist or has another version than --expect.
     #[bpaf(command)]
     Update {
-        /// Version of the entry that the change is based on
+        /// Expected present version of the entry
         #[bpaf(argument("VERSION"))]
         expect: Option<u64>,
         #[bpaf(external(service_spec))]
-        /// The service
+        /// New definition of the service
         spec: ServiceSpec,
     },
     /// List services.
@@ -264,7 +264,7 @@
     /// Remove a service.
     #[bpaf(command)]
     Remove {
-        /// Version of the entry that the change is based on
+        /// Expected present version of the entry
         #[bpaf(argument("VERSION"))]
         expect: Option<u64>,
         /// Name of the service
@@ -273,16 +273,16 @@
     },
 }
 
-/// A service as given on the command line.
+/// Definition of a service.
 #[derive(Debug, Clone, Bpaf)]
 pub struct ServiceSpec {
-    /// Team that runs it
+    /// Team that owns the service
     #[bpaf(argument("TEAM"))]
     pub team: String,
-    /// Thousandths of a core that one request needs
+    /// Processor need of one request, in thousandths of a core
     #[bpaf(argument("N"), fallback(500), display_fallback)]
     pub cores: u32,
-    /// Mebibytes that one request needs
+    /// Memory need of one request, in MiB
     #[bpaf(argument("N"), fallback(0), display_fallback)]
     pub memory: u32,
     /// Name of the service
@@ -290,38 +290,38 @@
     pub name: String,
 }
 
-/// Jobs.
+/// Commands on jobs.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Job {
-    /// Submit a job; a resend with the same id and content is submitted once.
+    /// Submit a job; repeating it with the same id and content has no further effect.
     ///
     ///
     /// Example: willowpoint job --at 127.0.0.1:9080 submit settle-11 --team ledger
     /// --kind settlement --tasks 40 --cores 2000 --memory 4000 --work-ms 60000
     #[bpaf(command)]
     Submit {
-        /// Team it is counted for
+        /// Team whose quota the job counts against
         #[bpaf(argument("TEAM"))]
         team: String,
-        /// Kind of work; tasks of one kind hurt others alike
+        /// Kind of work; tasks of one kind are assumed to interfere alike
         #[bpaf(argument("KIND"))]
         kind: String,
         /// Number of tasks
         #[bpaf(argument("N"), fallback(1), display_fallback)]
         tasks: u32,
-        /// Thousandths of a core for each task
+        /// Processors of each task, in thousandths of a core
         #[bpaf(argument("N"), fallback(1_000), display_fallback)]
         cores: u32,
-        /// Mebibytes for each task
+        /// Memory of each task, in MiB
         #[bpaf(argument("N"), fallback(0), display_fallback)]
         memory: u32,
-        /// Accelerators for each task
+        /// Number of accelerators of each task
         #[bpaf(argument("N"), fallback(0), display_fallback)]
         accelerators: u32,
-        /// Milliseconds of work of each task
+        /// Duration of each task at full speed, in milliseconds
         #[bpaf(long("work-ms"), argument("MS"))]
         work: u64,
-        /// Must start within seconds; other batch work yields
+        /// Start within seconds, evicting other batch work if needed
         urgent: bool,
         /// Id of the job
         #[bpaf(positional("ID"))]
@@ -330,7 +330,7 @@
     /// List jobs.
     #[bpaf(command)]
     List {
-        /// Only jobs after this id
+        /// List only jobs after this id
         #[bpaf(argument("ID"), fallback(String::new()))]
         after: String,
     },
@@ -350,10 +350,10 @@
     },
 }
 
-/// The configuration.
+/// Commands on the configuration.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Config {
-    /// Set and remove entries in one change.
+    /// Set and remove entries in one atomic change.
     ///
     ///
     /// Example: willowpoint config --at 127.0.0.1:9080 apply
@@ -366,17 +366,17 @@
         /// Entry to remove, as KIND/NAME
         #[bpaf(argument("ENTRY"), many)]
         remove: Vec<String>,
-        /// Version that every entry must have
+        /// Expected present version of every entry
         #[bpaf(argument("VERSION"))]
         expect: Option<u64>,
-        /// Id of the change; a resend with the same id is applied once
+        /// Id of the change; repeating it with the same id has no further effect
         #[bpaf(argument("ID"))]
         id: Option<String>,
     },
-    /// Show the entries in force.
+    /// Show the entries of the current configuration.
     #[bpaf(command)]
     Show,
-    /// List the last versions.
+    /// List the latest versions.
     #[bpaf(command)]
     Versions {
         /// Number of versions
@@ -385,7 +385,7 @@
     },
 }
 
-/// Entry boxes.
+/// Commands on entry boxes.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Boxes {
     /// List entry boxes.
@@ -393,20 +393,20 @@
     List,
 }
 
-/// Workers.
+/// Commands on workers.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Worker {
     /// List workers.
     #[bpaf(command)]
     List,
-    /// Give a worker nothing new.
+    /// Stop sending new work to a worker.
     #[bpaf(command)]
     Drain {
         /// Name of the worker
         #[bpaf(positional("NAME"))]
         name: String,
     },
-    /// Use a drained worker again.
+    /// Resume sending work to a drained worker.
     #[bpaf(command)]
     Restore {
         /// Name of the worker
@@ -415,13 +415,13 @@
     },
 }
 
-/// Tasks.
+/// Commands on tasks.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Task {
-    /// List tasks that have not ended long ago.
+    /// List open and recently finished tasks.
     #[bpaf(command)]
     List {
-        /// Only tasks of this job
+        /// List only tasks of this job
         #[bpaf(argument("ID"), fallback(String::new()))]
         job: String,
     },
