--- a/src/cell/outcome.rs
+++ b/src/cell/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes: what calls to workers and their reports say of runs.
+//! Handles the outcomes of starts and stops, and the reports of workers on runs.
 
 use std::collections::BTreeSet;
 
@@ -12,30 +12,30 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Failures in a row, of two jobs or more, that put a worker in quarantine.
-const FAILURES: usize = 3;
-/// Doublings of a quarantine at most.
-const BACKOFF: u32 = 4;
+/// Consecutive failed runs, of at least two jobs, that put a worker in quarantine.
+const QUARANTINE_FAILURES: usize = 3;
+/// Most doublings of a quarantine.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// Milliseconds within which a run that goes without a word may have brought its worker
-/// down.
-const YOUNG: Millis = 10_000;
-/// Such runs after which a task has failed: more than starts that were lost by chance.
-const VANISHED: u32 = 8;
+/// Age in milliseconds up to which a run that is lost may have crashed its worker.
+const YOUNG_RUN: Millis = 10_000;
+/// Lost young runs after which a task has failed: more than the starts of one task that are
+/// lost by chance.
+const LOST_RUN_LIMIT: u32 = 8;
 
 impl Cell {
-    /// Takes in how a start ended.
+    /// Handles the outcome of a start.
     pub fn finish_start(
         &mut self,
         now: Millis,
         name: &Name,
         id: RunId,
-        called: CallOutcome,
+        outcome: CallOutcome,
     ) -> Vec<Action> {
         let Some(worker) = self.workers.get_mut(name) else {
             return Vec::new();
         };
-        match called {
+        match outcome {
             CallOutcome::Done(_) => {
                 worker.update_run(id, |r| {
                     if r.phase == RunPhase::Starting {
@@ -61,7 +61,7 @@
         self.stop_cancelled(name, id)
     }
 
-    /// Stops a run whose job was cancelled while it started.
+    /// Stops a run whose job was cancelled while the run was starting.
     fn stop_cancelled(&mut self, name: &Name, id: RunId) -> Vec<Action> {
         let run = self.workers.get(name).and_then(|w| w.runs.get(&id));
         let Some(job) = run
@@ -80,10 +80,10 @@
         }
     }
 
-    /// Puts a task back whose run never started.
+    /// Lets a task wait again after a run that never started, or cancels it with its job.
     fn requeue(&mut self, run: &Run) {
-        let ended = self.release_quota(run);
-        let Some((shard, index)) = ended else {
+        let released = self.release_quota(run);
+        let Some((shard, index)) = released else {
             return;
         };
         shard.states[index] = TaskState::Waiting;
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Takes a run out of its team's count; returns the task if it is its run.
+    /// Subtracts a run from the cores of its team. Returns the shard and the task's index if
+    /// this is the present run of the task.
     fn release_quota(&mut self, run: &Run) -> Option<(&mut JobShard, usize)> {
         let (shard, index) = self.find_task(&run.job, run.task)?;
         let team = shard.row.spec.team.clone();
@@ -107,29 +108,29 @@
         (shard.states[index] == TaskState::Running(run.id)).then_some((shard, index))
     }
 
-    /// Takes in how a stop ended.
+    /// Handles the outcome of a stop.
     pub fn finish_stop(
         &mut self,
         now: Millis,
         micros: u64,
         name: &Name,
         id: RunId,
-        called: CallOutcome,
+        outcome: CallOutcome,
     ) -> Vec<Action> {
         let Some(worker) = self.workers.get_mut(name) else {
             return Vec::new();
         };
-        // A lost or refused stop is settled by the next exchange.
-        if let CallOutcome::Done(kept) = called
+        // After a lost or refused stop, the next poll tells whether the run goes on.
+        if let CallOutcome::Done(saved) = outcome
             && let Some(run) = worker.end_run(now, id)
         {
-            self.end_run(now, name, &run, RunState::Stopped, kept);
+            self.end_run(now, name, &run, RunState::Stopped, saved);
         }
         self.send_queued(now, micros)
     }
 
-    /// Takes in that a run has ended; its task's row is changed and written.
-    pub fn end_run(&mut self, now: Millis, name: &Name, run: &Run, state: RunState, kept: Millis) {
+    /// Handles the end of a run: updates the task's row, which is then written.
+    pub fn end_run(&mut self, now: Millis, name: &Name, run: &Run, state: RunState, saved: Millis) {
         let failures = self.policy.failure_limit;
         let Some((shard, index)) = self.release_quota(run) else {
             return;
@@ -148,7 +149,7 @@
             }
             RunState::Stopped | RunState::Running => {
                 task.evictions += 1;
-                task.saved = task.saved.max(kept);
+                task.saved = task.saved.max(saved);
             }
         }
         shard.states[index] = match task.phase {
@@ -165,6 +166,7 @@
         }
     }
 
+    /// Resets the failures and quarantines of a worker that finished a run.
     fn record_success(&mut self, name: &Name) {
         self.finished_tasks += 1;
         if let Some(worker) = self.workers.get_mut(name) {
@@ -173,12 +175,12 @@
         }
     }
 
-    /// Counts a failed run; a worker that fails the tasks of several jobs is
-    /// put in quarantine, and those failures no longer count for the tasks.
+    /// Counts a failed run. A worker that fails tasks of several jobs is put in quarantine,
+    /// and its failures are no longer counted against the tasks.
     fn record_failure(&mut self, now: Millis, name: &Name, job: Name) {
-        let quarantine = self.policy.first_quarantine;
+        let first_quarantine = self.policy.first_quarantine;
         let listed = self.workers.values().filter(|w| w.listed).count();
-        let shut = self
+        let quarantined = self
             .workers
             .values()
             .filter(|w| w.quarantined_until > now)
@@ -188,32 +190,32 @@
         };
         worker.failed_jobs.push(job);
         let jobs: BTreeSet<&Name> = worker.failed_jobs.iter().collect();
-        let again = worker.quarantines > 0;
-        if !again && (worker.failed_jobs.len() < FAILURES || jobs.len() < 2) {
+        let repeated = worker.quarantines > 0;
+        if !repeated && (worker.failed_jobs.len() < QUARANTINE_FAILURES || jobs.len() < 2) {
             return;
         }
-        // Where half of the workers fail, the fault is more likely the jobs'.
-        if (shut + 1) * 2 > listed {
+        // When half of the workers fail, the cause is more likely in the jobs.
+        if (quarantined + 1) * 2 > listed {
             return;
         }
-        let span = quarantine << worker.quarantines.min(BACKOFF);
-        worker.quarantined_until = now + span;
+        let duration = first_quarantine << worker.quarantines.min(MAX_DOUBLINGS);
+        worker.quarantined_until = now + duration;
         worker.quarantines += 1;
-        let blamed = std::mem::take(&mut worker.failed_jobs);
-        log::warn!(target: "cell", "{name} fails every task; in quarantine for {span} ms");
+        let failed_jobs = std::mem::take(&mut worker.failed_jobs);
+        log::warn!(target: "cell", "worker {name} keeps failing tasks and is quarantined for {duration} ms");
         for shard in self.shards.values_mut() {
-            if blamed.contains(&shard.row.spec.id) {
-                forgive(shard, name);
+            if failed_jobs.contains(&shard.row.spec.id) {
+                discount_failures(shard, name);
             }
         }
     }
 
-    /// Takes in a worker's word on a run.
+    /// Applies a worker's report on a run.
     pub fn apply_report(&mut self, now: Millis, name: &Name, report: &RunReport) -> Option<Action> {
         let worker = self.workers.get_mut(name)?;
         if report.state != RunState::Running {
-            let held = worker.end_run(now, report.id);
-            let run = held.unwrap_or_else(|| adopted(report, now));
+            let known = worker.end_run(now, report.id);
+            let run = known.unwrap_or_else(|| adopted_run(report, now));
             self.apply_end(now, name, &run, report);
             return None;
         }
@@ -224,7 +226,7 @@
             true => {
                 worker.update_run(report.id, |r| {
                     r.progress = report.progress;
-                    // A report may be older than the last change of the share.
+                    // The report may be older than the last change of the share.
                     r.share = r.share.max(report.share);
                     if matches!(r.phase, RunPhase::Starting | RunPhase::InDoubt) {
                         r.phase = RunPhase::Running;
@@ -233,8 +235,8 @@
                 });
             }
             false => {
-                worker.add_run(adopted(report, now));
-                // A start that lay unread there may just have begun its lease.
+                worker.add_run(adopted_run(report, now));
+                // A start that the worker received late may just have begun its lease.
                 worker.lease_renewed = worker.lease_renewed.max(now);
             }
         }
@@ -244,7 +246,8 @@
         self.adopt_run(name, report, now)
     }
 
-    /// Ties a running run to its task, or stops it when it has none.
+    /// Assigns a reported run to its task if the task is held. Stops the run when it has no
+    /// task, or when the task does not need it.
     fn adopt_run(&mut self, name: &Name, report: &RunReport, now: Millis) -> Option<Action> {
         let Some((shard, index)) = self.find_task(&report.job, report.task) else {
             return self.stop_once(name, report.id);
@@ -266,13 +269,13 @@
                 None
             }
             other => {
-                let twice = matches!(
+                let duplicate = matches!(
                     other,
                     TaskState::Running(_) | TaskState::Waiting | TaskState::Recording
                 );
-                invariant::check(!twice, Rule::Place, || {
+                invariant::check(!duplicate, Rule::Place, || {
                     format!(
-                        "{} {} runs on {name} beside {other:?}",
+                        "job {} task {} runs on {name} although its state is {other:?}",
                         report.job, report.task
                     )
                 });
@@ -281,6 +284,7 @@
         }
     }
 
+    /// Stops a run unless a stop was already sent.
     fn stop_once(&mut self, name: &Name, id: RunId) -> Option<Action> {
         let run = self.workers.get(name)?.runs.get(&id)?;
         match run.phase {
@@ -289,7 +293,7 @@
         }
     }
 
-    /// Takes in a worker's word on a run that has ended.
+    /// Applies a worker's report on a run that has ended.
     fn apply_end(&mut self, now: Millis, name: &Name, run: &Run, report: &RunReport) {
         let Some((shard, index)) = self.find_task(&run.job, run.task) else {
             return self.acknowledge(name, run.id);
@@ -298,13 +302,12 @@
             TaskState::Running(id) if id == run.id => {
                 self.end_run(now, name, run, report.state, report.progress);
             }
-            // A finished task is done, whichever of its runs finished it.
+            // A task is done whichever of its runs has finished.
             TaskState::Held if report.state == RunState::Finished => {
                 shard.states[index] = TaskState::Running(run.id);
                 self.end_run(now, name, run, report.state, report.progress);
             }
-            // It may not be the last run of the task: its work is kept, and
-            // the task is held on.
+            // The task may have a later run: its progress is saved, and the task stays held.
             TaskState::Held => {
                 let task = &mut shard.row.tasks[index];
                 task.saved = task.saved.max(report.progress);
@@ -315,7 +318,8 @@
         }
     }
 
-    /// Lets a worker forget a run, unless its end is yet to be recorded.
+    /// Acknowledges the end of a run, so that the worker may forget the run, unless the end
+    /// is still to be recorded.
     fn acknowledge(&mut self, name: &Name, id: RunId) {
         if !self.loaded || self.has_unrecorded_end(id) {
             return;
@@ -327,6 +331,7 @@
         }
     }
 
+    /// Returns true when the end of a run is not recorded yet.
     fn has_unrecorded_end(&self, id: RunId) -> bool {
         let pending = |w: &PendingWrite| w.acks.iter().any(|(_, r)| *r == id);
         self.shards.values().any(|l| {
@@ -334,7 +339,7 @@
         })
     }
 
-    /// Takes in that a run is not on its worker any more and left no word.
+    /// Handles a run that is no longer on its worker, without a report of its end.
     pub fn lose_run(&mut self, now: Millis, name: &Name, id: RunId) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -346,13 +351,13 @@
             RunPhase::InDoubt | RunPhase::Starting => self.requeue(&run),
             _ => self.end_run(now, name, &run, RunState::Stopped, run.saved),
         }
-        if run.phase != RunPhase::Stopping && now < run.phase_since + YOUNG {
+        if run.phase != RunPhase::Stopping && now < run.phase_since + YOUNG_RUN {
             self.count_lost_run(&run);
         }
     }
 
-    /// Counts a young run that went without a word. A task that brings its workers down
-    /// reports no failure, and would take one after the other.
+    /// Counts a lost young run. A task that crashes its workers reports no failure, so that
+    /// without this count it would crash one worker after the other.
     fn count_lost_run(&mut self, run: &Run) {
         let Some((shard, index)) = self.find_task(&run.job, run.task) else {
             return;
@@ -360,25 +365,25 @@
         let count = shard.lost_runs.entry(index).or_insert(0);
         *count += 1;
         let task = &mut shard.row.tasks[index];
-        if *count < VANISHED || task.phase != Phase::Open {
+        if *count < LOST_RUN_LIMIT || task.phase != Phase::Open {
             return;
         }
-        log::warn!(target: "cell", "{} {} is given up: {count} young runs went with their workers", run.job, run.task);
+        log::warn!(target: "cell", "job {} task {} has failed: {count} young runs were lost with their workers", run.job, run.task);
         task.phase = Phase::Failed;
         shard.states[index] = TaskState::Ended;
         shard.dirty = true;
     }
 }
 
-/// Takes back what a worker's own fault was counted for.
-fn forgive(shard: &mut JobShard, name: &Name) {
-    let blamed: Vec<usize> = shard
+/// Takes back one failure of each task whose last failed run was on worker `name`.
+fn discount_failures(shard: &mut JobShard, name: &Name) {
+    let affected: Vec<usize> = shard
         .failed_on
         .iter()
         .filter(|(_, worker)| *worker == name)
         .map(|(index, _)| *index)
         .collect();
-    for index in blamed {
+    for index in affected {
         let task = &mut shard.row.tasks[index];
         task.failures = task.failures.saturating_sub(1);
         if task.phase == Phase::Failed {
@@ -388,7 +393,8 @@
     }
 }
 
-fn adopted(report: &RunReport, now: Millis) -> Run {
+/// Returns a run that an earlier owner started, from a worker's report.
+fn adopted_run(report: &RunReport, now: Millis) -> Run {
     Run {
         id: report.id,
         job: report.job.clone(),
@@ -396,7 +402,7 @@
         kind: report.kind.clone(),
         size: report.size,
         share: report.share,
-        // An earlier owner may have raised its share without an answer.
+        // An unanswered call of the earlier owner may have raised the share.
         share_floor: WHOLE,
         throttle_pending: false,
         phase: RunPhase::Running,
