--- a/src/cell/tests.rs
+++ b/src/cell/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions in one cell.
+//! Tests of the decisions of one cell.
 
 use super::*;
 use crate::job::{JobShardRow, Spec, TaskRow, VersionedShard};
@@ -11,13 +11,13 @@
     memory: 8_000,
     accelerators: 0,
 };
-const TIMES: Timings = Timings {
+const TIMINGS: Timings = Timings {
     run_lease: 1_000,
     margin: 200,
     poll_interval: 100,
 };
 
-fn place(index: usize) -> ListedWorker {
+fn listed_worker(index: usize) -> ListedWorker {
     let port = index as u16 + 1;
     ListedWorker {
         name: format!("w{index}").into(),
@@ -28,37 +28,39 @@
     }
 }
 
+/// Answers a poll of a worker that was sent at `now`.
 fn answer(cell: &mut Cell, now: Millis, worker: usize, reply: PollReply) -> Vec<Action> {
-    let asked = SentPoll {
+    let poll = SentPoll {
         sent: now,
         round: 1,
         acks: Vec::new(),
     };
     let name: Name = format!("w{worker}").into();
-    cell.finish_poll(now, now * 1_000, &name, asked, PollOutcome::Reply(reply))
+    cell.finish_poll(now, now * 1_000, &name, poll, PollOutcome::Reply(reply))
         .1
 }
 
-fn shaped() -> PollReply {
+/// Returns an answer of a worker without requests and runs.
+fn idle_reply() -> PollReply {
     PollReply {
         shape: SHAPE,
         ..PollReply::default()
     }
 }
 
-/// Returns a cell whose workers have answered at time 0.
+/// Returns a cell whose workers answered a poll at time 0.
 fn cell(workers: usize) -> Cell {
-    let mut cell = Cell::new("h/r".into(), 1, 0, Policy::default(), TIMES);
-    let places: Vec<ListedWorker> = (0..workers).map(place).collect();
-    cell.set_workers(&places, &Default::default());
+    let mut cell = Cell::new("h/r".into(), 1, 0, Policy::default(), TIMINGS);
+    let listed: Vec<ListedWorker> = (0..workers).map(listed_worker).collect();
+    cell.set_workers(&listed, &Default::default());
     cell.load_shards(0, Vec::new());
     for worker in 0..workers {
-        answer(&mut cell, 0, worker, shaped());
+        answer(&mut cell, 0, worker, idle_reply());
     }
     cell
 }
 
-fn ask(ticket: u64, class: Class, deadline: Millis) -> PendingRequest {
+fn request(ticket: u64, class: Class, deadline: Millis) -> PendingRequest {
     PendingRequest {
         ticket,
         service: "s".into(),
@@ -109,9 +111,9 @@
 
 #[test]
 fn a_worker_that_has_not_answered_is_full() {
-    let mut cell = Cell::new("h/r".into(), 1, 0, Policy::default(), TIMES);
-    cell.set_workers(&[place(0)], &Default::default());
-    let actions = cell.admit(10, 10_000, ask(1, Class::Critical, 1_000));
+    let mut cell = Cell::new("h/r".into(), 1, 0, Policy::default(), TIMINGS);
+    cell.set_workers(&[listed_worker(0)], &Default::default());
+    let actions = cell.admit(10, 10_000, request(1, Class::Critical, 1_000));
     let [Action::Refuse { reason, .. }] = actions[..] else {
         panic!("{actions:?}");
     };
@@ -119,14 +121,14 @@
 }
 
 #[test]
-fn slots_are_never_exceeded_and_who_waits_is_sent_next() {
+fn slots_are_never_exceeded_and_the_queued_request_is_sent_next() {
     let mut cell = cell(1);
     for ticket in 0..2 {
-        let actions = cell.admit(10, 10_000, ask(ticket, Class::Critical, 1_000));
+        let actions = cell.admit(10, 10_000, request(ticket, Class::Critical, 1_000));
         assert!(matches!(actions[..], [Action::Send { .. }]));
     }
     assert!(
-        cell.admit(10, 10_000, ask(2, Class::Critical, 1_000))
+        cell.admit(10, 10_000, request(2, Class::Critical, 1_000))
             .is_empty()
     );
     let actions = cell.finish_send(20, 20_000, 0, SendOutcome::Answered);
@@ -137,22 +139,22 @@
 }
 
 #[test]
-fn a_lost_answer_keeps_its_slot_until_the_worker_tells() {
+fn a_lost_answer_keeps_its_slot_until_the_worker_reports_its_end() {
     let mut cell = cell(1);
     for ticket in 0..2 {
-        cell.admit(10, 10_000, ask(ticket, Class::Critical, 1_000));
+        cell.admit(10, 10_000, request(ticket, Class::Critical, 1_000));
     }
     cell.finish_send(20, 20_000, 0, SendOutcome::Unknown { until: 30 });
     assert_eq!(cell.free_slots(25), 0);
-    let mut reply = shaped();
+    let mut reply = idle_reply();
     reply.tickets = vec![0, 1];
     answer(&mut cell, 300, 0, reply);
-    assert_eq!(cell.free_slots(300), 0, "it still runs there");
-    let mut reply = shaped();
+    assert_eq!(cell.free_slots(300), 0, "the request still runs");
+    let mut reply = idle_reply();
     reply.tickets = vec![1];
     answer(&mut cell, 600, 0, reply);
-    // The first answer after a silence does not tell of what lay unread.
-    let mut reply = shaped();
+    // The first answer after a silence does not cover calls that the worker has not read yet.
+    let mut reply = idle_reply();
     reply.tickets = vec![1];
     answer(&mut cell, 801, 0, reply);
     assert_eq!(cell.free_slots(801), 1);
@@ -163,13 +165,13 @@
     let mut cell = cell(1);
     cell.policy.queue_limit = 1;
     for ticket in 0..2 {
-        cell.admit(10, 10_000, ask(ticket, Class::Critical, 9_000));
+        cell.admit(10, 10_000, request(ticket, Class::Critical, 9_000));
     }
     assert!(
-        cell.admit(10, 10_000, ask(2, Class::Batch, 9_000))
+        cell.admit(10, 10_000, request(2, Class::Batch, 9_000))
             .is_empty()
     );
-    let actions = cell.admit(10, 10_000, ask(3, Class::Critical, 9_000));
+    let actions = cell.admit(10, 10_000, request(3, Class::Critical, 9_000));
     let shed = |a: &Action| {
         matches!(
             a,
@@ -184,13 +186,13 @@
 }
 
 #[test]
-fn what_can_not_be_answered_in_time_is_refused_at_once() {
+fn a_request_that_cannot_be_answered_in_time_is_refused_at_once() {
     let mut cell = cell(1);
     for ticket in 0..2 {
-        cell.admit(10, 10_000, ask(ticket, Class::Critical, 9_000));
+        cell.admit(10, 10_000, request(ticket, Class::Critical, 9_000));
     }
     cell.finish_send(510, 510_000, 0, SendOutcome::Answered);
-    let actions = cell.admit(510, 510_000, ask(5, Class::Critical, 600));
+    let actions = cell.admit(510, 510_000, request(5, Class::Critical, 600));
     let late = |a: &Action| {
         matches!(
             a,
@@ -225,20 +227,20 @@
     );
     cell.finish_write(key, WriteOutcome::Committed);
     let again = starts(&cell.tick(50, 50_000));
-    assert_eq!(again[0].1.saved, 700, "it resumes from its checkpoint");
+    assert_eq!(again[0].1.saved, 700, "the run resumes from the checkpoint");
     assert_ne!(again[0].1.id, run.id);
 }
 
-/// Runs the one task of a cell until it is not started again: each time its worker comes
-/// back without it. Returns how often it was started.
-fn lose_runs(answered: CallOutcome) -> usize {
+/// Starts the only task of a cell for 60 s, with workers that never report its runs. Returns
+/// the number of starts.
+fn lose_runs(outcome: CallOutcome) -> usize {
     let mut cell = cell(2);
     cell.add_new_shard(0, shard("j", 1, 1_000));
     let mut count = 0;
     for now in (100..60_000).step_by(100) {
         for (worker, run) in starts(&cell.tick(now, now * 1_000)) {
             count += 1;
-            cell.finish_start(now, &worker, run.id, answered);
+            cell.finish_start(now, &worker, run.id, outcome);
         }
         for action in cell.write_shards() {
             if let Action::Write { key, .. } = action {
@@ -246,22 +248,22 @@
             }
         }
         for worker in 0..2 {
-            answer(&mut cell, now + 50, worker, shaped());
+            answer(&mut cell, now + 50, worker, idle_reply());
         }
     }
     count
 }
 
-/// A worker that a task brings down reports no failure of it, so nothing bounded how many
-/// workers one task could take: it was started 300 times in 60 s.
+/// A worker that a task crashes reports no failure of the task. Without a limit on lost runs,
+/// such a task was started 300 times in 60 s.
 #[test]
-fn a_task_whose_runs_go_with_their_workers_is_given_up() {
+fn a_task_whose_runs_are_lost_with_their_workers_fails() {
     assert_eq!(lose_runs(CallOutcome::Done(0)), 8);
     assert_eq!(lose_runs(CallOutcome::Lost), 8);
 }
 
 #[test]
-fn a_write_in_doubt_is_settled_by_reading_the_row() {
+fn a_write_in_doubt_is_resolved_by_reading_the_row() {
     let mut cell = cell(1);
     cell.add_new_shard(0, shard("j", 1, 1_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
@@ -283,17 +285,17 @@
 }
 
 #[test]
-fn a_new_owner_holds_what_it_can_not_account_for() {
-    let mut cell = Cell::new("h/r".into(), 2, 0, Policy::default(), TIMES);
-    cell.set_workers(&[place(0)], &Default::default());
-    let mut known = shard("j", 1, 1_000);
-    known.row.epoch = 1;
-    cell.load_shards(0, vec![known]);
-    answer(&mut cell, 10, 0, shaped());
+fn a_new_owner_holds_tasks_that_may_still_run() {
+    let mut cell = Cell::new("h/r".into(), 2, 0, Policy::default(), TIMINGS);
+    cell.set_workers(&[listed_worker(0)], &Default::default());
+    let mut stored = shard("j", 1, 1_000);
+    stored.row.epoch = 1;
+    cell.load_shards(0, vec![stored]);
+    answer(&mut cell, 10, 0, idle_reply());
     assert!(starts(&cell.tick(20, 20_000)).is_empty());
-    let after = TIMES.run_lease + TIMES.margin;
-    answer(&mut cell, after, 0, shaped());
-    answer(&mut cell, after + 250, 0, shaped());
+    let after = TIMINGS.run_lease + TIMINGS.margin;
+    answer(&mut cell, after, 0, idle_reply());
+    answer(&mut cell, after + 250, 0, idle_reply());
     assert_eq!(starts(&cell.tick(after + 250, 1)).len(), 1);
 }
 
@@ -305,13 +307,13 @@
     cell.finish_start(15, &worker, run.id, CallOutcome::Lost);
     let other = if &*worker == "w0" { 1 } else { 0 };
     for now in (100..5_000).step_by(100) {
-        answer(&mut cell, now, other, shaped());
+        answer(&mut cell, now, other, idle_reply());
         assert!(starts(&cell.tick(now, now * 1_000)).is_empty(), "at {now}");
     }
 }
 
 #[test]
-fn a_throttle_without_an_answer_never_lowers_what_is_counted() {
+fn a_throttle_without_an_answer_does_not_free_cores() {
     let mut cell = cell(1);
     cell.add_new_shard(0, shard("j", 1, 2_000));
     let (worker, run) = starts(&cell.tick(10, 10_000)).remove(0);
@@ -324,12 +326,12 @@
 }
 
 #[test]
-fn a_leaving_worker_gets_nothing_new() {
+fn a_leaving_worker_gets_no_requests_and_tasks() {
     let mut cell = cell(1);
-    let mut reply = shaped();
+    let mut reply = idle_reply();
     reply.leaving = true;
     answer(&mut cell, 10, 0, reply);
-    let actions = cell.admit(20, 20_000, ask(1, Class::Critical, 1_000));
+    let actions = cell.admit(20, 20_000, request(1, Class::Critical, 1_000));
     assert!(matches!(actions[..], [Action::Refuse { .. }]));
     cell.add_new_shard(20, shard("j", 1, 500));
     assert!(starts(&cell.tick(30, 30_000)).is_empty());
@@ -363,21 +365,23 @@
 }
 
 #[test]
-fn an_adopted_run_of_a_silent_worker_is_not_over_before_the_old_leases() {
+fn an_adopted_run_of_a_silent_worker_does_not_end_before_its_lease() {
     const BEGIN: Millis = 10_000;
-    for late in [10, TIMES.run_lease + TIMES.margin + 10] {
-        adopts_and_waits(BEGIN, BEGIN + late);
+    for delay in [10, TIMINGS.run_lease + TIMINGS.margin + 10] {
+        check_adopted_run(BEGIN, BEGIN + delay);
     }
 }
 
-fn adopts_and_waits(begin: Millis, adopted: Millis) {
-    let mut cell = Cell::new("h/r".into(), 2, begin, Policy::default(), TIMES);
-    cell.set_workers(&[place(0)], &Default::default());
-    let mut known = shard("j", 1, 1_000);
-    known.row.epoch = 1;
-    let key = known.key.clone();
-    cell.load_shards(begin, vec![known]);
-    let mut reply = shaped();
+/// Lets a worker report a run at `adopted` and fall silent, and checks that the run stays for
+/// the length of its lease. The cell is owned since `begin`.
+fn check_adopted_run(begin: Millis, adopted: Millis) {
+    let mut cell = Cell::new("h/r".into(), 2, begin, Policy::default(), TIMINGS);
+    cell.set_workers(&[listed_worker(0)], &Default::default());
+    let mut stored = shard("j", 1, 1_000);
+    stored.row.epoch = 1;
+    let key = stored.key.clone();
+    cell.load_shards(begin, vec![stored]);
+    let mut reply = idle_reply();
     reply.runs = vec![RunReport {
         id: 1 << 32,
         job: "j".into(),
@@ -390,20 +394,20 @@
         usage: 0,
     }];
     answer(&mut cell, adopted, 0, reply);
-    let asked = |now| SentPoll {
+    let poll = |now| SentPoll {
         sent: now,
         round: 1,
         acks: Vec::new(),
     };
-    // The earlier owner may have renewed it right before this one won, or its
-    // start may have lain unread until right before the report.
-    for now in (adopted..adopted + TIMES.run_lease + TIMES.margin).step_by(100) {
+    // The earlier owner may have renewed the lease right before `begin`, or the worker may
+    // have received the start right before the report.
+    for now in (adopted..adopted + TIMINGS.run_lease + TIMINGS.margin).step_by(100) {
         cell.tick(now, now * 1_000);
         cell.finish_poll(
             now,
             now * 1_000,
             &"w0".into(),
-            asked(now),
+            poll(now),
             PollOutcome::NotSent,
         );
         assert_eq!(
@@ -415,17 +419,17 @@
 }
 
 #[test]
-fn what_was_reported_before_the_job_shards_were_read_is_not_started_again() {
-    let mut cell = Cell::new("h/r".into(), 2, 0, Policy::default(), TIMES);
-    cell.set_workers(&[place(0)], &Default::default());
-    let late = TIMES.run_lease + TIMES.margin + 500;
+fn held_tasks_wait_for_an_answer_after_the_job_shards_were_read() {
+    let mut cell = Cell::new("h/r".into(), 2, 0, Policy::default(), TIMINGS);
+    cell.set_workers(&[listed_worker(0)], &Default::default());
+    let late = TIMINGS.run_lease + TIMINGS.margin + 500;
     for now in (0..late).step_by(100) {
-        answer(&mut cell, now, 0, shaped());
+        answer(&mut cell, now, 0, idle_reply());
     }
-    let mut known = shard("j", 1, 1_000);
-    known.row.epoch = 1;
-    cell.load_shards(late, vec![known]);
+    let mut stored = shard("j", 1, 1_000);
+    stored.row.epoch = 1;
+    cell.load_shards(late, vec![stored]);
     assert!(starts(&cell.tick(late, late * 1_000)).is_empty());
-    answer(&mut cell, late + 10, 0, shaped());
+    answer(&mut cell, late + 10, 0, idle_reply());
     assert_eq!(starts(&cell.tick(late + 20, late * 1_000)).len(), 1);
 }
