--- a/src/cell.rs
+++ b/src/cell.rs
@@ -217,7 +217,7 @@
     }
 }
 
-/// An action that the cell's caller has to carry out.
+/// An action that a cell requests from the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a request to a worker.
@@ -248,7 +248,7 @@
         acks: Vec<RunId>,
         /// True to renew the leases of its runs.
         renew: bool,
-        /// Number of the poll; the worker then refuses starts of earlier rounds.
+        /// Round of the poll; the worker then refuses starts of earlier rounds.
         round: u64,
     },
     /// Start a run.
--- a/src/cell/runs.rs
+++ b/src/cell/runs.rs
@@ -49,7 +49,7 @@
     pub progress: Millis,
     /// When the phase or the share was last confirmed, or else when the start was sent.
     pub phase_since: Millis,
-    /// Number of the last poll sent before the start.
+    /// Round of the last polls sent before the start.
     pub poll_round: u64,
     /// True for work that must start within seconds.
     pub urgent: bool,
--- a/src/cell/shard.rs
+++ b/src/cell/shard.rs
@@ -113,7 +113,7 @@
         self.needs_reread
     }
 
-    /// Returns true when the row needs neither a write nor a read.
+    /// Returns true when no write or read of the row is due or in progress.
     pub fn is_settled(&self) -> bool {
         !self.dirty && self.pending_write.is_none() && !self.needs_reread
     }
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -57,7 +57,7 @@
 pub struct SentPoll {
     /// When the poll was sent.
     pub sent: Millis,
-    /// Number of the poll.
+    /// Round of the poll.
     pub round: u64,
     /// Ends of runs that the poll acknowledged.
     pub acks: Vec<RunId>,
@@ -137,6 +137,7 @@
     pub(super) random: Random,
     pub(super) next_turn: u64,
     pub(super) run_counter: u64,
+    /// Round of the last polls; each tick begins a new round.
     pub(super) poll_round: u64,
     /// When all leases of an earlier owner's runs have lapsed.
     pub(super) hold_until: Millis,
