--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -1,16 +1,16 @@
-//! Files of a module know only files below them.
+//! Checks that the files of a module do not depend on each other in a cycle.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// Folders of modules whose files form no circle.
+/// Folders whose files must not depend on each other in a cycle.
 const FOLDERS: [&str; 2] = ["src/daemon", "src/platform"];
 
-/// Which files a file of a folder uses, by their names.
-type Uses = BTreeMap<String, BTreeSet<String>>;
+/// The files in its folder that a file uses, by name.
+type Dependencies = BTreeMap<String, BTreeSet<String>>;
 
-/// Returns the names of the siblings that a source uses.
-fn siblings(text: &str) -> BTreeSet<String> {
+/// Returns the names of the sibling files that a source imports with `use super::`.
+fn imported_siblings(text: &str) -> BTreeSet<String> {
     let joined = text
         .replace("use super::{", "use super::")
         .replace('\n', " ");
@@ -25,21 +25,25 @@
     parts.map(word).collect()
 }
 
-fn uses(folder: &Path) -> Uses {
-    let mut uses = Uses::new();
-    for entry in std::fs::read_dir(folder).expect("a folder of sources") {
-        let path = entry.expect("an entry").path();
-        let name = path.file_stem().expect("a name").to_string_lossy();
+fn dependencies(folder: &Path) -> Dependencies {
+    let mut uses = Dependencies::new();
+    for entry in std::fs::read_dir(folder).expect("a source folder can be read") {
+        let path = entry.expect("a folder entry can be read").path();
+        let name = path
+            .file_stem()
+            .expect("a source file has a name")
+            .to_string_lossy();
         if path.is_file() && name != "tests" {
-            let text = std::fs::read_to_string(&path).expect("a source");
-            uses.insert(name.to_string(), siblings(&text));
+            let text = std::fs::read_to_string(&path).expect("a source file can be read");
+            uses.insert(name.to_string(), imported_siblings(&text));
         }
     }
     uses
 }
 
-/// Takes away files that use none of the rest, until none is left or all of them use others.
-fn circle(mut uses: Uses) -> Uses {
+/// Removes files without dependencies on the remaining ones until all of these have some; returns
+/// the files of cycles and those that depend on them.
+fn find_cycles(mut uses: Dependencies) -> Dependencies {
     loop {
         let names: BTreeSet<String> = uses.keys().cloned().collect();
         let before = uses.len();
@@ -51,27 +55,30 @@
 }
 
 #[test]
-fn files_of_the_daemon_form_no_circle() {
+fn files_of_a_folder_have_no_cyclic_dependencies() {
     for folder in FOLDERS {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
-        let all = uses(&path);
+        let all = dependencies(&path);
         assert!(
             all.values().any(|u| !u.is_empty()),
-            "uses of {folder} are found"
+            "no dependencies found in {folder}"
+        );
+        let cyclic = find_cycles(all);
+        assert!(
+            cyclic.is_empty(),
+            "cyclic dependencies in {folder}: {cyclic:#?}"
         );
-        let left = circle(all);
-        assert!(left.is_empty(), "a circle in {folder}: {left:#?}");
     }
 }
 
 #[test]
-fn a_circle_is_found() {
-    let text = |uses: &str| siblings(uses);
-    let two = Uses::from([
+fn a_cycle_is_found() {
+    let text = |uses: &str| imported_siblings(uses);
+    let files = Dependencies::from([
         ("a".into(), text("use super::b::{C, D};\nuse super::x;")),
         ("b".into(), text("use super::{c::{G, H}, a::E};")),
         ("c".into(), text("use crate::a::F;")),
     ]);
-    let left: Vec<String> = circle(two).into_keys().collect();
-    assert_eq!(left, ["a", "b"]);
+    let cyclic: Vec<String> = find_cycles(files).into_keys().collect();
+    assert_eq!(cyclic, ["a", "b"]);
 }
--- a/tests/processes/parts.rs
+++ b/tests/processes/parts.rs
@@ -207,7 +207,7 @@
         });
         assert!(
             ready,
-            "waited in vain: readiness of e{index}; {observations}; {}",
+            "timed out waiting for: readiness of e{index}; {observations}; {}",
             self.sight(index)
         );
         assert!(node.settings.exists());
--- a/tests/support/diagnostics.rs
+++ b/tests/support/diagnostics.rs
@@ -1,9 +1,10 @@
-//! What is told of a wait that was in vain.
+//! Diagnostics for waits that time out.
 
 use std::process::Child;
 use std::time::{Duration, Instant};
 
-/// Observations at what is waited for: how long they took, and what the last one saw.
+/// Durations of the observations of an awaited condition, the pauses between them, and the last
+/// observed value.
 pub struct Observations {
     started: Instant,
     ended: Instant,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Takes a look and keeps what it saw.
+    /// Makes an observation and records its value and duration.
     pub fn observe<T: std::fmt::Debug>(&mut self, observe: impl FnOnce() -> T) -> T {
         let start = Instant::now();
         self.longest_pause = self.longest_pause.max(start - self.ended);
@@ -35,8 +36,8 @@
     }
 }
 
-/// A pause far above `PAUSE` tells that the machine stood still, a long look that
-/// a connection was made and had no answer.
+/// A pause far above `POLL_INTERVAL` shows that the whole machine stalled; a long
+/// observation shows that a connection was accepted but not answered.
 impl std::fmt::Display for Observations {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Self {
@@ -54,15 +55,16 @@
     }
 }
 
-/// Returns what a process is doing by the kernel's word.
+/// Returns the kernel's view of a process: its state, context switches, wait channel and system
+/// call.
 pub fn process_state(child: &Child) -> String {
     let read = |name: &str| {
         let path = format!("/proc/{}/{name}", child.id());
         std::fs::read_to_string(path).unwrap_or_else(|e| e.to_string())
     };
     let status = read("status");
-    let kept = |l: &&str| l.starts_with("State") || l.contains("ctxt_switches");
-    let lines: Vec<&str> = status.lines().filter(kept).collect();
-    let (stat, wait, call) = (read("stat"), read("wchan"), read("syscall"));
-    format!("{lines:?}, waits in {wait}, system call {call}, stat {stat}")
+    let is_relevant = |l: &&str| l.starts_with("State") || l.contains("ctxt_switches");
+    let lines: Vec<&str> = status.lines().filter(is_relevant).collect();
+    let (stat, wait_channel, call) = (read("stat"), read("wchan"), read("syscall"));
+    format!("{lines:?}, waits in {wait_channel}, system call {call}, stat {stat}")
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests with real processes share: ports, processes and waits.
+//! Helpers of the tests with real processes: ports, processes, waits and requests.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,17 +8,17 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-/// Generous bound of every wait for an event.
+/// Generous timeout of every wait for a condition.
 pub const TIMEOUT: Duration = Duration::from_secs(60);
-/// First port of the tests, runs that begin at ports of their own, and ports of each.
+/// First port of all blocks, number of blocks (one per concurrent test run), and ports per block.
 const PORT_BLOCKS: (u16, u32, u16) = (12_000, 60, 300);
-/// Time between two looks at what is waited for.
+/// Time between two checks of a condition that is waited for.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A range of ports that only this run of the tests uses.
+/// A range of ports that is reserved for this test run.
 struct PortBlock {
     first: u16,
-    /// Holds the first port, so that another run at once takes another block.
+    /// Occupies the first port, so that concurrent test runs take other blocks.
     _claim: TcpListener,
 }
 
@@ -38,8 +38,8 @@
     }
 }
 
-/// Returns an address that nothing uses, below the ports that outgoing
-/// connections get, so that none of them takes it meanwhile.
+/// Returns an unused address. Its port is below the range of ephemeral ports, so that no outgoing
+/// connection takes it before it is used.
 pub fn free_address() -> SocketAddr {
     static PORT_BLOCK: LazyLock<PortBlock> = LazyLock::new(PortBlock::claim);
     static NEXT_PORT: AtomicU16 = AtomicU16::new(1);
@@ -53,8 +53,8 @@
     }
 }
 
-/// Returns the program under test: the one that these tests were built with, or the one beside
-/// the folder of this program.
+/// Returns the path of the program under test: the one built with these tests, or else the one in
+/// the build folder of the running program.
 pub fn binary() -> PathBuf {
     if let Some(built) = option_env!("CARGO_BIN_EXE_willowpoint") {
         return built.into();
@@ -62,13 +62,13 @@
     let own = std::env::current_exe().expect("the path of this program");
     let folder = own.parent().expect("the folder of this program");
     let folder = match folder.ends_with("deps") {
-        true => folder.parent().expect("the folder of this program"),
+        true => folder.parent().expect("the build folder"),
         false => folder,
     };
     folder.join("willowpoint")
 }
 
-/// Starts the program; what it writes is kept in `output`.
+/// Starts the program and appends its standard output and error to the file `output`.
 pub fn spawn(arguments: &[String], output: &Path) -> Child {
     let file = std::fs::File::options()
         .create(true)
@@ -81,10 +81,10 @@
     command.spawn().expect("the program starts")
 }
 
-/// Waits for something to be so; false when it was not within the bound.
-pub fn eventually(mut done: impl FnMut() -> bool) -> bool {
+/// Waits for a condition; returns false when `TIMEOUT` has passed without it.
+pub fn eventually(mut condition: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + TIMEOUT;
-    while !done() {
+    while !condition() {
         if Instant::now() >= end {
             return false;
         }
@@ -93,21 +93,25 @@
     true
 }
 
-pub fn wait_for(condition: &str, done: impl FnMut() -> bool) {
-    assert!(eventually(done), "timed out waiting for: {condition}");
+/// Waits for a condition, and panics when `TIMEOUT` has passed without it.
+pub fn wait_for(description: &str, condition: impl FnMut() -> bool) {
+    assert!(
+        eventually(condition),
+        "timed out waiting for: {description}"
+    );
 }
 
-/// Returns the words of a command line.
+/// Splits a command line at its spaces.
 pub fn split_arguments(line: &str) -> Vec<String> {
     line.split_whitespace().map(str::to_string).collect()
 }
 
-/// Sends a message on a connection of its own and returns the whole answer.
+/// Sends a request on a new connection and returns everything received up to its end.
 pub fn send_request(address: SocketAddr, message: &str) -> std::io::Result<String> {
     complete_request(TcpStream::connect_timeout(&address, TIMEOUT)?, message)
 }
 
-/// Sends the rest of a message and returns the whole answer.
+/// Sends the rest of a request and returns everything received up to the end of the connection.
 pub fn complete_request(mut stream: TcpStream, message: &str) -> std::io::Result<String> {
     stream.set_read_timeout(Some(TIMEOUT))?;
     stream.write_all(message.as_bytes())?;
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -1,26 +1,26 @@
-//! A proxy between two parts that can hold up what passes through it.
+//! A TCP proxy that can block the data of a connection in either direction.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Pause between two looks at a is_blocked direction.
+/// Time between two checks whether a direction is still blocked.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Bytes that are passed on at once.
+/// Size of the buffer of each direction in bytes.
 const BUFFER_SIZE: usize = 16 << 10;
 
 /// One direction of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// From who connected.
+    /// From the client to the target.
     ToTarget,
-    /// To who connected.
+    /// From the target to the client.
     ToClient,
 }
 
-/// Forwards connections to one address, on threads that end with them; what `is_blocked`
-/// is true for waits, by its direction and by when the connection was opened.
-/// Returns where it listens, on a port that the kernel chooses.
+/// Starts a proxy that forwards connections to `target`, each on two threads that end with it.
+/// Data waits while `is_blocked` returns true for its direction and for the time when the
+/// connection was opened. Returns the address of the proxy, on a port chosen by the kernel.
 pub fn start<H>(target: SocketAddr, is_blocked: H) -> SocketAddr
 where
     H: Fn(Direction, Instant) -> bool + Clone + Send + 'static,
@@ -29,7 +29,7 @@
     let address = listener.local_addr().expect("the address of the proxy");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            // A target that is not there yet: the client sees a reset.
+            // If the target does not listen yet, the client gets a reset.
             let Ok(upstream) = TcpStream::connect(target) else {
                 continue;
             };
@@ -51,7 +51,7 @@
     stream.try_clone().expect("a duplicate of the socket")
 }
 
-/// Passes bytes on in one direction until either side ends.
+/// Forwards data in one direction until either side closes its connection.
 fn forward(mut from: TcpStream, mut to: TcpStream, is_blocked: impl Fn() -> bool) {
     let mut buffer = vec![0; BUFFER_SIZE];
     while let Ok(count) = from.read(&mut buffer) {
