--- a/src/web.rs
+++ b/src/web.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 towards callers and endpoints, with bounded heads and bodies.
 
 pub mod client;
-mod limit;
+mod read_limit;
 pub mod server;
 
 #[cfg(test)]
--- a/src/web/server.rs
+++ b/src/web/server.rs
@@ -17,7 +17,7 @@
 use monoio_http::h1::codec::decoder::FillPayload;
 use monoio_http::h1::payload::Payload;
 
-use super::limit::{Allowance, Limited};
+use super::read_limit::{Allowance, Limited};
 use super::{Reply, Request, WebError, keeps_alive, length, payload, strip, whole};
 use crate::utils::clock::Millis;
 use crate::utils::drain::Drain;
