--- a/src/entry/sends.rs
+++ b/src/entry/sends.rs
@@ -46,7 +46,7 @@
     let (outcome, reply) = match result {
         Ok(reply) if refused(&reply) => (SendOutcome::NotRun, None),
         Ok(reply) => (SendOutcome::Answered, Some(reply)),
-        Err(WebError::Held) => (SendOutcome::LeaseLapsed, None),
+        Err(WebError::CheckFailed) => (SendOutcome::LeaseLapsed, None),
         Err(WebError::NotSent(e)) => {
             log::debug!(target: "entry", "{} not reached: {e}", send.http);
             (SendOutcome::NotRun, None)
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -369,7 +369,7 @@
             }
             Action::Disconnect(endpoints) => {
                 for endpoint in endpoints {
-                    context.pool.clear(endpoint);
+                    context.pool.close_idle(endpoint);
                 }
             }
             Action::Exit { within } => self.drain(within),
--- a/src/platform/advice.rs
+++ b/src/platform/advice.rs
@@ -58,7 +58,7 @@
                 log::info!(target: "task", "step={} event=advice-refused status={}", question.name, reply.status);
                 Reply::Refused(Refusal::Unwell)
             }
-            Err(WebError::NotSent(_) | WebError::Held) => Reply::NotSent,
+            Err(WebError::NotSent(_) | WebError::CheckFailed) => Reply::NotSent,
             Err(e) => {
                 log::info!(target: "task", "step={} event=advice-lost cause=\"{e}\"", question.name);
                 Reply::Lost
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -92,7 +92,7 @@
 
     /// Makes the next calls open new connections, as the open ones may be dead.
     pub fn reconnect(&self) {
-        self.pool.clear(self.address);
+        self.pool.close_idle(self.address);
     }
 
     /// Applies all writes to a part of the store if the condition is met, or else none.
@@ -248,7 +248,7 @@
 fn commit_outcome(result: Result<Reply, WebError>) -> CommitOutcome {
     let reply = match result {
         Ok(reply) => reply,
-        Err(WebError::NotSent(_) | WebError::Held) => return CommitOutcome::NotDone,
+        Err(WebError::NotSent(_) | WebError::CheckFailed) => return CommitOutcome::NotDone,
         Err(e) => {
             log::info!(target: "store", "event=commit-in-doubt cause=\"{e}\"");
             return CommitOutcome::Unknown;
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -31,7 +31,7 @@
     /// each worker is always kept.
     pub fn new(idle: usize) -> Self {
         Self {
-            pool: Pool::new(MAX_REPORT_BYTES).keeping(idle),
+            pool: Pool::new(MAX_REPORT_BYTES).with_max_idle(idle),
         }
     }
 
@@ -106,7 +106,7 @@
         );
         match call.await {
             Ok(reply) => decode_reply(path, &reply),
-            Err(WebError::NotSent(_) | WebError::Held) => Reply::NotSent,
+            Err(WebError::NotSent(_) | WebError::CheckFailed) => Reply::NotSent,
             Err(e) => {
                 log::debug!(target: "worker", "worker={incarnation} call={path} event=lost cause=\"{e}\"");
                 Reply::Lost
--- a/src/web.rs
+++ b/src/web.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 towards callers and endpoints, with bounded heads and bodies.
+//! HTTP/1.1 server and client for callers and endpoints, with limits on heads and bodies.
 
 pub mod client;
 mod read_limit;
@@ -13,32 +13,32 @@
 use monoio_http::common::error::HttpError;
 use monoio_http::h1::payload::{FixedPayload, Payload};
 
-/// A whole request.
+/// HTTP request with its whole body.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Method of the request.
+    /// Request method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Header fields without those that belong to one connection.
+    /// Header fields, without those that apply to a single connection.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Message body.
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// HTTP reply with its whole body.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// Status code.
     pub status: StatusCode,
-    /// Header fields without those that belong to one connection.
+    /// Header fields, without those that apply to a single connection.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Message body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// Returns an answer with a plain text body.
+    /// Returns a reply whose body is the given text, without header fields.
     pub fn text(status: StatusCode, text: impl Into<String>) -> Self {
         Self {
             status,
@@ -48,18 +48,18 @@
     }
 }
 
-/// Why a message could not be read or sent.
+/// Error of sending or reading a message.
 #[derive(Debug)]
 pub enum WebError {
-    /// No byte of the request left.
+    /// The connection failed before any byte of the request was sent.
     NotSent(String),
-    /// No byte of the request left, as the caller's check forbade it.
-    Held,
-    /// The request may have been run.
+    /// No byte of the request was sent because the check before sending returned false.
+    CheckFailed,
+    /// The exchange failed after sending had begun; the request may have been run.
     Lost(String),
-    /// The peer broke the protocol or a limit.
-    Bad(String),
-    /// The message is larger than the limit.
+    /// The message violates the protocol.
+    Malformed(String),
+    /// The message exceeds the size limit.
     TooLarge,
 }
 
@@ -67,9 +67,9 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::NotSent(reason) => write!(f, "not sent: {reason}"),
-            Self::Held => f.write_str("not sent: held back"),
+            Self::CheckFailed => f.write_str("not sent: the check before sending failed"),
             Self::Lost(reason) => write!(f, "answer lost: {reason}"),
-            Self::Bad(reason) => write!(f, "malformed message: {reason}"),
+            Self::Malformed(reason) => write!(f, "malformed message: {reason}"),
             Self::TooLarge => f.write_str("message larger than the limit"),
         }
     }
@@ -77,7 +77,7 @@
 
 impl std::error::Error for WebError {}
 
-/// Header fields that belong to one connection (RFC 9110, 7.6.1).
+/// Header fields that apply to a single connection (RFC 9110, section 7.6.1).
 const HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -89,20 +89,25 @@
     "upgrade",
 ];
 
-fn strip(headers: &mut HeaderMap) {
+/// Removes the header fields of a single connection and the body length, which the encoder sets
+/// again.
+fn remove_connection_headers(headers: &mut HeaderMap) {
     for name in HOP_HEADERS {
         headers.remove(name);
     }
     headers.remove(http::header::CONTENT_LENGTH);
 }
 
-/// Checks that the length of a body is given once and plainly (RFC 9112, 6.3).
-fn length(headers: &HeaderMap) -> Result<Option<u64>, WebError> {
+/// Returns the value of `content-length`, or `None` if the field is absent.
+///
+/// Fails if the field is repeated, not a plain number or combined with `transfer-encoding`: the
+/// end of the message would be ambiguous (RFC 9112, section 6.3).
+fn content_length(headers: &HeaderMap) -> Result<Option<u64>, WebError> {
     let mut lengths = headers.get_all(http::header::CONTENT_LENGTH).iter();
     let first = lengths.next();
     let chunked = headers.contains_key(http::header::TRANSFER_ENCODING);
     if lengths.next().is_some() || (first.is_some() && chunked) {
-        return Err(WebError::Bad("ambiguous length".into()));
+        return Err(WebError::Malformed("ambiguous length".into()));
     }
     let Some(first) = first else {
         return Ok(None);
@@ -112,10 +117,10 @@
     let value = text.parse().ok().filter(|_| digits);
     value
         .map(Some)
-        .ok_or_else(|| WebError::Bad("content-length is no number".into()))
+        .ok_or_else(|| WebError::Malformed("content-length is no number".into()))
 }
 
-fn payload(body: Bytes) -> Payload {
+fn to_payload(body: Bytes) -> Payload {
     if body.is_empty() {
         Payload::None
     } else {
@@ -123,13 +128,14 @@
     }
 }
 
-async fn whole<B>(body: B) -> Result<Bytes, HttpError>
+async fn read_body<B>(body: B) -> Result<Bytes, HttpError>
 where
     B: Body<Data = Bytes, Error = HttpError>,
 {
     body.bytes().await
 }
 
+/// Returns true if the connection may be used again after a message with these headers.
 fn keeps_alive(version: Version, headers: &HeaderMap) -> bool {
     let close = headers
         .get_all(http::header::CONNECTION)
--- a/src/web/client.rs
+++ b/src/web/client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 connections to endpoints, kept for reuse.
+//! HTTP/1.1 client with a pool of reusable connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,32 +17,36 @@
 use monoio_http::h1::codec::encoder::GenericEncoder;
 use monoio_http::h1::payload::Payload;
 
-use super::read_limit::{Allowance, Limited};
-use super::{Reply, Request, WebError, keeps_alive, length, payload, strip, whole};
+use super::read_limit::{LimitedStream, ReadBudget};
+use super::{
+    Reply, Request, WebError, content_length, keeps_alive, read_body, remove_connection_headers,
+    to_payload,
+};
 use crate::utils::clock::Millis;
 use crate::utils::sockets;
 
-/// Idle connections by address, and the largest answer that is read.
+/// Pool of HTTP/1.1 connections by address.
 #[derive(Clone)]
 pub struct Pool {
-    idle: Rc<RefCell<Idle>>,
-    limit: usize,
+    idle: Rc<RefCell<IdleConnections>>,
+    /// Largest reply in bytes, head and body together.
+    max_reply: usize,
 }
 
-/// Connections that wait for their next call.
-struct Idle {
+/// Idle connections by address.
+struct IdleConnections {
     by_address: HashMap<SocketAddr, Vec<Connection>>,
-    /// Connections in all.
+    /// Number of idle connections to all addresses.
     count: usize,
-    /// So many in all, a second one to an address is not kept.
-    most: usize,
+    /// Number of idle connections above which only one is kept per address.
+    max: usize,
 }
 
-impl Idle {
-    fn put(&mut self, address: SocketAddr, connection: Connection) {
-        let kept = self.by_address.entry(address).or_default();
-        if kept.is_empty() || self.count < self.most {
-            kept.push(connection);
+impl IdleConnections {
+    fn insert(&mut self, address: SocketAddr, connection: Connection) {
+        let idle = self.by_address.entry(address).or_default();
+        if idle.is_empty() || self.count < self.max {
+            idle.push(connection);
             self.count += 1;
         }
     }
@@ -53,55 +57,57 @@
         Some(connection)
     }
 
-    fn clear(&mut self, address: SocketAddr) {
-        let gone = self.by_address.remove(&address);
-        self.count -= gone.map_or(0, |connections| connections.len());
+    fn remove_all(&mut self, address: SocketAddr) {
+        let removed = self.by_address.remove(&address);
+        self.count -= removed.map_or(0, |connections| connections.len());
     }
 }
 
+/// Open connection with its codec.
 struct Connection {
     fd: i32,
-    left: Allowance,
-    encoder: GenericEncoder<OwnedWriteHalf<Limited>>,
-    decoder: ResponseDecoder<OwnedReadHalf<Limited>>,
+    budget: ReadBudget,
+    encoder: GenericEncoder<OwnedWriteHalf<LimitedStream>>,
+    decoder: ResponseDecoder<OwnedReadHalf<LimitedStream>>,
 }
 
 impl Pool {
-    /// Returns an empty pool whose answers may have `limit` bytes each.
-    pub fn new(limit: usize) -> Self {
-        let idle = Idle {
+    /// Returns an empty pool that accepts replies of at most `max_reply` bytes.
+    pub fn new(max_reply: usize) -> Self {
+        let idle = IdleConnections {
             by_address: HashMap::new(),
             count: 0,
-            most: usize::MAX,
+            max: usize::MAX,
         };
         Self {
             idle: Rc::new(RefCell::new(idle)),
-            limit,
+            max_reply,
         }
     }
 
-    /// Keeps so many idle connections at most, but for one to each address.
-    pub fn keeping(self, most: usize) -> Self {
-        self.idle.borrow_mut().most = most;
+    /// Limits the idle connections to `max`; one per address is kept even above the limit.
+    pub fn with_max_idle(self, max: usize) -> Self {
+        self.idle.borrow_mut().max = max;
         self
     }
 
-    /// Returns the number of idle connections.
-    pub fn idle(&self) -> usize {
+    /// Returns the number of idle connections to all addresses.
+    pub fn idle_count(&self) -> usize {
         self.idle.borrow().count
     }
 
-    /// Closes idle connections to an address.
-    pub fn clear(&self, address: SocketAddr) {
-        self.idle.borrow_mut().clear(address);
+    /// Closes the idle connections to an address.
+    pub fn close_idle(&self, address: SocketAddr) {
+        self.idle.borrow_mut().remove_all(address);
     }
 
-    /// Sends a request and reads the whole answer within `limit` milliseconds.
+    /// Sends a request and reads the whole reply.
     ///
-    /// `check` runs right before the first byte leaves; false sends nothing.
-    /// Only [`WebError::NotSent`] is proof that the endpoint got nothing. A
-    /// connection is kept only after a whole answer, so that no later request
-    /// can get a late one.
+    /// Connecting may take `limit` milliseconds, and so may sending and reading. `check` runs
+    /// right before the first byte is sent; nothing is sent if it returns false. Only
+    /// [`WebError::NotSent`] and [`WebError::CheckFailed`] prove that the peer received nothing.
+    /// A connection is reused only after a whole reply, so that a late reply cannot be taken for
+    /// that of another request.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -109,85 +115,87 @@
         limit: Millis,
         check: impl Fn() -> bool,
     ) -> Result<Reply, WebError> {
-        let span = Duration::from_millis(limit);
-        let connection = match timeout(span, self.take(address)).await {
+        let duration = Duration::from_millis(limit);
+        let connection = match timeout(duration, self.acquire(address)).await {
             Ok(Ok(connection)) => connection,
             Ok(Err(e)) => return Err(WebError::NotSent(e.to_string())),
             Err(_) => return Err(WebError::NotSent("connect timed out".into())),
         };
         if !check() {
-            self.put(address, connection);
-            return Err(WebError::Held);
+            self.release(address, connection);
+            return Err(WebError::CheckFailed);
         }
-        let result = timeout(span, exchange(connection, request, self.limit)).await;
+        let result = timeout(duration, round_trip(connection, request, self.max_reply)).await;
         let Ok(result) = result else {
             log::debug!(target: "web", "event=unanswered address={address} limit_ms={limit}");
             crate::metrics::count_unanswered_call("http");
-            // What silenced this connection may have silenced all of its age.
-            self.clear(address);
+            // Whatever silenced this connection may affect all connections opened before now.
+            self.close_idle(address);
             return Err(WebError::Lost("timed out".into()));
         };
         let (reply, connection) = result?;
         if let Some(connection) = connection {
-            self.put(address, connection);
+            self.release(address, connection);
         }
         Ok(reply)
     }
 
-    async fn take(&self, address: SocketAddr) -> std::io::Result<Connection> {
+    /// Returns an idle connection, or opens a new one if no idle connection is usable.
+    async fn acquire(&self, address: SocketAddr) -> std::io::Result<Connection> {
         loop {
-            let kept = self.idle.borrow_mut().pop(address);
-            match kept {
-                Some(connection) if usable(connection.fd) => return Ok(connection),
+            let idle = self.idle.borrow_mut().pop(address);
+            match idle {
+                Some(connection) if is_usable(connection.fd) => return Ok(connection),
                 Some(_) => continue,
-                None => return open(address, self.limit).await,
+                None => return connect(address, self.max_reply).await,
             }
         }
     }
 
-    fn put(&self, address: SocketAddr, connection: Connection) {
-        self.idle.borrow_mut().put(address, connection);
+    fn release(&self, address: SocketAddr, connection: Connection) {
+        self.idle.borrow_mut().insert(address, connection);
     }
 }
 
-/// Returns true when an idle connection is open and has nothing to read.
-fn usable(fd: i32) -> bool {
+/// Returns true if an idle connection is open and has nothing to read.
+fn is_usable(fd: i32) -> bool {
     let mut byte = 0u8;
     let flags = libc::MSG_PEEK | libc::MSG_DONTWAIT;
-    // SAFETY: `fd` belongs to a connection that is held, `byte` is writable.
+    // SAFETY: `fd` belongs to an open connection that the caller owns, and `byte` is writable.
     let count = unsafe { libc::recv(fd, (&raw mut byte).cast(), 1, flags) };
     let blocked = std::io::Error::last_os_error().kind() == std::io::ErrorKind::WouldBlock;
     count < 0 && blocked
 }
 
-async fn open(address: SocketAddr, limit: usize) -> std::io::Result<Connection> {
+async fn connect(address: SocketAddr, max_reply: usize) -> std::io::Result<Connection> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     sockets::enable_keepalive(&stream);
     let fd = stream.as_raw_fd();
-    let left = Allowance::new(limit);
-    let (reader, writer) = Limited::new(stream, left.clone()).into_split();
+    let budget = ReadBudget::new(max_reply);
+    let (reader, writer) = LimitedStream::new(stream, budget.clone()).into_split();
     Ok(Connection {
         fd,
-        left,
+        budget,
         encoder: GenericEncoder::new(writer),
         decoder: ResponseDecoder::new(reader),
     })
 }
 
-async fn exchange(
+/// Sends a request, reads its reply and returns the connection if it may be reused.
+async fn round_trip(
     mut connection: Connection,
     request: Request,
-    limit: usize,
+    max_reply: usize,
 ) -> Result<(Reply, Option<Connection>), WebError> {
     let lost = |e: &dyn std::fmt::Display| WebError::Lost(e.to_string());
     let bodiless = request.method == Method::HEAD;
-    let mut message = http::Request::<Payload>::new(payload(request.body));
+    let mut message = http::Request::<Payload>::new(to_payload(request.body));
     *message.method_mut() = request.method;
     *message.uri_mut() = request.uri;
     *message.version_mut() = Version::HTTP_11;
     *message.headers_mut() = request.headers;
-    connection.left.reset(limit);
+    connection.budget.reset(max_reply);
     let sent = connection.encoder.send_and_flush(message).await;
     sent.map_err(|e| lost(&e))?;
     let response = match connection.decoder.next().await {
@@ -201,10 +209,12 @@
             StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
         );
     let chunked = head.headers.contains_key(http::header::TRANSFER_ENCODING);
-    let size = length(&head.headers)?;
-    // Without a length nothing tells a whole answer from a cut one.
+    let size = content_length(&head.headers)?;
+    // Without a length a truncated reply cannot be told from a whole one.
     if !empty && !chunked && size.is_none() {
-        return Err(WebError::Lost("answer without a length".into()));
+        return Err(WebError::Lost(
+            "reply without content-length or transfer-encoding".into(),
+        ));
     }
     if !bodiless {
         let filled = connection.decoder.fill_payload().await;
@@ -212,10 +222,10 @@
     }
     let body = match bodiless {
         true => bytes::Bytes::new(),
-        false => whole(body).await.map_err(|e| lost(&e))?,
+        false => read_body(body).await.map_err(|e| lost(&e))?,
     };
     let reusable = keeps_alive(head.version, &head.headers) && !bodiless;
-    strip(&mut head.headers);
+    remove_connection_headers(&mut head.headers);
     let reply = Reply {
         status: head.status,
         headers: head.headers,
--- a/src/web/read_limit.rs
+++ b/src/web/read_limit.rs
@@ -1,4 +1,4 @@
-//! A stream that reads no more than its allowance.
+//! TCP stream that limits the number of bytes read.
 
 use std::cell::Cell;
 use std::io;
@@ -9,82 +9,82 @@
 use monoio::io::{AsyncReadRent, AsyncWriteRent, Split};
 use monoio::net::TcpStream;
 
-/// Bytes that may still be read; shared between the stream and its reader.
+/// Number of bytes that may still be read, shared by the stream and the code that reads from it.
 #[derive(Clone)]
-pub struct Allowance(Rc<Cell<usize>>);
+pub struct ReadBudget(Rc<Cell<usize>>);
 
-impl Allowance {
-    /// Returns an allowance of `bytes`.
+impl ReadBudget {
+    /// Returns a budget of `bytes`.
     pub fn new(bytes: usize) -> Self {
         Self(Rc::new(Cell::new(bytes)))
     }
 
-    /// Sets the allowance anew, for the next message.
+    /// Resets the budget to `bytes`, for the next part of a message or the next message.
     pub fn reset(&self, bytes: usize) {
         self.0.set(bytes);
     }
 
-    /// Returns true when nothing may be read any more.
-    pub fn spent(&self) -> bool {
+    /// Returns true if no more bytes may be read.
+    pub fn is_exhausted(&self) -> bool {
         self.0.get() == 0
     }
 
-    /// Returns true while nothing was read of an allowance of `bytes`.
-    pub fn whole(&self, bytes: usize) -> bool {
+    /// Returns true if nothing has been read since the budget was set to `bytes`.
+    pub fn is_untouched(&self, bytes: usize) -> bool {
         self.0.get() == bytes
     }
 
-    fn take(&self, bytes: usize) {
+    fn consume(&self, bytes: usize) {
         self.0.set(self.0.get().saturating_sub(bytes));
     }
 }
 
-/// A TCP stream whose reads fail once the allowance is spent.
-pub struct Limited {
+/// TCP stream whose reads fail once the budget is exhausted.
+pub struct LimitedStream {
     stream: TcpStream,
-    left: Allowance,
+    budget: ReadBudget,
 }
 
-// SAFETY: `TcpStream` may be split, and only the reading half uses `left`.
-unsafe impl Split for Limited {}
+// SAFETY: `TcpStream` supports splitting, and only the read half uses `budget`.
+unsafe impl Split for LimitedStream {}
 
-impl Limited {
-    /// Wraps a stream.
-    pub fn new(stream: TcpStream, left: Allowance) -> Self {
-        Self { stream, left }
+impl LimitedStream {
+    /// Limits the reads of a stream to a budget.
+    pub fn new(stream: TcpStream, budget: ReadBudget) -> Self {
+        Self { stream, budget }
     }
 
-    fn refusal(&self) -> Option<io::Error> {
-        let spent = self.left.spent();
-        spent.then(|| io::Error::other("allowance spent"))
+    fn exhausted_error(&self) -> Option<io::Error> {
+        let exhausted = self.budget.is_exhausted();
+        exhausted.then(|| io::Error::other("read limit exceeded"))
     }
 }
 
-impl AsyncReadRent for Limited {
+impl AsyncReadRent for LimitedStream {
     async fn read<T: IoBufMut>(&mut self, buf: T) -> BufResult<usize, T> {
-        if let Some(e) = self.refusal() {
+        if let Some(e) = self.exhausted_error() {
             return (Err(e), buf);
         }
         let (result, buf) = self.stream.read(buf).await;
         if let Ok(count) = result {
-            self.left.take(count);
+            self.budget.consume(count);
         }
         (result, buf)
     }
 
     async fn readv<T: IoVecBufMut>(&mut self, buf: T) -> BufResult<usize, T> {
-        if let Some(e) = self.refusal() {
+        if let Some(e) = self.exhausted_error() {
             return (Err(e), buf);
         }
         let (result, buf) = self.stream.readv(buf).await;
         if let Ok(count) = result {
-            self.left.take(count);
+            self.budget.consume(count);
         }
         (result, buf)
     }
 }
 
-impl AsyncWriteRent for Limited {
+impl AsyncWriteRent for LimitedStream {
     async fn write<T: IoBuf>(&mut self, buf: T) -> BufResult<usize, T> {
         self.stream.write(buf).await
     }
--- a/src/web/server.rs
+++ b/src/web/server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP/1.1 connections.
+//! HTTP/1.1 server with limits on connections, message sizes and idle time.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -17,32 +17,35 @@
 use monoio_http::h1::codec::decoder::FillPayload;
 use monoio_http::h1::payload::Payload;
 
-use super::read_limit::{Allowance, Limited};
-use super::{Reply, Request, WebError, keeps_alive, length, payload, strip, whole};
+use super::read_limit::{LimitedStream, ReadBudget};
+use super::{
+    Reply, Request, WebError, content_length, keeps_alive, read_body, remove_connection_headers,
+    to_payload,
+};
 use crate::utils::clock::Millis;
 use crate::utils::drain::Drain;
 use crate::utils::listen;
 
-/// How long a connection without a request stays open once the end has begun:
-/// its next request may be on its way.
-const LAST_CALL: Duration = Duration::from_millis(500);
+/// Time for which an idle connection stays open after the drain has begun, as the caller may
+/// already have sent its next request.
+const DRAIN_IDLE_GRACE: Duration = Duration::from_millis(500);
 
-/// Bounds of what a server reads and holds.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Largest request head in bytes.
     pub head: usize,
-    /// Bytes of a request's body.
+    /// Largest request body in bytes.
     pub body: usize,
-    /// Connections held at once.
+    /// Largest number of open connections.
     pub connections: usize,
-    /// Milliseconds that a connection may stay idle or a message incomplete.
+    /// Milliseconds within which the next whole request must arrive.
     pub idle: Millis,
 }
 
-/// Accepts connections until `drain` has begun and hands each request to `handle`.
+/// Accepts connections and passes each request to `handle` until `drain` begins.
 ///
-/// A request that has begun by then is read, answered and its connection closed.
+/// A request that has partly arrived by then is read and answered before its connection is closed.
 pub async fn serve<H, F>(listener: TcpListener, limits: Limits, drain: Drain, handle: H)
 where
     H: Fn(Request) -> F + 'static,
@@ -50,7 +53,7 @@
 {
     let handle = Rc::new(handle);
     let open = Rc::new(Cell::new(0));
-    let begin = |stream: TcpStream| {
+    let accept = |stream: TcpStream| {
         if open.get() >= limits.connections {
             log::warn!(target: "web", "connection refused: limit of {} reached", limits.connections);
             return;
@@ -58,16 +61,17 @@
         open.set(open.get() + 1);
         let (handle, open, drain) = (handle.clone(), open.clone(), drain.clone());
         monoio::spawn(async move {
-            if let Err(e) = connection(stream, limits, drain, handle).await {
+            if let Err(e) = serve_connection(stream, limits, drain, handle).await {
                 log::debug!(target: "web", "connection ended: {e}");
             }
             open.set(open.get() - 1);
         });
     };
-    listen::accept_all(listener, &drain, begin).await;
+    listen::accept_all(listener, &drain, accept).await;
 }
 
-async fn connection<H, F>(
+/// Answers the requests of a connection until one side closes it.
+async fn serve_connection<H, F>(
     stream: TcpStream,
     limits: Limits,
     drain: Drain,
@@ -79,95 +83,105 @@
 {
     stream
         .set_nodelay(true)
-        .map_err(|e| WebError::Bad(e.to_string()))?;
-    let left = Allowance::new(limits.head);
-    let mut codec = ServerCodec::new(Limited::new(stream, left.clone()));
+        .map_err(|e| WebError::Malformed(e.to_string()))?;
+    let budget = ReadBudget::new(limits.head);
+    let mut codec = ServerCodec::new(LimitedStream::new(stream, budget.clone()));
     loop {
-        left.reset(limits.head);
-        let outcome = match next(&mut codec, &left, limits, &drain).await {
+        budget.reset(limits.head);
+        let outcome = match next_request(&mut codec, &budget, limits, &drain).await {
             Ok(Some(outcome)) => outcome,
             Ok(None) => return Ok(()),
             Err(e) => {
-                let reply = refusal(&e);
-                send(&mut codec, reply, false).await?;
+                let reply = error_reply(&e);
+                send_reply(&mut codec, reply, false).await?;
                 return Err(e);
             }
         };
-        let (request, alive) = outcome;
+        let (request, keep_alive) = outcome;
         let reply = handle(request).await;
-        let alive = alive && keeps_alive(Version::HTTP_11, &reply.headers) && !drain.has_begun();
-        send(&mut codec, reply, alive).await?;
-        if !alive {
+        let keep_alive =
+            keep_alive && keeps_alive(Version::HTTP_11, &reply.headers) && !drain.has_begun();
+        send_reply(&mut codec, reply, keep_alive).await?;
+        if !keep_alive {
             let closed = Sink::<Response>::close(&mut codec).await;
-            return closed.map_err(|e| WebError::Bad(e.to_string()));
+            return closed.map_err(|e| WebError::Malformed(e.to_string()));
         }
     }
 }
 
-/// Reads the next request; none when the peer has closed, was idle for too
-/// long, or had sent nothing of it by the end of the last call.
-async fn next(
-    codec: &mut ServerCodec<Limited>,
-    left: &Allowance,
+/// Reads the next request, and returns whether the caller keeps the connection open after it.
+///
+/// Returns `None` if the caller closed the connection, sent no whole request within
+/// [`Limits::idle`], or sent nothing by the end of [`DRAIN_IDLE_GRACE`].
+async fn next_request(
+    codec: &mut ServerCodec<LimitedStream>,
+    budget: &ReadBudget,
     limits: Limits,
     drain: &Drain,
 ) -> Result<Option<(Request, bool)>, WebError> {
     let idle = Duration::from_millis(limits.idle);
-    let mut reading = pin!(timeout(idle, read(codec, left, limits)));
+    let mut reading = pin!(timeout(idle, read_request(codec, budget, limits)));
     if let Either::Left((outcome, _)) = select(reading.as_mut(), pin!(drain.begun())).await {
         return outcome.unwrap_or(Ok(None));
     }
-    if let Either::Left((outcome, _)) = select(reading.as_mut(), pin!(sleep(LAST_CALL))).await {
+    if let Either::Left((outcome, _)) =
+        select(reading.as_mut(), pin!(sleep(DRAIN_IDLE_GRACE))).await
+    {
         return outcome.unwrap_or(Ok(None));
     }
-    if left.whole(limits.head) {
+    if budget.is_untouched(limits.head) {
         return Ok(None);
     }
     reading.await.unwrap_or(Ok(None))
 }
 
-async fn read(
-    codec: &mut ServerCodec<Limited>,
-    left: &Allowance,
+/// Reads a request within the limits on its head and body; `None` if the caller closed.
+async fn read_request(
+    codec: &mut ServerCodec<LimitedStream>,
+    budget: &ReadBudget,
     limits: Limits,
 ) -> Result<Option<(Request, bool)>, WebError> {
     let request = match codec.next().await {
         None => return Ok(None),
         Some(Ok(request)) => request,
-        Some(Err(_)) if left.spent() => return Err(WebError::TooLarge),
-        Some(Err(e)) => return Err(WebError::Bad(e.to_string())),
+        Some(Err(_)) if budget.is_exhausted() => return Err(WebError::TooLarge),
+        Some(Err(e)) => return Err(WebError::Malformed(e.to_string())),
     };
     let (mut head, body) = request.into_parts();
-    let size = length(&head.headers)?;
+    let size = content_length(&head.headers)?;
     if size.is_some_and(|size| size > limits.body as u64) {
         return Err(WebError::TooLarge);
     }
-    left.reset(limits.body + limits.head);
-    codec.fill_payload().await.map_err(|e| bad(left, e))?;
-    let body = whole(body).await.map_err(|e| bad(left, e))?;
+    budget.reset(limits.body + limits.head);
+    codec
+        .fill_payload()
+        .await
+        .map_err(|e| read_error(budget, e))?;
+    let body = read_body(body).await.map_err(|e| read_error(budget, e))?;
     if body.len() > limits.body {
         return Err(WebError::TooLarge);
     }
-    let alive = keeps_alive(head.version, &head.headers);
-    strip(&mut head.headers);
+    let keep_alive = keeps_alive(head.version, &head.headers);
+    remove_connection_headers(&mut head.headers);
     let request = Request {
         method: head.method,
         uri: head.uri,
         headers: head.headers,
         body,
     };
-    Ok(Some((request, alive)))
+    Ok(Some((request, keep_alive)))
 }
 
-fn bad(left: &Allowance, e: impl std::fmt::Display) -> WebError {
-    if left.spent() {
+/// Returns the error of a failed read: too large if the read budget caused it.
+fn read_error(budget: &ReadBudget, e: impl std::fmt::Display) -> WebError {
+    if budget.is_exhausted() {
         return WebError::TooLarge;
     }
-    WebError::Bad(e.to_string())
+    WebError::Malformed(e.to_string())
 }
 
-/// Returns the answer to a request that could not be read, and so was not run.
-fn refusal(e: &WebError) -> Reply {
+/// Returns the reply to a request that could not be read and therefore was not run.
+fn error_reply(e: &WebError) -> Reply {
     let status = match e {
         WebError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
         _ => StatusCode::BAD_REQUEST,
@@ -178,12 +192,16 @@
     reply
 }
 
-async fn send(codec: &mut ServerCodec<Limited>, reply: Reply, alive: bool) -> Result<(), WebError> {
-    let mut response = Response::<Payload>::new(payload(reply.body));
+async fn send_reply(
+    codec: &mut ServerCodec<LimitedStream>,
+    reply: Reply,
+    keep_alive: bool,
+) -> Result<(), WebError> {
+    let mut response = Response::<Payload>::new(to_payload(reply.body));
     *response.status_mut() = reply.status;
     *response.version_mut() = Version::HTTP_11;
     *response.headers_mut() = reply.headers;
-    if !alive {
+    if !keep_alive {
         let close = http::HeaderValue::from_static("close");
         response
             .headers_mut()
--- a/src/web/tests.rs
+++ b/src/web/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of message lengths.
+//! Tests of body lengths and of the connection pool.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -6,7 +6,7 @@
 use http::HeaderMap;
 
 use super::client::Pool;
-use super::{Request, WebError, length};
+use super::{Request, WebError, content_length};
 use crate::metrics::{self, ProtocolLabel};
 
 fn headers(lines: &[(&'static str, &'static str)]) -> HeaderMap {
@@ -20,47 +20,47 @@
 #[test]
 fn ambiguous_lengths_are_refused() {
     let twice = headers(&[("content-length", "3"), ("content-length", "4")]);
-    assert!(length(&twice).is_err());
+    assert!(content_length(&twice).is_err());
     let both = headers(&[("content-length", "3"), ("transfer-encoding", "chunked")]);
-    assert!(length(&both).is_err());
-    assert!(length(&headers(&[("content-length", "+3")])).is_err());
+    assert!(content_length(&both).is_err());
+    assert!(content_length(&headers(&[("content-length", "+3")])).is_err());
     assert_eq!(
-        length(&headers(&[("content-length", "3")])).unwrap(),
+        content_length(&headers(&[("content-length", "3")])).unwrap(),
         Some(3)
     );
-    assert_eq!(length(&headers(&[])).unwrap(), None);
+    assert_eq!(content_length(&headers(&[])).unwrap(), None);
 }
 
-/// Milliseconds for an answer that comes, also on a busy machine.
-const PATIENCE: u64 = 60_000;
+/// Milliseconds within which an expected reply arrives even on a busy machine.
+const REPLY_TIMEOUT: u64 = 60_000;
 
-/// Accepts connections on a thread; each answers `answers` requests, then falls
-/// silent and stays open.
-fn falls_silent(answers: usize) -> SocketAddr {
+/// Starts a server whose connections answer `replies` requests each, then stay open without
+/// answering.
+fn silent_server(replies: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            std::thread::spawn(move || serve_some(stream, answers));
+            std::thread::spawn(move || serve_some(stream, replies));
         }
     });
     address
 }
 
-fn serve_some(mut stream: std::net::TcpStream, answers: usize) {
+fn serve_some(mut stream: std::net::TcpStream, replies: usize) {
     let mut buffer = [0; 1_024];
     let mut served = 0;
     while stream.read(&mut buffer).is_ok_and(|n| n > 0) {
-        if served < answers {
-            let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-            stream.write_all(answer).unwrap();
+        if served < replies {
+            let reply = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+            stream.write_all(reply).unwrap();
         }
         served += 1;
     }
 }
 
-/// Returns how many calls have had no answer in time on an open connection.
-fn unanswered(by: &'static str) -> u64 {
+/// Returns the number of calls that timed out on an open connection.
+fn unanswered_calls(by: &'static str) -> u64 {
     metrics::get()
         .unanswered_calls
         .get_or_create(&ProtocolLabel { by })
@@ -68,8 +68,8 @@
 }
 
 #[test]
-fn connections_as_old_as_a_silent_one_are_not_used_again() {
-    let address = falls_silent(1);
+fn connections_opened_before_a_silent_one_timed_out_are_not_reused() {
+    let address = silent_server(1);
     let request = || Request {
         method: http::Method::GET,
         uri: "/".parse().unwrap(),
@@ -77,21 +77,24 @@
         body: bytes::Bytes::new(),
     };
     let pool = Pool::new(1 << 10);
-    let count = || unanswered("http");
+    let count = || unanswered_calls("http");
     let before = count();
     let call = async |limit| pool.call(address, request(), limit, || true).await;
     crate::program::block_on(async {
-        let (one, two) = futures::join!(call(PATIENCE), call(PATIENCE));
-        assert!(one.is_ok() && two.is_ok(), "two connections are kept");
+        let (one, two) = futures::join!(call(REPLY_TIMEOUT), call(REPLY_TIMEOUT));
+        assert!(one.is_ok() && two.is_ok(), "both connections are idle");
         assert!(matches!(call(100).await, Err(WebError::Lost(_))));
-        assert!(count() > before, "it is counted");
-        assert!(call(PATIENCE).await.is_ok(), "a new connection is opened");
+        assert!(count() > before, "the unanswered call is counted");
+        assert!(
+            call(REPLY_TIMEOUT).await.is_ok(),
+            "a new connection is opened"
+        );
     })
     .unwrap();
 }
 
-/// Answers each request on each of its connections, until the test ends.
-fn answers() -> SocketAddr {
+/// Starts a server that answers every request until the test ends.
+fn answering_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -101,9 +104,9 @@
             };
             std::thread::spawn(move || {
                 let mut buffer = [0; 1_024];
-                let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+                let reply = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
                 while stream.read(&mut buffer).is_ok_and(|n| n > 0) {
-                    if stream.write_all(answer).is_err() {
+                    if stream.write_all(reply).is_err() {
                         return;
                     }
                 }
@@ -114,27 +117,35 @@
 }
 
 #[test]
-fn a_pool_keeps_no_more_idle_connections_than_it_may_but_one_to_each_address() {
-    let (one, two) = (answers(), answers());
+fn idle_connections_above_the_limit_are_closed_except_one_per_address() {
+    let (one, two) = (answering_server(), answering_server());
     let request = || Request {
         method: http::Method::GET,
         uri: "/".parse().unwrap(),
         headers: headers(&[("host", "x")]),
         body: bytes::Bytes::new(),
     };
-    let pool = Pool::new(1 << 10).keeping(3);
-    let call = async |address| pool.call(address, request(), PATIENCE, || true).await;
+    let pool = Pool::new(1 << 10).with_max_idle(3);
+    let call = async |address| pool.call(address, request(), REPLY_TIMEOUT, || true).await;
     crate::program::block_on(async {
         let calls = futures::future::join_all((0..8).map(|_| call(one)));
         assert!(calls.await.iter().all(Result::is_ok));
-        assert_eq!(pool.idle(), 3);
+        assert_eq!(pool.idle_count(), 3);
         let calls = futures::future::join_all((0..8).map(|_| call(two)));
         assert!(calls.await.iter().all(Result::is_ok));
-        assert_eq!(pool.idle(), 4, "one to the other address");
+        assert_eq!(
+            pool.idle_count(),
+            4,
+            "one connection to the second address is kept"
+        );
         assert!(call(one).await.is_ok() && call(two).await.is_ok());
-        assert_eq!(pool.idle(), 3, "what is above goes with its next use");
-        pool.clear(one);
-        assert_eq!(pool.idle(), 1);
+        assert_eq!(
+            pool.idle_count(),
+            3,
+            "connections above the limit are closed after their next use"
+        );
+        pool.close_idle(one);
+        assert_eq!(pool.idle_count(), 1);
     })
     .unwrap();
 }
