--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: one line an event, as JSON or plain text.
+//! Logging: one line per event, as JSON or plain text, to standard output.
 
 mod sink;
 
@@ -16,23 +16,23 @@
 
 use crate::utils::clock;
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
     /// Plain text.
     Text,
 }
 
-/// What is logged and how.
+/// Format and levels of the log.
 #[derive(Clone, Debug)]
 pub struct LogSettings {
-    /// Form of a line.
+    /// Format of a line.
     pub format: Format,
-    /// Level of all modules without a level of their own.
+    /// Level of the modules that have no level of their own.
     pub level: LevelFilter,
-    /// Levels by module.
+    /// Modules, or log targets, with their own levels.
     pub modules: Vec<(String, LevelFilter)>,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// A line as JSON.
+/// A log line in JSON format.
 #[derive(Serialize)]
 struct JsonLine<'a> {
     time: u64,
@@ -57,7 +57,8 @@
     message: &'a str,
 }
 
-/// Starts logging to standard output; `node` is the name written into each line.
+/// Starts logging to standard output. `node` is written into each line as the name of the box. Fails
+/// if logging was started before.
 pub fn init(logs: &LogSettings, node: &str) -> eyre::Result<()> {
     let format = logs.format;
     let node = node.to_string();
@@ -81,7 +82,7 @@
     let sink = Arc::new(Mutex::new(Sink::new(io::stdout().as_raw_fd())));
     let writer: Box<dyn Write + Send> = Box::new(Writer(sink.clone()));
     dispatch.chain(writer).apply()?;
-    // Only the first start of a process gets here, as `apply` fails later.
+    // Only the first call in a process gets here: `apply` fails for any other.
     let _ = SINK.set(sink);
     Ok(())
 }
@@ -89,7 +90,7 @@
 /// The sink of this process, once logging has started.
 static SINK: OnceLock<Arc<Mutex<Sink>>> = OnceLock::new();
 
-/// Writes into the sink of this process.
+/// Adapter that writes to the shared sink.
 struct Writer(Arc<Mutex<Sink>>);
 
 impl Write for Writer {
@@ -102,14 +103,14 @@
     }
 }
 
-/// Locks the sink, also after a panic of a thread that held it: its state is whole
-/// between two lines, and no line is lost for that.
+/// Locks the sink, even if a thread panicked while it held the lock. Its state is consistent between
+/// two lines, so no line needs to be lost.
 fn lock(sink: &Mutex<Sink>) -> MutexGuard<'_, Sink> {
     sink.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Lets lines wait for others to be written with them; the program has to call
-/// [`flush`] often. Lines of before a panic are written at once.
+/// Lets the sink write several lines with one system call. The program has to call [`flush`] often,
+/// as lines may otherwise wait for ever. A panic writes the waiting lines at once.
 pub fn enable_batching() {
     if let Some(sink) = SINK.get() {
         lock(sink).enable_batching();
@@ -121,7 +122,7 @@
     }));
 }
 
-/// Writes the lines that wait.
+/// Writes the waiting lines, unless another thread is writing.
 pub fn flush() {
     if let Some(Ok(mut sink)) = SINK.get().map(|s| s.try_lock()) {
         sink.write_pending();
--- a/src/logs/sink.rs
+++ b/src/logs/sink.rs
@@ -1,45 +1,46 @@
-//! Where log lines go: a descriptor that is never waited for.
+//! Writes log lines to a file descriptor without ever blocking on it.
 
 use std::io::{self, Write};
 use std::os::fd::RawFd;
 
 use crate::utils::clock::{self, Millis};
 
-/// Lines a second that are written; some times the busiest second seen.
+/// Most lines that are written in a window. This is several times the rate of the busiest second
+/// seen in practice.
 const MAX_LINES_PER_WINDOW: u32 = 4_000;
-/// Bytes of a line that a pipe takes at once (`PIPE_BUF` of Linux).
+/// Most bytes that Linux writes to a pipe atomically (`PIPE_BUF`).
 const MAX_ATOMIC_WRITE: usize = 4_096;
-/// Milliseconds over which lines are counted.
+/// Window over which lines are counted, in milliseconds.
 const WINDOW: Millis = 1_000;
-/// Milliseconds that a line waits for others to be written with it, where that is
-/// asked for. A line by itself took three system calls, which were two in five of
-/// all that an owner made at 1,000 tasks a second (counted with strace).
+/// Longest time that a line waits to be written together with others, in milliseconds, if batching
+/// is enabled. Without batching each line takes three system calls, which were two fifths of all
+/// system calls of an owner at 1,000 tasks per second.
 const BATCH_DELAY: Millis = 20;
 
-/// A writer that drops whole lines when its reader is slow or too many come,
-/// and says how many.
+/// A writer that drops whole lines if its reader is slow or if lines come too fast. It logs and
+/// counts the dropped lines.
 pub struct Sink {
     fd: RawFd,
-    /// The line as far as it was gathered.
+    /// Beginning of the line that is being written.
     line: Vec<u8>,
-    /// Whole lines that are not written yet.
+    /// Whole lines that wait to be written.
     pending: Vec<u8>,
-    /// How many these are.
+    /// Number of waiting lines.
     pending_lines: u64,
-    /// When the first of them came.
+    /// Time of the first waiting line, in milliseconds.
     pending_since: Millis,
-    /// Milliseconds that it may wait.
+    /// Longest time that a line may wait, in milliseconds; 0 without batching.
     batch_delay: Millis,
-    /// When the present span of counted lines began.
+    /// Start of the present window, in milliseconds.
     window_start: Millis,
-    /// Lines in that span.
+    /// Lines in the present window, including dropped ones.
     window_lines: u32,
-    /// Lines dropped since that was last said.
+    /// Lines dropped since this was last logged.
     dropped: u64,
 }
 
 impl Sink {
-    /// Returns a writer to an open descriptor.
+    /// Creates a writer to an open file descriptor.
     pub fn new(fd: RawFd) -> Self {
         Self {
             fd,
@@ -54,13 +55,13 @@
         }
     }
 
-    /// Lets lines wait a little for others; [`Sink::write_pending`] has to be called
-    /// now and then.
+    /// Lets lines wait for a short time to be written together. [`Sink::write_pending`] has to be
+    /// called regularly from then on.
     pub fn enable_batching(&mut self) {
         self.batch_delay = BATCH_DELAY;
     }
 
-    /// Writes the lines that wait, or drops them.
+    /// Writes the waiting lines, or drops them if they cannot be written now.
     pub fn write_pending(&mut self) {
         if self.pending_lines == 0 {
             return;
@@ -81,19 +82,19 @@
         crate::metrics::get().dropped_lines.inc_by(count);
     }
 
-    /// Returns true when a line can be written without waiting.
+    /// Returns true if the descriptor can be written to without blocking.
     fn is_writable(&self) -> bool {
         let mut poll = libc::pollfd {
             fd: self.fd,
             events: libc::POLLOUT,
             revents: 0,
         };
-        // SAFETY: `poll` is one valid entry.
+        // SAFETY: `poll` is valid for reading and writing as an array of one entry.
         let count = unsafe { libc::poll(&mut poll, 1, 0) };
         count == 1 && poll.revents & libc::POLLOUT != 0
     }
 
-    /// Counts a line; false when too many have come.
+    /// Counts a line. Returns false if it is one too many in the present window.
     fn is_within_rate(&mut self) -> bool {
         let now = clock::now();
         if now >= self.window_start + WINDOW {
@@ -104,9 +105,9 @@
         self.window_lines <= MAX_LINES_PER_WINDOW
     }
 
-    /// Writes all of the bytes or fails.
+    /// Writes bytes with one system call. Returns true if all of them were written.
     fn write_all_now(&self, bytes: &[u8]) -> bool {
-        // SAFETY: `bytes` is valid for reading.
+        // SAFETY: `bytes` is readable for its length.
         let sent = unsafe { libc::write(self.fd, bytes.as_ptr().cast(), bytes.len()) };
         sent == bytes.len() as isize
     }
@@ -125,7 +126,7 @@
         Ok(bytes.len())
     }
 
-    /// Ends the gathered line, and writes it unless it may wait for others.
+    /// Ends the line, and writes it unless it may wait for others.
     fn flush(&mut self) -> io::Result<()> {
         let mut line = std::mem::take(&mut self.line);
         if line.len() > MAX_ATOMIC_WRITE {
--- a/src/logs/tests.rs
+++ b/src/logs/tests.rs
@@ -6,12 +6,12 @@
 use super::Sink;
 
 fn line(sink: &mut Sink, text: &str) {
-    sink.write_all(text.as_bytes()).expect("gathered");
+    sink.write_all(text.as_bytes()).expect("buffered");
     sink.flush().expect("sent or dropped");
 }
 
 #[test]
-fn a_full_pipe_is_not_waited_for_and_the_loss_is_said() {
+fn a_full_pipe_does_not_block_and_dropped_lines_are_reported() {
     let (mut reader, writer) = std::io::pipe().expect("pipe");
     let mut sink = Sink::new(writer.as_raw_fd());
     let long = format!("{}\n", "x".repeat(2_000));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn lines_that_may_wait_are_written_together() {
+fn batched_lines_are_written_together() {
     let (mut reader, writer) = std::io::pipe().expect("pipe");
     let mut sink = Sink::new(writer.as_raw_fd());
     sink.enable_batching();
@@ -45,11 +45,14 @@
     line(&mut sink, &format!("{}\n", "y".repeat(4_000)));
     let mut long = [0; 8_192];
     let count = reader.read(&mut long).expect("the first one");
-    assert_eq!(count, 4_001, "written once the next did not fit beside it");
+    assert_eq!(
+        count, 4_001,
+        "the first line is written when the next one does not fit beside it"
+    );
 }
 
 #[test]
-fn a_line_is_cut_to_what_a_pipe_takes_at_once() {
+fn a_long_line_is_cut_to_an_atomic_write() {
     let (mut reader, writer) = std::io::pipe().expect("pipe");
     let mut sink = Sink::new(writer.as_raw_fd());
     line(&mut sink, &format!("{}\n", "x".repeat(9_000)));
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges in the text format of Prometheus.
+//! Metrics of the process, in the text format of Prometheus.
 
 mod registration;
 
@@ -24,28 +24,28 @@
 pub struct AnswerLabels {
     /// `answer`, `not-run` or `unknown`.
     pub verdict: &'static str,
-    /// Why, for what is not the endpoint's answer.
+    /// Reason for an answer that is not from an endpoint, otherwise empty.
     pub reason: &'static str,
 }
 
-/// Label of an owner's end in this process.
+/// Label of the end of an owner's term.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct OwnerEndLabel {
     /// `released`, `deposed` or `superseded`.
     pub reason: &'static str,
 }
 
-/// Label of the time that the owner's decisions took.
+/// Label of the time spent on the owner's decisions.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct EventLabel {
-    /// Kind of the event that they took in.
+    /// Kind of the event that was processed.
     pub event: &'static str,
 }
 
-/// Label of a call between programs.
+/// Label of an outgoing call.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct ProtocolLabel {
-    /// `http` to store, workers and advisor, `grpc` to boxes.
+    /// `http` for calls to the store, workers and the advisor, `grpc` for calls to boxes.
     pub by: &'static str,
 }
 
@@ -58,94 +58,95 @@
 /// Label of the image that a task runs.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct ImageLabel {
-    /// Its name.
+    /// Name of the image, or `other`.
     pub image: String,
 }
 
-/// All metrics of a box.
+/// All metrics of a process.
 pub struct Metrics {
     registry: Registry,
     /// Answers to callers.
     pub answers: Family<AnswerLabels, Counter>,
-    /// Seconds from a caller's request to its answer.
+    /// Time from a caller's request to its answer, in seconds.
     pub request_seconds: Histogram,
-    /// Requests handed to other boxes.
+    /// Requests forwarded to other boxes.
     pub forwards: Counter,
-    /// Rows that did not decode.
+    /// Rows read from the table that did not decode.
     pub rows_undecoded: Counter,
     /// Messages that were malformed or too large.
     pub malformed: Counter,
-    /// Cells owned.
+    /// Cells that this box owns.
     pub cells: Gauge<i64, AtomicI64>,
-    /// Version of the configuration in force.
+    /// Current version of the configuration.
     pub config_version: Gauge<i64, AtomicI64>,
-    /// Seconds from a commit to its answer.
+    /// Time from a commit to its reply, in seconds.
     pub commit_seconds: Histogram,
-    /// Seconds from a job's acceptance to its first start.
+    /// Time from a job's acceptance to its first start, in seconds.
     pub first_start_seconds: Histogram,
-    /// Epoch of the owner in this process, 0 for none.
+    /// Epoch of the owner in this process, or 0.
     pub owner_epoch: Gauge<i64, AtomicI64>,
-    /// Epoch of the owner that this box follows, 0 for none.
+    /// Epoch of the owner that this box follows, or 0.
     pub followed_epoch: Gauge<i64, AtomicI64>,
-    /// Other boxes that this one may ask for the owner.
+    /// Other boxes that this box can ask who the owner is.
     pub other_boxes: Gauge<i64, AtomicI64>,
-    /// Milliseconds since an owner last served this box, 0 while one does.
+    /// Time since an owner last served this box, in milliseconds; 0 while one does.
     pub unserved_time: Gauge<i64, AtomicI64>,
-    /// Milliseconds by which the owner's loop was late, the highest of late.
+    /// Highest recent delay of the owner's loop, in milliseconds.
     pub loop_delay: Gauge<i64, AtomicI64>,
-    /// Milliseconds since the owner was told to give the cell up, 0 before.
+    /// Time since the owner began to give up the cell, in milliseconds; 0 before that.
     pub release_time: Gauge<i64, AtomicI64>,
-    /// Milliseconds from the last commit that made this box the owner until it served.
+    /// Time that this box last took to load the cell, from the commit that made it the owner until it
+    /// served, in milliseconds.
     pub load_time: Gauge<i64, AtomicI64>,
-    /// Microseconds that the owner's decisions took, by kind of event.
+    /// Time spent on the owner's decisions, in microseconds, by kind of event.
     pub decision_time: Family<EventLabel, Counter>,
-    /// Owners that ended in this process.
+    /// Ended terms of owners in this process, by reason.
     pub owner_ends: Family<OwnerEndLabel, Counter>,
-    /// Times that this box became the owner.
+    /// Number of times that this box became the owner.
     pub takeovers: Counter,
     /// Jobs held by the owner in this process.
     pub jobs: Gauge<i64, AtomicI64>,
-    /// Workers known to the owner in this process.
+    /// Workers that the owner in this process knows.
     pub workers: Gauge<i64, AtomicI64>,
     /// Tasks that wait for a worker.
     pub waiting_tasks: Gauge<i64, AtomicI64>,
-    /// Milliseconds since the store confirmed the owner in this process.
+    /// Time since the store last confirmed the owner in this process, in milliseconds.
     pub unconfirmed_time: Gauge<i64, AtomicI64>,
-    /// Runs freed as the lease of their worker had ended.
+    /// Runs that were released because the lease of their worker expired.
     pub lapsed_runs: Counter,
-    /// Workers that crashed, as far as the owner can tell.
+    /// Crashes of workers that the owner detected.
     pub worker_crashes: Counter,
-    /// Lives of workers that took the place of a known one.
+    /// Incarnations of workers that replaced a known incarnation.
     pub new_incarnations: Counter,
-    /// News of earlier lives that were passed over.
+    /// Reports of earlier incarnations that were ignored.
     pub stale_reports: Counter,
-    /// Tasks given up after crashes of their workers.
+    /// Tasks that failed for good because they may have crashed their workers.
     pub abandoned_tasks: Counter,
-    /// Runs that went with the life of their worker, without an end.
+    /// Runs that ended without a report because their worker's incarnation ended.
     pub orphaned_runs: Counter,
-    /// Halls that are cordoned, as far as this box knows.
+    /// Cordoned halls that this box knows.
     pub cordoned_halls: Gauge<i64, AtomicI64>,
-    /// Starts withdrawn before they were sent, as their worker could not take them any more.
+    /// Starts withdrawn before they were sent, because the worker could no longer accept them.
     pub withdrawn_starts: Counter,
-    /// Calls without an answer in time, though the connection was open.
+    /// Calls on an open connection that were not answered in time.
     pub unanswered_calls: Family<ProtocolLabel, Counter>,
-    /// Milliseconds for which the machine was suspended.
+    /// Time for which the machine was suspended, in milliseconds.
     pub suspended_time: Counter,
-    /// Milliseconds of the longest spell of a serving task over its target that goes on.
+    /// Longest present breach of a latency target, in milliseconds.
     pub longest_breach: Gauge<i64, AtomicI64>,
-    /// Seconds of spells of serving tasks over their target that have ended.
+    /// Durations of ended breaches of latency targets, in seconds, by image.
     pub breach_seconds: Family<ImageLabel, Histogram>,
-    /// Orders on the pace of fillers.
+    /// Orders that set the speed of best-effort tasks.
     pub throttle_orders: Counter,
-    /// Orders on the pace of fillers that were not answered well.
+    /// Orders that set the speed of best-effort tasks and failed.
     pub failed_throttles: Counter,
-    /// Log lines that were dropped.
+    /// Dropped log lines.
     pub dropped_lines: Counter,
     /// Calls to the table.
     pub table_calls: Counter<u64, AtomicU64>,
-    /// Tasks evicted.
+    /// Tasks evicted by the present owners in this process.
     pub evicted_tasks: Gauge<i64, AtomicI64>,
-    /// Tasks finished.
+    /// Tasks finished under the present owners in this process.
     pub finished_tasks: Gauge<i64, AtomicI64>,
     checks: Family<RuleLabel, Gauge>,
     violations: Family<RuleLabel, Gauge>,
@@ -158,12 +159,12 @@
     &METRICS
 }
 
-/// Counts a row that did not decode.
+/// Counts a row of the table that did not decode.
 pub fn count_undecoded_row() {
     METRICS.rows_undecoded.inc();
 }
 
-/// Counts a call without an answer in time on an open connection.
+/// Counts a call on an open connection that was not answered in time.
 pub fn count_unanswered_call(by: &'static str) {
     METRICS
         .unanswered_calls
@@ -171,10 +172,11 @@
         .inc();
 }
 
-/// Images that have a label of their own; the others share one.
+/// Number of images that get a label of their own; all further images share the label `other`. This
+/// bounds the size of the text.
 const MAX_IMAGES: usize = 64;
 
-/// Counts a spell over target of a serving task that runs an image.
+/// Records an ended breach of the latency target of a serving task that runs `image`.
 pub fn observe_breach(image: &str, seconds: f64) {
     static LABELED: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
     let mut labeled = LABELED.lock().unwrap_or_else(PoisonError::into_inner);
@@ -254,8 +256,8 @@
         }
     }
 
-    /// Sets the gauges of an owner to 0: kept, they would make a box that was the
-    /// owner once look like a second one.
+    /// Sets the gauges of an owner to 0. With its last values, a former owner would look like a
+    /// second one.
     pub fn clear_owner_gauges(&self) {
         let gauges = [
             &self.owner_epoch,
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in the text format.
     pub fn encode(&self) -> String {
         for rule in RULES {
             let label = RuleLabel {
@@ -284,7 +286,7 @@
                 .set(violations(rule) as i64);
         }
         let mut text = String::new();
-        // Writing into a string does not fail.
+        // Writing to a string never fails.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/src/metrics/registration.rs
+++ b/src/metrics/registration.rs
@@ -1,34 +1,30 @@
-//! Names and order of the rows in the text.
+//! Registers the metrics under their names, in the order of the text.
 //!
-//! Collectors may keep only the first 4,000 bytes of an answer, which once held
-//! histograms of callers alone. So the text begins with what tells who the owner
-//! is and how it fares; histograms follow, and the older design's rows end it.
+//! Collectors may keep only the first 4,000 bytes of a reply, and once these held nothing but the
+//! histograms of callers' requests. So the metrics about the owner come first, then the histograms,
+//! and last the metrics of the `entry` daemon.
 
 use prometheus_client::registry::Registry;
 
 use super::Metrics;
 
-/// Bounds of a request's time, in seconds. Here as below, three times as wide as
-/// the one before: a quantile is known within a factor of 3.3.
+/// Buckets of the time of a request, in seconds. Each bound of this and the next two lists is about
+/// three times the one before, so that a quantile is known within a factor of 3.3.
 pub(super) const REQUEST_BUCKETS: [f64; 12] = [
     0.000_1, 0.000_3, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0,
 ];
-/// Bounds of a commit's time, in seconds.
+/// Buckets of the time of a commit, in seconds.
 pub(super) const COMMIT_BUCKETS: [f64; 9] = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0];
-/// Bounds of the time to a job's first start, in seconds.
+/// Buckets of the time to a job's first start, in seconds.
 pub(super) const FIRST_START_BUCKETS: [f64; 10] =
     [0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0, 100.0];
 
-/// Bounds of a spell over target, in seconds.
+/// Buckets of the duration of a breach of a latency target, in seconds.
 pub(super) const BREACH_BUCKETS: [f64; 8] = [0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0];
 
-/// Registers what tells the owner, and how it fares.
+/// Registers the metrics about the owner and its health.
 pub(super) fn register_owner(registry: &mut Registry, m: &Metrics) {
-    registry.register(
-        "owner_epoch",
-        "Epoch of the owner here",
-        m.owner_epoch.clone(),
-    );
+    registry.register("owner_epoch", "Epoch of this owner", m.owner_epoch.clone());
     registry.register(
         "followed_epoch",
         "Epoch of the owner followed",
@@ -42,7 +38,7 @@
     registry.register("takeovers", "Takeovers", m.takeovers.clone());
     registry.register(
         "unconfirmed_ms",
-        "Milliseconds since confirmed",
+        "Milliseconds since the last confirmed commit",
         m.unconfirmed_time.clone(),
     );
     registry.register(
@@ -57,12 +53,12 @@
     );
     registry.register(
         "worker_lives",
-        "Workers that started again",
+        "Worker restarts",
         m.new_incarnations.clone(),
     );
     registry.register(
         "earlier_lives",
-        "Late news passed over",
+        "Stale reports ignored",
         m.stale_reports.clone(),
     );
     registry.register(
@@ -86,26 +82,26 @@
         "Calls not answered in time",
         m.unanswered_calls.clone(),
     );
-    registry.register("owner_late_ms", "Milliseconds late", m.loop_delay.clone());
     registry.register(
-        "owner_leaving_ms",
-        "Milliseconds of giving up",
-        m.release_time.clone(),
+        "owner_late_ms",
+        "Delay of the loop in ms",
+        m.loop_delay.clone(),
     );
     registry.register(
-        "load_ms",
-        "Milliseconds of the last load",
-        m.load_time.clone(),
+        "owner_leaving_ms",
+        "Milliseconds since release began",
+        m.release_time.clone(),
     );
-    registry.register("owner_ends", "Owners that ended here", m.owner_ends.clone());
-    registry.register("tasks_waiting", "Tasks that wait", m.waiting_tasks.clone());
+    registry.register("load_ms", "Duration of the last load", m.load_time.clone());
+    registry.register("owner_ends", "Ended terms", m.owner_ends.clone());
+    registry.register("tasks_waiting", "Tasks waiting", m.waiting_tasks.clone());
     registry.register(
         "over_target_ms",
-        "Longest spell over target",
+        "Longest present breach",
         m.longest_breach.clone(),
     );
     registry.register("jobs", "Jobs held by the owner", m.jobs.clone());
-    registry.register("workers", "Workers known", m.workers.clone());
+    registry.register("workers", "Known workers", m.workers.clone());
     registry.register(
         "suspended_ms",
         "Milliseconds suspended",
@@ -114,7 +110,7 @@
     registry.register("log_dropped", "Log lines dropped", m.dropped_lines.clone());
     registry.register(
         "config_version",
-        "Version in force",
+        "Configuration version",
         m.config_version.clone(),
     );
     registry.register(
@@ -124,7 +120,7 @@
     );
 }
 
-/// Registers histograms of time.
+/// Registers the histograms and some counters.
 pub(super) fn register_histograms(registry: &mut Registry, m: &Metrics) {
     registry.register(
         "commit_seconds",
@@ -138,39 +134,43 @@
     );
     registry.register(
         "over_target_seconds",
-        "Spells of serving tasks over target, by image",
+        "Breaches of latency targets, by image",
         m.breach_seconds.clone(),
     );
     registry.register(
         "request_seconds",
-        "Time to the answer",
+        "Time to the answer of a request",
         m.request_seconds.clone(),
     );
-    registry.register("paces", "Orders on paces", m.throttle_orders.clone());
+    registry.register(
+        "paces",
+        "Orders that set the speed of tasks",
+        m.throttle_orders.clone(),
+    );
     registry.register(
         "paces_missed",
-        "Orders on paces without a good answer",
+        "Orders that set the speed of tasks and failed",
         m.failed_throttles.clone(),
     );
     registry.register(
         "owner_spent_us",
-        "Microseconds that the owner's decisions took",
+        "Microseconds spent on the owner's decisions",
         m.decision_time.clone(),
     );
     registry.register(
         "other_boxes",
-        "Boxes that may be asked for the owner",
+        "Boxes that can be asked for the owner",
         m.other_boxes.clone(),
     );
 }
 
-/// Registers what the older design counts for the most part.
+/// Registers the metrics that are mostly those of the `entry` daemon.
 pub(super) fn register_engine(registry: &mut Registry, m: &Metrics) {
     registry.register("table_calls", "Calls to the table", m.table_calls.clone());
     registry.register("answers", "Answers to callers", m.answers.clone());
     registry.register(
         "forwards",
-        "Requests handed to other boxes",
+        "Requests forwarded to other boxes",
         m.forwards.clone(),
     );
     registry.register("malformed", "Malformed messages", m.malformed.clone());
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -1,12 +1,12 @@
-//! Tests of the text of metrics.
+//! Tests of the names and the order of metrics in the text.
 
 use std::collections::BTreeSet;
 
 use super::{EventLabel, Metrics, OwnerEndLabel, ProtocolLabel};
 
-/// Bytes of an answer that a collector keeps in any case.
+/// Bytes of a reply that every collector keeps.
 const COLLECTED_BYTES: usize = 3_500;
-/// Rows that tell the owner and how it fares.
+/// Metrics about the owner and its health.
 const OWNER_METRICS: [&str; 26] = [
     "owner_epoch",
     "followed_epoch",
@@ -36,7 +36,7 @@
     "rows_undecoded_total",
 ];
 
-/// Returns where a row with a value ends in a text.
+/// Returns the offset at which the first row of a metric ends in the text.
 fn row_end(text: &str, name: &str) -> Option<usize> {
     let begin = |sign| text.find(&format!("\nwillowpoint_{name}{sign}"));
     let begin = begin(' ').or_else(|| begin('{'))? + 1;
@@ -46,7 +46,7 @@
 #[test]
 fn owner_metrics_come_within_the_bytes_that_collectors_keep() {
     let metrics = Metrics::new();
-    // The longest values that these rows have in practice.
+    // Values as long as they get in practice.
     for gauge in [
         &metrics.unconfirmed_time,
         &metrics.jobs,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Returns the names in the page's table of metrics.
+/// Returns the names in the table of metrics of the operations manual.
 fn documented_names() -> BTreeSet<&'static str> {
     let page = include_str!("../../docs/OPERATIONS.md");
     let (_, rest) = page.split_once("### Metrics").expect("the table");
@@ -106,7 +106,7 @@
     assert_eq!(
         names.len(),
         OWNER_METRICS.len(),
-        "all of them are looked for"
+        "the first test checks all of them"
     );
 }
 
--- a/src/options/daemon.rs
+++ b/src/options/daemon.rs
@@ -58,8 +58,8 @@
     pub name: Name,
     /// Hall that the box is in.
     pub hall: Name,
-    /// Processors that the box may use, in thousandths of a core. A box with the most of them should
-    /// own the cell.
+    /// Processors that the box may use, in thousandths of a core. A box with the most of them
+    /// should own the cell.
     pub cores: u32,
     /// Most idle connections to workers that are kept open.
     pub idle_connections: usize,
