--- a/tests/platform/deployment.rs
+++ b/tests/platform/deployment.rs
@@ -1,5 +1,5 @@
-//! Boxes as processes of `willowpoint serve`, with the store and the workers of
-//! the platform as stand-ins in this process.
+//! Runs boxes as processes of `willowpoint serve`, with stand-ins for the platform's store and
+//! workers in this process.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -23,12 +23,12 @@
 };
 use super::worker::{Record, Worker};
 
-/// Host and path of the queue that the configuration names.
+/// Host and path of the configured queue.
 pub const HOST: &str = "shop.example";
 pub const PATH: &str = "/holds/";
-/// Service that runs its tasks.
+/// Service that runs the queue's tasks.
 const SERVICE: &str = "stock";
-/// Lines of each box that a failure prints.
+/// Number of log lines of each box that a failure prints.
 const PRINTED_LINES: usize = 40;
 const LIMITS: Limits = Limits {
     head: 16 << 10,
@@ -37,7 +37,7 @@
     idle: 600_000,
 };
 
-/// A box as a process.
+/// A box running as a process.
 struct BoxProcess {
     web: SocketAddr,
     admin: SocketAddr,
@@ -45,25 +45,25 @@
     child: Child,
 }
 
-/// A running deployment, whose processes end with this value.
+/// A running deployment. Its processes are killed when it is dropped.
 pub struct Deployment {
     pub store: Store,
     record: Arc<Mutex<Record>>,
-    /// Stand-ins of the workers, in their order.
+    /// Stand-ins for the workers, ordered by number.
     pub workers: Vec<Worker>,
     boxes: Vec<BoxProcess>,
     folder: PathBuf,
-    /// Between the boxes and the store, one for each box.
+    /// Proxies between the boxes and the store, one per box.
     proxies: Vec<SocketAddr>,
-    /// Boxes to which the store says nothing.
+    /// Boxes whose connections to the store are blocked.
     disconnected: Arc<Mutex<BTreeSet<usize>>>,
-    /// When the connections through it fell silent that were open then.
+    /// Connections to the store that were opened before this time are blocked for good.
     silenced_at: Arc<Mutex<Option<Instant>>>,
-    /// True when what the boxes wrote outlasts this value.
+    /// True when the output of the boxes is kept after this value is dropped.
     keeps_output: bool,
 }
 
-/// Serves calls on a thread of its own until the test process ends.
+/// Serves calls on a new thread until the test process ends; returns the address.
 fn serve_on_thread<F>(handle: impl Fn(Request) -> F + Clone + Send + 'static) -> SocketAddr
 where
     F: Future<Output = Reply> + 'static,
@@ -71,7 +71,7 @@
     let address = free_address();
     std::thread::spawn(move || {
         block_on(async {
-            let listener = listen::bind(address).expect("a free port");
+            let listener = listen::bind(address).expect("a port can be bound");
             serve(listener, LIMITS, Drain::never(), handle).await;
         })
     });
@@ -79,8 +79,7 @@
 }
 
 impl Deployment {
-    /// Starts boxes and workers whose tasks run for `span`, and waits until
-    /// all boxes are ready.
+    /// Starts boxes and workers, whose tasks run for `span`, and waits until all boxes are ready.
     pub fn start(boxes: usize, workers: usize, span: Duration) -> Self {
         let store = Store::default();
         let record: Arc<Mutex<Record>> = Arc::default();
@@ -91,7 +90,7 @@
             std::process::id(),
             store_address.port()
         ));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the folder for output can be created");
         let silenced_at: Arc<Mutex<Option<Instant>>> = Arc::default();
         let shared_silence = silenced_at.clone();
         let mut deployment = Self {
@@ -132,7 +131,7 @@
         deployment
     }
 
-    /// Puts a version of the configuration with these paths into the store.
+    /// Writes a version of the configuration with these paths to the store.
     pub fn configure(&self, version: u64, paths: &[&str]) {
         let route = |path: &&str| {
             json!({ "name": format!("r{path}"), "host": HOST, "pathPrefix": path,
@@ -163,7 +162,7 @@
              rpc = \"{rpc}\"\n[platform]\nstore = \"{}\"\n",
             self.proxies[number]
         );
-        std::fs::write(&settings, text).expect("settings are written");
+        std::fs::write(&settings, text).expect("the settings can be written");
         let line = format!("serve --config {}", settings.display());
         let child = spawn(&split_arguments(&line), &settings.with_extension("log"));
         BoxProcess {
@@ -178,32 +177,32 @@
         let ready = || self.is_ready(number);
         assert!(
             eventually(ready),
-            "box {number} wrote {}",
+            "box {number} is not ready; its output:\n{}",
             self.output(number)
         );
     }
 
-    /// Returns true when a box says that it is ready.
+    /// Returns true when a box reports that it is ready.
     pub fn is_ready(&self, number: usize) -> bool {
         let request = "GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
         let answer = send_request(self.boxes[number].admin, request);
         answer.is_ok_and(|text| text.starts_with("HTTP/1.1 200"))
     }
 
-    /// Waits until an owner serves all boxes: they are ready some time before, and one that
-    /// knows no owner yet follows none.
+    /// Waits until all boxes follow an owner that serves. Boxes are ready some time before they
+    /// know an owner.
     pub fn wait_served(&self) {
         let served = |n: usize| {
             let unserved = self.metric(n, "owner_unserved_ms");
             self.metric(n, "followed_epoch") > Some(0) && unserved == Some(0)
         };
-        wait_for("all boxes to be served", || {
+        wait_for("an owner that serves all boxes", || {
             (0..self.boxes.len()).all(served)
         });
     }
 
-    /// Returns the value of a row without labels in a box's metrics; none when the
-    /// box does not answer.
+    /// Returns the value of a metric without labels; `None` when the box does not answer or the
+    /// metric is missing.
     pub fn metric(&self, number: usize, name: &str) -> Option<u64> {
         let request = "GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
         let text = send_request(self.boxes[number].admin, request).ok()?;
@@ -212,30 +211,31 @@
         value?.trim().parse().ok()
     }
 
-    /// Silences all open connections to the store for good; new ones work.
+    /// Blocks all open connections to the store for good; new ones work.
     pub fn silence_connections(&self) {
         let now = Some(Instant::now());
         *self.silenced_at.lock().expect("the lock is not poisoned") = now;
     }
 
-    /// Has the store say nothing to these boxes, and to all others what it says.
+    /// Blocks the connections of exactly these boxes to the store.
     pub fn disconnect_store(&self, boxes: &[usize]) {
         let boxes = boxes.iter().copied().collect();
         *self.disconnected.lock().expect("the lock is not poisoned") = boxes;
     }
 
-    /// Returns what a box has written so far.
+    /// Returns the output of a box so far.
     pub fn output(&self, number: usize) -> String {
         let path = self.boxes[number].settings.with_extension("log");
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
-    /// Returns what the workers ran.
+    /// Returns the record of what the workers ran.
     pub fn record(&self) -> MutexGuard<'_, Record> {
         self.record.lock().expect("the lock is not poisoned")
     }
 
-    /// Sends a request to a box; returns the status and the text of the answer.
+    /// Sends a request to a box; returns the status and the text of the answer. The status is 0
+    /// when there is no answer.
     pub fn send(&self, number: usize, method: &str, path: &str, body: &str) -> (u16, String) {
         let head = format!(
             "{method} {path} HTTP/1.1\r\nhost: {HOST}\r\nconnection: close\r\n\
@@ -249,7 +249,7 @@
         (status.unwrap_or(0), text)
     }
 
-    /// Hands in a job of two steps with so many tasks each.
+    /// Submits a job of two steps with `tasks` tasks each.
     pub fn submit(&self, number: usize, id: &str, tasks: u32) -> (u16, String) {
         let step = json!({ "count": tasks, "cpu": 1000, "memMb": 100, "estimateMs": 300 });
         let mut second = step.clone();
@@ -258,17 +258,17 @@
         self.send(number, "POST", &format!("{PATH}{id}"), &job.to_string())
     }
 
-    /// Hands a job in until it is taken, through each box in turn, as callers do.
+    /// Submits a job through each box in turn until it is accepted, as callers do.
     pub fn submit_until_accepted(&self, id: &str, tasks: u32) {
-        let mut turn = 0;
-        wait_for("the job to be taken", || {
-            turn += 1;
-            let number = turn % self.boxes.len();
+        let mut attempt = 0;
+        wait_for("acceptance of the job", || {
+            attempt += 1;
+            let number = attempt % self.boxes.len();
             self.submit(number, id, tasks).0 == 200
         });
     }
 
-    /// Returns the state of a job as a box shows it; empty when it does not.
+    /// Returns the state of a job as reported by a box; empty when the box reports none.
     pub fn state(&self, number: usize, id: &str) -> String {
         let (status, text) = self.send(number, "GET", &format!("{PATH}{id}"), "");
         let body = text.split("\r\n\r\n").nth(1).unwrap_or_default();
@@ -279,21 +279,25 @@
         }
     }
 
-    /// Waits until some box shows a job as completed.
+    /// Waits until any box reports a job as completed.
     pub fn wait_completed(&self, id: &str) {
         self.wait_state(id, "completed");
     }
 
-    /// Waits until some box shows a job in a state.
+    /// Waits until any box reports a job in a state.
     pub fn wait_state(&self, id: &str, state: &str) {
-        let shown = || (0..self.boxes.len()).any(|n| self.state(n, id) == state);
-        let all = |n: usize| format!("box {n}:\n{}", self.output(n));
-        let wrote = || (0..self.boxes.len()).map(all).collect::<String>();
-        assert!(eventually(shown), "{id} is not {state}; {}", wrote());
+        let reached = || (0..self.boxes.len()).any(|n| self.state(n, id) == state);
+        let output = |n: usize| format!("box {n}:\n{}", self.output(n));
+        let outputs = || (0..self.boxes.len()).map(output).collect::<String>();
+        assert!(
+            eventually(reached),
+            "job {id} is not {state};\n{}",
+            outputs()
+        );
     }
 
-    /// Returns the box that is the owner now, by the latest that has begun; waits for
-    /// one, since lines come a little late and boxes are ready before there is an owner.
+    /// Returns the box whose log has the highest epoch of an owner. Waits for an owner, since log
+    /// lines are written with a delay and boxes are ready before there is an owner.
     pub fn owner(&self) -> usize {
         let mut latest = None;
         wait_for("an owner", || {
@@ -304,7 +308,7 @@
         latest.expect("an owner").1
     }
 
-    /// Returns the highest epoch as the owner of which a box has begun.
+    /// Returns the highest epoch for which a box has become the owner.
     fn last_epoch(&self, number: usize) -> Option<u64> {
         let text = self.output(number);
         let begun = text.lines().filter(|l| l.contains("event=owner-begins"));
@@ -312,61 +316,65 @@
         epochs.filter_map(|e| e.parse().ok()).max()
     }
 
-    /// Returns the jobs that a box loaded when it became the owner last.
+    /// Returns the number of jobs that a box loaded when it last became the owner.
     pub fn loaded_jobs(&self, number: usize) -> usize {
         let text = self.output(number);
         let line = text.lines().rfind(|l| l.contains("event=owner-begins"));
         let jobs = line.and_then(|l| l.split(" jobs=").nth(1)?.split(' ').next());
-        jobs.and_then(|j| j.parse().ok()).expect("a count of jobs")
+        jobs.and_then(|j| j.parse().ok())
+            .expect("the log contains the number of loaded jobs")
     }
 
-    /// Returns where callers reach the boxes.
+    /// Returns the addresses of the boxes for callers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.boxes.iter().map(|process| process.web).collect()
     }
 
-    /// Returns what the workers ran, for other threads.
+    /// Returns the record of what the workers ran, for use by other threads.
     pub fn shared_record(&self) -> Arc<Mutex<Record>> {
         self.record.clone()
     }
 
-    /// Has what the boxes wrote outlast this value; returns the files.
+    /// Keeps the output of the boxes after this value is dropped; returns the files.
     pub fn keep_output(&mut self) -> Vec<PathBuf> {
         self.keeps_output = true;
         let settings = self.boxes.iter().map(|process| &process.settings);
         settings.map(|s| s.with_extension("log")).collect()
     }
 
-    /// Prints the last lines of all boxes, and where they stand whole: a failure that shows
-    /// once has nothing else that leads to its cause.
+    /// Prints the last log lines of all boxes and the folder of the complete logs, which are all
+    /// there is to diagnose a failure that does not recur.
     fn print_output(&self) {
-        println!("what the boxes wrote is kept in {}", self.folder.display());
+        println!(
+            "the output of the boxes is kept in {}",
+            self.folder.display()
+        );
         for number in 0..self.boxes.len() {
             let text = self.output(number);
             let lines: Vec<&str> = text.lines().collect();
             let last = lines[lines.len().saturating_sub(PRINTED_LINES)..].join("\n");
-            println!("box {number}, the last of {} lines:\n{last}", lines.len());
+            println!("box {number}, last of {} lines:\n{last}", lines.len());
         }
     }
 
-    /// Kills a box.
+    /// Kills a box and waits for its end.
     pub fn kill(&mut self, number: usize) {
         let child = &mut self.boxes[number].child;
-        child.kill().expect("killed");
-        child.wait().expect("ended");
+        child.kill().expect("the box can be killed");
+        child.wait().expect("the box has ended");
     }
 
-    /// Has all boxes lose power at the same moment.
+    /// Kills all boxes at the same time, as a loss of power does.
     pub fn kill_all(&mut self) {
         for process in &mut self.boxes {
-            process.child.kill().expect("killed");
+            process.child.kill().expect("the box can be killed");
         }
         for process in &mut self.boxes {
-            process.child.wait().expect("ended");
+            process.child.wait().expect("the box has ended");
         }
     }
 
-    /// Starts a box again that has ended, with the same settings.
+    /// Restarts a box that has ended, with the same settings.
     pub fn restart(&mut self, number: usize) {
         let process = &mut self.boxes[number];
         let line = format!("serve --config {}", process.settings.display());
@@ -379,7 +387,7 @@
     /// Sends a signal to a box.
     pub fn signal(&self, number: usize, signal: libc::c_int) {
         let id = self.boxes[number].child.id() as libc::pid_t;
-        // SAFETY: the child was started here and has not been waited for.
+        // SAFETY: the child was started here and has not been waited for, so its id is valid.
         assert_eq!(unsafe { libc::kill(id, signal) }, 0);
     }
 
@@ -388,20 +396,20 @@
         let child = &mut self.boxes[number].child;
         let mut code = None;
         wait_for("the end of a box", || {
-            let status = child.try_wait().expect("status");
+            let status = child.try_wait().expect("the status of the box is known");
             code = status.and_then(|s| s.code());
             status.is_some()
         });
         code
     }
 
-    /// Opens a connection to a box; a request on it can be sent later.
+    /// Opens a connection to a box, for a later request.
     pub fn connect(&self, number: usize) -> std::net::TcpStream {
-        std::net::TcpStream::connect(self.boxes[number].web).expect("connected")
+        std::net::TcpStream::connect(self.boxes[number].web).expect("the box accepts connections")
     }
 }
 
-/// Asks for a job on a connection that is already open.
+/// Requests the state of a job on an open connection and returns the answer.
 pub fn show_job_on(stream: std::net::TcpStream, id: &str) -> String {
     let request = format!("GET {PATH}{id} HTTP/1.1\r\nhost: {HOST}\r\nconnection: close\r\n\r\n");
     complete_request(stream, &request).unwrap_or_default()
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -1,5 +1,5 @@
-//! A stand-in of the platform's store: rows in tables, transactions under
-//! conditions, feeds, and its troubles.
+//! Stand-in for the platform's store: rows in tables, conditional transactions, change feeds, and
+//! simulated faults.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -10,28 +10,28 @@
 use serde_json::{Value, json};
 use willowpoint::web::{Reply, Request};
 
-/// How long a call that gets no answer is held; callers have gone by then.
+/// How long a call without an answer is kept open; its client has given up by then.
 const HOLD_TIME: Duration = Duration::from_secs(5);
-/// Pause between two looks for a change that a feed waits for.
+/// Time between two checks for a change that a feed waits for.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the store does with calls.
+/// How the store handles calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Behavior {
-    /// It serves them.
+    /// Serves all calls.
     #[default]
     Serving,
-    /// It answers none and does nothing.
+    /// Neither executes nor answers calls.
     Silent,
-    /// It turns all away and does nothing.
+    /// Refuses all calls.
     Rejecting,
-    /// It does what it is told and answers no transaction.
+    /// Executes all calls, but does not answer transactions.
     DroppingReplies,
 }
 
 #[derive(Clone, Debug)]
 struct Row {
-    /// Base64; none for a dropped row.
+    /// Base64 text; `None` for a deleted row.
     value: Option<String>,
     version: u64,
 }
@@ -40,14 +40,14 @@
 struct State {
     rows: BTreeMap<(String, String, String), Row>,
     version: u64,
-    /// Changes up to this version are forgotten.
+    /// Feeds cannot deliver changes up to this version any more.
     forgotten_version: u64,
     behavior: Behavior,
-    /// Time added to each answer.
+    /// Delay of each answer.
     delay: Duration,
-    /// Table of which no page is given.
+    /// Table whose reads are refused.
     unreadable_table: Option<String>,
-    /// Pages given of each table.
+    /// Number of pages read from each table.
     page_reads: HashMap<String, usize>,
 }
 
@@ -62,22 +62,22 @@
         self.state.lock().expect("the lock is not poisoned")
     }
 
-    /// Changes what it does with calls from now on.
+    /// Sets how calls are handled from now on.
     pub fn set_behavior(&self, behavior: Behavior) {
         self.state().behavior = behavior;
     }
 
-    /// Gives no page of a table from now on; of any with none.
+    /// Refuses reads of a table from now on; `None` allows all reads.
     pub fn refuse_reads(&self, table: Option<&str>) {
         self.state().unreadable_table = table.map(String::from);
     }
 
-    /// Adds a time to each answer from now on.
+    /// Sets the delay of each answer from now on.
     pub fn set_delay(&self, delay: Duration) {
         self.state().delay = delay;
     }
 
-    /// Forgets its history: feeds from before have to read anew.
+    /// Forgets the history of changes, so that clients of feeds have to read the tables again.
     pub fn forget_history(&self) {
         let mut state = self.state();
         state.version += 1;
@@ -96,7 +96,7 @@
         state.rows.insert(key, Row { value, version });
     }
 
-    /// Writes so many small rows as the boxes do, into a part of a table.
+    /// Writes `count` small rows into a part of a table, as boxes do.
     pub fn fill_rows(&self, table: &str, part: &str, count: usize) {
         let mut state = self.state();
         state.version += 1;
@@ -108,12 +108,12 @@
         }
     }
 
-    /// Returns how many pages of a table were given.
+    /// Returns the number of pages that were read from a table.
     pub fn pages_read(&self, table: &str) -> usize {
         self.state().page_reads.get(table).copied().unwrap_or(0)
     }
 
-    /// Removes a row as a worker does.
+    /// Deletes a row as the operator or a worker does.
     pub fn delete_row(&self, table: &str, key: &str) {
         let mut state = self.state();
         state.version += 1;
@@ -123,7 +123,7 @@
         state.rows.insert(key, Row { value, version });
     }
 
-    /// Serves one call.
+    /// Serves a call.
     pub async fn handle(self, request: Request) -> Reply {
         let (behavior, delay) = {
             let state = self.state();
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Returns the answer of a feed once there are changes, or none may be waited for.
+    /// Returns the answer of a feed if there are changes or the wait has ended (`last`).
     fn changes(&self, table: &str, after: u64, last: bool) -> Option<Reply> {
         let state = self.state();
         if after < state.forgotten_version {
@@ -262,7 +262,9 @@
     let with = |more: Value| {
         let mut row = row.clone();
         let fields = more.as_object().cloned().unwrap_or_default();
-        row.as_object_mut().expect("an object").extend(fields);
+        row.as_object_mut()
+            .expect("a row is a JSON object")
+            .extend(fields);
         row
     };
     match state.rows.get(full_key) {
--- a/tests/platform/worker.rs
+++ b/tests/platform/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in of a worker: runs tasks for a time under a lease, and watches
-//! that no task of any worker runs twice.
+//! Stand-in for a worker: runs tasks for a fixed time under a lease, and checks that no task runs
+//! twice on any worker.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,51 +14,51 @@
 
 use super::store::Store;
 
-/// Time after the start of a task that crashes its worker.
+/// Time from the start of a crashing task until the crash of its worker.
 const CRASH_DELAY: Duration = Duration::from_millis(10);
-/// Time until another life of a worker that crashed is back: longer than any call waits.
+/// Time from a crash until the next incarnation serves: longer than any call waits.
 const RESTART_DELAY: Duration = Duration::from_millis(1_500);
-/// How long a run of a lasting task goes on by itself: longer than any test.
+/// Duration of a run of a lasting task: longer than any test.
 const LASTING_DURATION: Duration = Duration::from_secs(3_600);
-/// What the specification of a job says whose tasks are lasting.
+/// Specification of jobs whose tasks are lasting.
 pub const LASTING_SPEC: &str = "lasting";
-/// Pause between two looks for an end that an exchange waits for.
+/// Time between two checks of a condition that a call waits for.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// When the lease of a worker's life ends.
+/// End of the lease of a worker's incarnation.
 type Lease = Arc<Mutex<Instant>>;
 
-/// What all workers of a deployment ran.
+/// Record of what all workers of a deployment ran.
 #[derive(Default)]
 pub struct Record {
-    /// Starts of each task.
+    /// Number of starts of each task.
     pub starts: BTreeMap<String, u32>,
-    /// Tasks that run now.
+    /// Running tasks.
     pub running: BTreeSet<String>,
-    /// Tasks that ran in two places at once, or again after their end was forgotten.
+    /// Tasks that ran in two places at once, or again after their end was acknowledged.
     pub duplicates: Vec<String>,
-    /// Start of the names of tasks that crash their workers; none for none.
+    /// Prefix of the names of tasks that crash their workers; `None` if no task does.
     pub crash_prefix: Option<String>,
-    /// Workers that have crashed under each of these.
+    /// Number of workers that each of these tasks has crashed.
     pub crashes: BTreeMap<String, u32>,
-    /// Lives of workers that have ended with each task.
+    /// Number of runs of each task that were lost in a restart of their worker.
     pub lost_runs: BTreeMap<String, u32>,
-    /// Tasks of which a run has ended as done.
+    /// Tasks with a run that has ended as done.
     pub done: BTreeSet<String>,
-    /// Tasks whose end was acknowledged.
+    /// Tasks that were done and whose end was acknowledged.
     acknowledged: BTreeSet<String>,
-    /// The lease under which each of these runs.
+    /// Lease under which each task runs.
     leases: BTreeMap<String, Lease>,
 }
 
 impl Record {
-    /// Takes in that a task begins to run under a lease. One whose lease has ended runs no
-    /// more, also where its worker was not asked since.
+    /// Records that a task starts under a lease. An earlier run whose lease has ended counts as
+    /// ended, even if its worker has not been called since.
     fn start(&mut self, task: String, lease: &Lease) {
         *self.starts.entry(task.clone()).or_insert(0) += 1;
-        let before = self.leases.insert(task.clone(), lease.clone());
+        let previous = self.leases.insert(task.clone(), lease.clone());
         let now = Instant::now();
-        if before.is_some_and(|l| *l.lock().expect("the lock is not poisoned") < now) {
+        if previous.is_some_and(|l| *l.lock().expect("the lock is not poisoned") < now) {
             self.running.remove(&task);
         }
         if self.acknowledged.contains(&task) || !self.running.insert(task.clone()) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Takes in that a task that ran under a lease does so no more.
+    /// Records that the run of a task under a lease has ended.
     fn end(&mut self, task: &str, lease: &Lease) {
         let own = self.leases.get(task);
         if own.is_some_and(|l| Arc::ptr_eq(l, lease)) {
@@ -83,23 +83,23 @@
 
 struct State {
     started_at: Instant,
-    /// The same in milliseconds since the Unix epoch.
+    /// Start of the incarnation in milliseconds since the Unix epoch.
     boot: u64,
     epoch: u64,
-    /// End of the lease, in milliseconds on its clock.
+    /// End of the lease in milliseconds on the worker's clock.
     lease_end: u64,
-    /// The same, for the record.
+    /// End of the lease, shared with the record.
     shared_lease: Lease,
     runs: BTreeMap<String, Run>,
     closed_runs: BTreeMap<String, u64>,
     unacknowledged: Vec<(u64, String, u64, &'static str)>,
     next_end: u64,
-    /// True after a crash until the next life is there.
+    /// True from a crash until the next incarnation serves.
     down: bool,
 }
 
 impl State {
-    /// Returns the state of a life that begins.
+    /// Returns the state of a new incarnation.
     fn begin() -> Self {
         Self {
             started_at: Instant::now(),
@@ -119,23 +119,23 @@
 /// A worker; clones share it.
 #[derive(Clone)]
 pub struct Worker {
-    /// Id of its present life.
+    /// Id of the present incarnation.
     id: Arc<Mutex<String>>,
-    /// Its entry in the store, and the store.
+    /// Directory entry of the worker in the store.
     listing: Arc<Mutex<Value>>,
     store: Store,
-    /// How long each task runs.
+    /// Duration of each run.
     duration: Duration,
     state: Arc<Mutex<State>>,
     record: Arc<Mutex<Record>>,
-    /// Starts that it has carried out, in all its lives.
+    /// Number of starts that all incarnations have executed.
     started: Arc<AtomicU64>,
-    /// For how long orders lie.
+    /// Delay before each order is executed.
     order_delay: Arc<Mutex<Duration>>,
 }
 
 impl Worker {
-    /// Returns a worker that runs nothing.
+    /// Returns a worker without runs.
     pub fn new(id: &str, duration: Duration, record: Arc<Mutex<Record>>, store: Store) -> Self {
         Self {
             id: Arc::new(Mutex::new(id.into())),
@@ -149,14 +149,14 @@
         }
     }
 
-    /// Puts its entry into the store.
+    /// Writes the worker's directory entry to the store.
     pub fn register(&self, mut listing: Value) {
         listing["born"] = json!(self.state().boot);
         self.store.put("servers", &self.id(), &listing);
         *self.listing.lock().expect("the lock is not poisoned") = listing;
     }
 
-    /// Gives it another room, in thousandths of cores, which its entry tells.
+    /// Changes the capacity of processors in the directory entry, in thousandths of cores.
     pub fn resize(&self, cpu: u64) {
         let mut listing = self
             .listing
@@ -167,7 +167,7 @@
         self.register(listing);
     }
 
-    /// Puts it into another hall, which its entry tells.
+    /// Changes the hall in the directory entry.
     pub fn move_to_hall(&self, hall: &str) {
         let mut listing = self
             .listing
@@ -178,7 +178,7 @@
         self.register(listing);
     }
 
-    /// Returns how many starts it has carried out.
+    /// Returns the number of starts that the worker has executed.
     pub fn started(&self) -> u64 {
         self.started.load(Ordering::Relaxed)
     }
@@ -187,10 +187,10 @@
         self.id.lock().expect("the lock is not poisoned").clone()
     }
 
-    /// Ends this life, with all that runs. The next one is back later, under another id.
+    /// Ends this incarnation with all its runs. The next one serves later, under another id.
     async fn crash(&self, task: &str) {
         sleep(CRASH_DELAY).await;
-        let before = self.id();
+        let old_id = self.id();
         let lost = std::mem::replace(&mut *self.state(), State::begin());
         {
             let mut record = self.record();
@@ -201,9 +201,9 @@
         }
         self.state().down = true;
         sleep(RESTART_DELAY).await;
-        *self.id.lock().expect("the lock is not poisoned") = format!("{before}-next");
+        *self.id.lock().expect("the lock is not poisoned") = format!("{old_id}-next");
         self.state().down = false;
-        self.store.delete_row("servers", &before);
+        self.store.delete_row("servers", &old_id);
         let listing = self
             .listing
             .lock()
@@ -212,7 +212,7 @@
         self.register(listing);
     }
 
-    /// Puts its entry into the store once more, as it is now.
+    /// Writes the present directory entry, with the start time of this incarnation, to the store.
     pub fn register_again(&self) {
         let listing = self
             .listing
@@ -222,8 +222,8 @@
         self.register(listing);
     }
 
-    /// Starts it again under its id; it holds and knows nothing of before. Its entry is as
-    /// it was.
+    /// Restarts the worker under its id without its former state. The directory entry does not
+    /// change.
     pub fn restart(&self) {
         let lost = std::mem::replace(&mut *self.state(), State::begin());
         let mut record = self.record();
@@ -233,8 +233,7 @@
         }
     }
 
-    /// Has it leave orders alone for a time, and carry them out then. Those who gave them
-    /// have gone away meanwhile.
+    /// Delays the execution of orders. Their senders may have given up by then.
     pub fn delay_orders(&self, by: Duration) {
         *self.order_delay.lock().expect("the lock is not poisoned") = by;
     }
@@ -247,7 +246,7 @@
         self.record.lock().expect("the lock is not poisoned")
     }
 
-    /// Serves one call; one that lies is carried out also when its connection has ended.
+    /// Serves a call. A delayed call is executed even if its connection has been closed.
     pub async fn handle(self, request: Request) -> Reply {
         let delay = *self.order_delay.lock().expect("the lock is not poisoned");
         if delay.is_zero() {
@@ -300,7 +299,7 @@
         self.reply_with_clock(StatusCode::CONFLICT, json!({ "reason": reason }))
     }
 
-    /// Refuses an order of an earlier owner; keeps a later one's fence and lease.
+    /// Refuses an order with a lower epoch, and otherwise takes over the order's epoch and lease.
     fn reject_fenced(&self, call: &Value) -> Option<Reply> {
         let epoch = call["fence"].as_u64().unwrap_or(0);
         let known = self.state().epoch;
@@ -317,7 +316,7 @@
         None
     }
 
-    /// Returns the task of a start if it crashes the worker.
+    /// Returns the task of a start if the task crashes its worker.
     fn crashing_task(&self, call: &Value) -> Option<String> {
         let task = call["task"].as_str().unwrap_or_default();
         let record = self.record();
@@ -357,7 +356,7 @@
         self.reply_with_clock(StatusCode::OK, json!({}))
     }
 
-    /// Returns true once its lease has ended.
+    /// Returns true when the worker's lease has ended.
     fn lease_expired(&self) -> bool {
         let state = self.state();
         state.started_at.elapsed().as_millis() as u64 > state.lease_end
@@ -397,7 +396,7 @@
         }
     }
 
-    /// Ends what has run its time, and everything once the lease is over.
+    /// Ends runs that have taken their time, and all runs when the lease has ended.
     fn end_due_runs(&self) {
         let lapsed = self.lease_expired();
         let state = self.state();
@@ -427,7 +426,7 @@
             return Reply::text(StatusCode::MISDIRECTED_REQUEST, "");
         }
         if self.state().boot != boot {
-            // The exchange ended with the life that it came to.
+            // The incarnation that was polled has ended.
             return Reply::text(StatusCode::SERVICE_UNAVAILABLE, "");
         }
         let state = self.state();
@@ -446,15 +445,15 @@
         self.reply_with_clock(StatusCode::OK, lists)
     }
 
-    /// Forgets ends that were acknowledged.
-    fn acknowledge(&self, seen: u64) {
+    /// Removes acknowledged ends.
+    fn acknowledge(&self, last_seen: u64) {
         let mut state = self.state();
         let acknowledged = state
             .unacknowledged
             .iter()
-            .filter(|e| e.0 <= seen && e.3 == "done");
+            .filter(|e| e.0 <= last_seen && e.3 == "done");
         let acknowledged: Vec<String> = acknowledged.map(|e| e.1.clone()).collect();
-        state.unacknowledged.retain(|e| e.0 > seen);
+        state.unacknowledged.retain(|e| e.0 > last_seen);
         drop(state);
         self.record().acknowledged.extend(acknowledged);
     }
