--- a/src/entry.rs
+++ b/src/entry.rs
@@ -3,13 +3,13 @@
 mod admin;
 mod callers;
 mod convert;
+mod dispatch;
+mod driver;
 mod jobs;
 mod listings;
 mod operators;
 mod peers;
-mod sends;
-mod shell;
-mod store;
+mod platform_client;
 mod workers;
 
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 use crate::options::Settings;
 use crate::utils::drain::Drain;
 use crate::utils::{clock, listen, signals};
-use shell::{Context, Message, Shell};
+use driver::{Context, Message, Shell};
 
 /// Milliseconds between two ticks of the decisions.
 const TICK: u64 = 25;
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use monoio::net::TcpListener;
 
-use super::shell::Context;
+use super::driver::Context;
 use crate::engine::{Query, View};
 use crate::metrics;
 use crate::utils::drain::Drain;
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -5,8 +5,8 @@
 use futures::channel::oneshot;
 use http::StatusCode;
 
-use super::sends::set;
-use super::shell::{Context, Load, Message, Outcome};
+use super::dispatch::set;
+use super::driver::{Context, Load, Message, Outcome};
 use crate::cell::Reason;
 use crate::constants;
 use crate::engine::Verdict;
--- a/src/entry/sends.rs
+++ b/src/entry/dispatch.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue};
 
+use super::driver::{Context, Load, Message};
 use super::peers;
-use super::shell::{Context, Load, Message};
 use crate::cell::SendOutcome;
 use crate::constants;
 use crate::engine::{Event, ForwardOutcome};
--- a/src/entry/shell.rs
+++ b/src/entry/driver.rs
@@ -8,8 +8,8 @@
 use futures::StreamExt;
 use futures::channel::{mpsc, oneshot};
 
-use super::sends::{Send, forward, send_to_worker};
-use super::{peers, store, workers};
+use super::dispatch::{Send, forward, send_to_worker};
+use super::{peers, platform_client, workers};
 use crate::engine::{Action, Engine, Event, Greeting, Now, Query, Verdict, View};
 use crate::options::Settings;
 use crate::request::Meta;
@@ -103,7 +103,7 @@
     /// Connections to endpoints.
     pub pool: Pool,
     /// The table.
-    pub store: store::Store,
+    pub store: platform_client::Store,
     /// Connections to boxes and workers.
     channels: std::cell::RefCell<HashMap<SocketAddr, Channel>>,
     /// Until when sends to workers may leave.
@@ -117,7 +117,7 @@
         let limit = settings.limits.body + settings.limits.head;
         Self {
             pool: Pool::new(limit),
-            store: store::Store::new(settings.platform, settings.call_timeout),
+            store: platform_client::Store::new(settings.platform, settings.call_timeout),
             channels: Default::default(),
             fence: Cell::new(0),
             settings,
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -6,10 +6,10 @@
 
 use tonic::Status;
 
+use super::driver::{Context, Message};
 use super::listings::all_tasks;
 use super::operators::{PAGE, read, stopping};
 use super::peers;
-use super::shell::{Context, Message};
 use crate::cell::Size;
 use crate::engine::{Event, Query, View};
 use crate::job::{self, CandidateCell, JobRow, JobShardRow, Spec};
--- a/src/entry/listings.rs
+++ b/src/entry/listings.rs
@@ -6,8 +6,8 @@
 use tonic::Status;
 
 use super::convert;
+use super::driver::Context;
 use super::operators::stopping;
-use super::shell::Context;
 use crate::engine::{Query, TaskView, View, WorkerView};
 use crate::invariant;
 use crate::proto::{self, operator_client::OperatorClient};
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -4,9 +4,9 @@
 
 use tonic::{Request, Response, Status};
 
+use super::driver::Context;
 use super::jobs::{cancel, list_jobs, show, submit};
 use super::listings::{list_boxes, list_tasks, list_workers, status};
-use super::shell::Context;
 use crate::config::{self, ChangeRow, ConfigTransaction, Edit, Refusal, Step};
 use crate::engine::{Query, View};
 use crate::proto::{self, operator_server};
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -8,8 +8,8 @@
 use monoio::net::TcpListener;
 use tonic::{Request, Response, Status};
 
-use super::sends::pairs;
-use super::shell::{Context, Load, Message, Outcome};
+use super::dispatch::pairs;
+use super::driver::{Context, Load, Message, Outcome};
 use super::{convert, operators};
 use crate::cell::Reason;
 use crate::config::Config;
--- a/src/entry/workers.rs
+++ b/src/entry/workers.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use super::shell::{Context, Message};
+use super::driver::{Context, Message};
 use crate::cell::{
     Action, CallOutcome, PollOutcome, PollReply, Run, RunId, RunReport, RunState, Sample, Shape,
     Size,
