--- a/src/engine.rs
+++ b/src/engine.rs
@@ -366,7 +366,7 @@
 }
 
 /// Returns the maximum of the shapes in each dimension.
-pub fn largest(shapes: impl Iterator<Item = Shape>) -> Shape {
+pub fn max_shape(shapes: impl Iterator<Item = Shape>) -> Shape {
     shapes.fold(Shape::default(), |max, shape| Shape {
         slots: max.slots.max(shape.slots),
         connections: max.connections.max(shape.connections),
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -237,7 +237,7 @@
     format!("{}{cell}", claim::PREFIX).into()
 }
 
-/// Returns what the assignment of cells needs of a box's row.
+/// Converts a box's row for the assignment of cells.
 fn live_box(row: &BoxRow) -> LiveBox {
     LiveBox {
         id: row.id.clone(),
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -1,7 +1,7 @@
 //! Exchanges greetings with other boxes: loads, moved cells, promises and configuration versions.
 
 use super::state::Engine;
-use super::{Action, Greeting, Now, largest};
+use super::{Action, Greeting, Now, max_shape};
 use crate::claim::VersionedCell;
 use crate::route::CellLoad;
 use crate::utils::Name;
@@ -82,7 +82,7 @@
             free_slots: cell.free_slots(now),
             queued: cell.queued_requests() as u32,
             free_cores: cell.free_cores(now),
-            largest_worker: largest(cell.workers.values().map(|w| w.shape)),
+            largest_worker: max_shape(cell.workers.values().map(|w| w.shape)),
         })
         .collect()
     }
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -169,7 +169,7 @@
     }
 
     /// Returns true if the box accepts callers' requests.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.stopping_since.is_none() && self.config.known() && !self.router.views().is_empty()
     }
 
--- a/src/engine/views.rs
+++ b/src/engine/views.rs
@@ -145,7 +145,7 @@
         StatusView {
             id: self.id().clone(),
             hall: self.settings.hall.clone(),
-            ready: self.ready(),
+            ready: self.is_ready(),
             config: self.config.version(),
             cells: self.claims.owned().len(),
             boxes: self.lease.other_boxes().count() + 1,
--- a/src/rpc/bridge.rs
+++ b/src/rpc/bridge.rs
@@ -1,5 +1,5 @@
 //! Runs calls of generated gRPC services, whose futures must be `Send`, on the thread that owns
-//! the state, whose futures are not.
+//! the state, where futures need not be `Send`.
 
 use std::future::Future;
 use std::pin::Pin;
--- a/src/rpc/tests.rs
+++ b/src/rpc/tests.rs
@@ -14,6 +14,7 @@
 use crate::proto::{self, peer_client::PeerClient};
 use crate::utils::drain::Drain;
 
+/// Time limit of calls and drains, in ms.
 const LIMIT: u64 = 30_000;
 
 async fn hint(channel: &Channel) -> Result<proto::HintReply, CallError> {
