--- a/src/constants.rs
+++ b/src/constants.rs
@@ -29,7 +29,8 @@
 pub const TICKET: &str = "willowpoint-ticket";
 /// Header of a request to a stand-in worker: microseconds of work.
 pub const WORK: &str = "willowpoint-work-us";
-/// Header of a request to an endpoint: milliseconds since the Unix epoch after which it must not be run.
+/// Header of a request to an endpoint: milliseconds since the Unix epoch after which it must not be
+/// run.
 pub const NOT_AFTER: &str = "willowpoint-not-after-ms";
 /// Header of an answer that is not run: milliseconds after which to come back.
 pub const RETRY_AFTER: &str = "willowpoint-retry-after-ms";
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -57,8 +57,8 @@
     message: &'a str,
 }
 
-/// Starts logging to standard output. `node` is written into each line as the name of the box. Fails
-/// if logging was started before.
+/// Starts logging to standard output. `node` is written into each line as the name of the box.
+/// Fails if logging was started before.
 pub fn init(logs: &LogSettings, node: &str) -> eyre::Result<()> {
     let format = logs.format;
     let node = node.to_string();
@@ -103,8 +103,8 @@
     }
 }
 
-/// Locks the sink, even if a thread panicked while it held the lock. Its state is consistent between
-/// two lines, so no line needs to be lost.
+/// Locks the sink, even if a thread panicked while it held the lock. Its state is consistent
+/// between two lines, so no line needs to be lost.
 fn lock(sink: &Mutex<Sink>) -> MutexGuard<'_, Sink> {
     sink.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -95,8 +95,8 @@
     pub loop_delay: Gauge<i64, AtomicI64>,
     /// Time since the owner began to give up the cell, in milliseconds; 0 before that.
     pub release_time: Gauge<i64, AtomicI64>,
-    /// Time that this box last took to load the cell, from the commit that made it the owner until it
-    /// served, in milliseconds.
+    /// Time that this box last took to load the cell, from the commit that made it the owner until
+    /// it served, in milliseconds.
     pub load_time: Gauge<i64, AtomicI64>,
     /// Time spent on the owner's decisions, in microseconds, by kind of event.
     pub decision_time: Family<EventLabel, Counter>,
--- a/src/utils.rs
+++ b/src/utils.rs
@@ -1,4 +1,4 @@
-//! Small helpers without a duty of their own.
+//! Helpers for clocks, sockets, signals, hashing and random numbers.
 
 pub mod clock;
 pub mod drain;
@@ -15,5 +15,5 @@
 
 use std::sync::Arc;
 
-/// A shared immutable name.
+/// A shared immutable string, for names, ids and keys.
 pub type Name = Arc<str>;
--- a/src/utils/drain.rs
+++ b/src/utils/drain.rs
@@ -1,5 +1,4 @@
-//! A planned end of tasks that hold connections: it is told to them, and
-//! waited for.
+//! Graceful shutdown of tasks that hold connections: signals them to end, and waits for them.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -11,21 +10,21 @@
 
 use super::clock::Millis;
 
-/// The task's side: tells when the end has begun, and holds it up while it lives.
+/// The side of a task: signals when the shutdown begins, and delays its end until it is dropped.
 #[derive(Clone)]
 pub struct Drain {
     begun: Option<Shared<oneshot::Receiver<()>>>,
     _hold: Option<mpsc::UnboundedSender<Infallible>>,
 }
 
-/// The owner's side of a [`Drain`].
+/// The side that starts the shutdown of the tasks that hold a [`Drain`].
 pub struct DrainTrigger {
     begin: oneshot::Sender<()>,
     holds: mpsc::UnboundedReceiver<Infallible>,
 }
 
 impl Drain {
-    /// Returns a drain with what begins it.
+    /// Creates a drain and the trigger that begins it.
     pub fn new() -> (DrainTrigger, Self) {
         let (begin, begun) = oneshot::channel();
         let (hold, holds) = mpsc::unbounded();
@@ -36,7 +35,7 @@
         (DrainTrigger { begin, holds }, drain)
     }
 
-    /// Returns a drain that never begins, for servers that end with their process.
+    /// Creates a drain that never begins, for servers that run until the process ends.
     pub fn never() -> Self {
         Self {
             begun: None,
@@ -44,24 +43,24 @@
         }
     }
 
-    /// Returns when the end has begun.
+    /// Waits until the shutdown has begun.
     pub async fn begun(&self) {
         match self.begun.clone() {
-            // A trigger that is dropped begins the end as well.
+            // Dropping the trigger begins the shutdown, too.
             Some(begun) => drop(begun.await),
             None => std::future::pending().await,
         }
     }
 
-    /// Returns true once the end has begun.
+    /// Returns true once the shutdown has begun.
     pub fn has_begun(&self) -> bool {
         self.begun().now_or_never().is_some()
     }
 }
 
 impl DrainTrigger {
-    /// Begins the end and waits until no task holds it up; false when `limit`
-    /// milliseconds were not enough.
+    /// Begins the shutdown, and waits until all tasks have dropped their [`Drain`]. Returns false
+    /// if that takes more than `limit` milliseconds.
     pub async fn finish(mut self, limit: Millis) -> bool {
         drop(self.begin);
         let ended = self.holds.next();
--- a/src/utils/listen.rs
+++ b/src/utils/listen.rs
@@ -1,4 +1,4 @@
-//! Listening sockets and what they accept.
+//! Binds listening sockets and accepts connections, without losing any at a shutdown.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -12,21 +12,21 @@
 use super::drain::Drain;
 use super::sockets;
 
-/// Pause after a failed accept, for descriptors to become free.
+/// Pause after a failed accept, in which file descriptors may become free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Tries to bind an address that is in use, 2 s in all: the sockets of a process
-/// that was just killed may linger.
+/// Attempts to bind an address that is in use, which take 2 s in all. The sockets of a process that
+/// was just killed may linger.
 const BIND_ATTEMPTS: u32 = 40;
-/// Pause between two of them.
+/// Pause between two attempts to bind an address.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Time for a handshake that has begun to end: some round trips between halls.
+/// Time in which a handshake that has begun completes: some round trips between halls.
 const HANDSHAKE_TIME: Duration = Duration::from_millis(5);
 
-/// Binds a listener on an address; waits up to 2 s for one that is in use.
+/// Binds a listener to an address. If the address is in use, retries for up to 2 s.
 ///
-/// It blocks the thread, as nothing runs before a process listens.
+/// Blocks the thread, because nothing else runs before a process listens.
 pub fn bind(address: SocketAddr) -> eyre::Result<TcpListener> {
     let mut attempt = 1;
     loop {
@@ -41,12 +41,12 @@
     }
 }
 
-/// Hands each accepted connection to `serve`, until `drain` has begun.
+/// Passes each accepted connection to `serve`, until `drain` has begun.
 ///
-/// What the kernel had accepted by then is handed over as well, as closing the
-/// listener would reset it. What comes while it closes is ignored by the kernel: a
-/// caller's kernel asks again after a second, and is refused. Without that, 6 to 51
-/// connections were reset in 300 ends beside four callers (the test of it).
+/// Connections that the kernel has accepted by then are passed on, too, because closing the
+/// listener would reset them. Connections that arrive while it closes are ignored by the kernel:
+/// the caller's kernel retries after a second and is refused. Without this, 6 to 51 connections
+/// were reset when 300 listeners were closed while four callers connected, as the test of it does.
 pub async fn accept_all(listener: TcpListener, drain: &Drain, serve: impl Fn(TcpStream)) {
     let mut begun = Box::pin(drain.begun());
     loop {
@@ -66,14 +66,15 @@
         }
     }
     if let Err(e) = sockets::drop_new_connections(&listener) {
-        log::warn!(target: "listen", "connections may be cut off at the end: {e}");
+        log::warn!(target: "listen", "new connections may be reset at the shutdown: {e}");
     }
     monoio::time::sleep(HANDSHAKE_TIME).await;
     if let Err(e) = accept_pending(listener, serve) {
-        log::warn!(target: "listen", "connections were not accepted: {e}");
+        log::warn!(target: "listen", "cannot accept the pending connections: {e}");
     }
 }
 
+/// Passes the connections that the kernel has already accepted to `serve`.
 fn accept_pending(listener: TcpListener, serve: impl Fn(TcpStream)) -> std::io::Result<()> {
     // SAFETY: the descriptor is open while `listener` lives.
     let fd = unsafe { BorrowedFd::borrow_raw(listener.as_raw_fd()) };
--- a/src/utils/peak.rs
+++ b/src/utils/peak.rs
@@ -1,24 +1,26 @@
-//! The highest of late values.
+//! Tracks the highest of recent values.
 
 use super::clock::Millis;
 
-/// Milliseconds for which a value counts at the least, twice as many at the most:
-/// collectors that come each 5 s miss none.
+/// Shortest time for which a value counts as recent, in milliseconds; the longest is twice as much.
+/// Collectors that read every 5 s miss no peak.
 const WINDOW: Millis = 5_000;
 
-/// The highest value of the last seconds, and of all time.
+/// The highest value of the last 5 to 10 s, and the highest of all.
 #[derive(Default)]
 pub struct RecentPeak {
+    /// Start of the present window.
     since: Millis,
-    /// Highest in the span that began at `since`.
+    /// Highest value in the present window.
     current: u64,
     /// Highest value in the window before.
     previous: u64,
+    /// Highest value of all.
     highest: u64,
 }
 
 impl RecentPeak {
-    /// Takes in a value.
+    /// Records a value.
     pub fn record(&mut self, value: u64, now: Millis) {
         let age = now.saturating_sub(self.since);
         if age >= WINDOW {
@@ -33,7 +35,7 @@
         self.highest = self.highest.max(value);
     }
 
-    /// Returns the highest value of the last seconds.
+    /// Returns the highest value of the last 5 to 10 s.
     pub fn recent(&self) -> u64 {
         self.current.max(self.previous)
     }
--- a/src/utils/random.rs
+++ b/src/utils/random.rs
@@ -1,15 +1,15 @@
-//! A small seeded generator, so that every run can be repeated.
+//! A seeded random number generator, so that runs can be reproduced.
 
 use super::hash::mix;
 
-/// A SplitMix64 generator; not for secrets.
+/// A SplitMix64 generator. Not suitable for secrets.
 #[derive(Clone, Debug)]
 pub struct Random {
     state: u64,
 }
 
 impl Random {
-    /// Returns a generator that gives the same values for the same seed.
+    /// Creates a generator. The same seed gives the same values.
     pub fn new(seed: u64) -> Self {
         Self { state: seed }
     }
--- a/src/utils/signals.rs
+++ b/src/utils/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that ask for a planned stop and for a look at the settings.
+//! Handles the signals that request a planned stop or a reload of the settings.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -14,24 +14,24 @@
 }
 
 fn install(signal: libc::c_int, handler: extern "C" fn(libc::c_int)) {
-    // SAFETY: the handlers only store into an atomic, which is safe in a signal.
+    // SAFETY: the handlers only store to an atomic, which is async-signal-safe.
     unsafe { libc::signal(signal, handler as libc::sighandler_t) };
 }
 
-/// Takes TERM and INT as the wish for a planned stop, and HUP as the word that
-/// the settings have changed.
+/// Installs the handlers: SIGTERM and SIGINT request a planned stop, SIGHUP requests a reload of
+/// the settings.
 pub fn install_handlers() {
     install(libc::SIGTERM, on_terminate);
     install(libc::SIGINT, on_terminate);
     install(libc::SIGHUP, on_reload);
 }
 
-/// Returns true once a planned stop was asked for.
+/// Returns true once a planned stop was requested.
 pub fn stop_requested() -> bool {
     STOP.load(Ordering::Relaxed)
 }
 
-/// Returns true once for each time that the settings were said to have changed.
+/// Returns true if a reload was requested since the last call.
 pub fn take_reload_request() -> bool {
     RELOAD.swap(false, Ordering::Relaxed)
 }
--- a/src/utils/suspension.rs
+++ b/src/utils/suspension.rs
@@ -1,29 +1,31 @@
-//! Tells when the machine was suspended.
+//! Detects suspensions of the machine.
 
 use super::clock::{self, Millis};
 
-/// Milliseconds from which a difference is no matter of reading two clocks in turn.
+/// Shortest suspension that is detected, in milliseconds. A smaller difference may come from
+/// reading the two clocks one after the other.
 const MIN_SUSPENSION: Millis = 50;
 
-/// How far the clocks that go on and that stand are offset.
+/// Detects suspensions by the offset of a clock that goes on during a suspension from one that
+/// stops.
 pub struct SuspensionDetector {
     offset: Millis,
 }
 
 impl SuspensionDetector {
-    /// Returns one that begins with the clocks as they are.
+    /// Creates a detector that starts with the present offset of the clocks.
     pub fn new() -> Self {
         Self::from_clocks(clock::now(), clock::monotonic())
     }
 
-    /// Returns one that begins with these times.
+    /// Creates a detector that starts with the offset of the given times.
     pub fn from_clocks(now: Millis, monotonic: Millis) -> Self {
         Self {
             offset: now.saturating_sub(monotonic),
         }
     }
 
-    /// Returns the milliseconds for which the machine was suspended since the last call.
+    /// Returns for how many milliseconds the machine was suspended since the last call, if it was.
     pub fn update(&mut self, now: Millis, monotonic: Millis) -> Option<Millis> {
         let offset = now.saturating_sub(monotonic);
         let span = offset.saturating_sub(self.offset);
--- a/src/utils/tests.rs
+++ b/src/utils/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the small helpers.
+//! Tests of clocks, sockets and other helpers.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,21 +15,21 @@
 use crate::program::block_on;
 
 #[test]
-fn a_suspension_is_told_once_and_a_frozen_process_is_none() {
+fn a_suspension_is_reported_once_and_a_frozen_process_is_not() {
     let mut suspension = SuspensionDetector::from_clocks(1_000, 900);
     assert_eq!(suspension.update(1_200, 1_100), None);
-    // Frozen for 5 s: both clocks go on.
+    // The process is frozen for 5 s: both clocks go on.
     assert_eq!(suspension.update(6_200, 6_100), None);
-    // Suspended for 3 s.
+    // The machine is suspended for 3 s.
     assert_eq!(suspension.update(9_300, 6_200), Some(3_000));
     assert_eq!(suspension.update(9_400, 6_300), None);
-    // Two clocks are not read at the same moment.
+    // A small difference, as the two clocks are not read at the same moment.
     assert_eq!(suspension.update(9_520, 6_401), None);
     assert_eq!(suspension.update(19_520, 6_401), Some(10_019));
 }
 
 #[test]
-fn time_goes_on_by_the_clock_that_counts_suspensions() {
+fn now_is_the_clock_that_includes_suspensions() {
     let read = || {
         let mut spec = libc::timespec {
             tv_sec: 0,
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_address_that_is_in_use_is_waited_for() {
+fn bind_waits_for_an_address_in_use() {
     let held = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = held.local_addr().expect("an address");
     let holder = std::thread::spawn(move || {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_address_that_stays_in_use_is_told() {
+fn bind_fails_for_an_address_that_stays_in_use() {
     let held = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = held.local_addr().expect("an address");
     let bound = block_on(async { listen::bind(address).map(drop) });
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_peak_is_told_for_at_least_5_s_and_at_most_10() {
+fn a_peak_is_recent_for_5_to_10_s() {
     let mut peak = RecentPeak::default();
     peak.record(700, 9_000);
     for now in (9_100..=14_000).step_by(100) {
@@ -79,40 +79,40 @@
 }
 
 #[test]
-fn a_peak_before_a_long_pause_is_not_told() {
+fn a_peak_before_a_long_pause_is_not_recent() {
     let mut peak = RecentPeak::default();
     peak.record(700, 9_000);
     peak.record(3, 60_000);
     assert_eq!(peak.recent(), 3);
 }
 
-/// Listeners that end one after the other, and callers that connect to each all the
-/// while: enough for losses when a listener that still takes connections is closed.
+/// Number of listeners that are closed one after the other, and of callers that keep connecting to
+/// each. These are enough to see resets if a listener is closed that still accepts connections.
 const LISTENERS: usize = 300;
 const CALLERS: usize = 4;
-/// Time for which a listener accepts connections.
+/// Time for which a listener accepts connections before it is closed.
 const OPEN: Duration = Duration::from_millis(5);
-/// Bound of a wait for an answer, in seconds.
-const PATIENCE: u64 = 60;
+/// Longest wait for an answer, in seconds.
+const ANSWER_TIMEOUT: u64 = 60;
 
-/// Connects again and again until it is refused; returns how many connections
-/// were made and had no answer.
-fn caller(address: SocketAddr) -> JoinHandle<usize> {
+/// Connects repeatedly until a connection is refused. Returns the number of connections that were
+/// established but not answered.
+fn start_caller(address: SocketAddr) -> JoinHandle<usize> {
     std::thread::spawn(move || {
         let mut lost = 0;
         loop {
             match TcpStream::connect(address) {
-                Ok(stream) => lost += usize::from(!answered(stream)),
+                Ok(stream) => lost += usize::from(!is_answered(stream)),
                 Err(e) if e.kind() == ErrorKind::ConnectionRefused => return lost,
-                // Reset before it was made: nothing was sent, as when refused.
+                // Reset before it was established: nothing was sent, as with a refusal.
                 Err(e) => assert_eq!(e.kind(), ErrorKind::ConnectionReset),
             }
         }
     })
 }
 
-fn answered(mut stream: TcpStream) -> bool {
-    let limit = Some(Duration::from_secs(PATIENCE));
+fn is_answered(mut stream: TcpStream) -> bool {
+    let limit = Some(Duration::from_secs(ANSWER_TIMEOUT));
     stream.set_read_timeout(limit).expect("a limit");
     let mut answer = [0];
     stream.write_all(b"?").is_ok() && stream.read_exact(&mut answer).is_ok()
@@ -125,35 +125,38 @@
     }
 }
 
-/// Returns an address that no other listener gets, so that a caller who comes late
-/// is refused there.
-fn own_address(number: usize) -> SocketAddr {
+/// Returns an address of its own for each listener, so that a caller that connects after the
+/// listener was closed is refused.
+fn listener_address(number: usize) -> SocketAddr {
     let run = 64 + (std::process::id() % 64) as u8;
     let host = [127, run, (number / 250) as u8, (number % 250 + 1) as u8];
     SocketAddr::from((host, 0))
 }
 
-/// Accepts connections for a while; returns the callers that came meanwhile.
-async fn ending(number: usize) -> Vec<JoinHandle<usize>> {
-    let listener = listen::bind(own_address(number)).expect("a port");
+/// Opens a listener, starts callers, and closes the listener after a while. Returns the callers.
+async fn open_and_close(number: usize) -> Vec<JoinHandle<usize>> {
+    let listener = listen::bind(listener_address(number)).expect("a port");
     let address = listener.local_addr().expect("an address");
     let (trigger, drain) = Drain::new();
     monoio::spawn(async move {
         let serve = |stream| drop(monoio::spawn(answer(stream, drain.clone())));
         listen::accept_all(listener, &drain, serve).await;
     });
-    let callers = (0..CALLERS).map(|_| caller(address)).collect();
+    let callers = (0..CALLERS).map(|_| start_caller(address)).collect();
     monoio::time::sleep(OPEN).await;
-    assert!(trigger.finish(PATIENCE * 1_000).await, "the end ends");
+    assert!(
+        trigger.finish(ANSWER_TIMEOUT * 1_000).await,
+        "the shutdown completes"
+    );
     callers
 }
 
 #[test]
-fn a_listener_that_ends_cuts_off_no_connection() {
+fn closing_a_listener_resets_no_connection() {
     let all = async {
         let mut callers = Vec::new();
         for number in 0..LISTENERS {
-            callers.extend(ending(number).await);
+            callers.extend(open_and_close(number).await);
         }
         callers
     };
@@ -161,5 +164,5 @@
     let lost = callers
         .into_iter()
         .map(|c| c.join().expect("a caller ends"));
-    assert_eq!(lost.sum::<usize>(), 0, "connections had no answer");
+    assert_eq!(lost.sum::<usize>(), 0, "connections were not answered");
 }
