--- a/tests/platform/cordon.rs
+++ b/tests/platform/cordon.rs
@@ -1,4 +1,4 @@
-//! Halls that the operator cordons while owners end and the store forgets its history.
+//! Tests cordoned halls while owners end, the store forgets its history and refuses calls.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 /// Key of the row that cordons the hall of the second worker.
 const CORDON_KEY: &str = "evacuate/h2";
 
-/// Returns two workers in two halls, and boxes that know both.
+/// Starts two workers in two halls, and boxes that know both.
 fn two_halls(boxes: usize) -> Deployment {
     let deployment = Deployment::start(boxes, 2, SHORT_DURATION);
     deployment.workers[1].move_to_hall("h2");
     run_jobs(&deployment, 0xa0);
-    wait_for("both to run tasks", || {
+    wait_for("tasks on both workers", || {
         run_jobs(&deployment, 0xb0);
         deployment.workers.iter().all(|w| w.started() > 0)
     });
     deployment
 }
 
-/// Runs some jobs, each of which would use both workers.
+/// Runs three jobs, each of which has enough tasks for both workers.
 fn run_jobs(deployment: &Deployment, first: u64) {
     for number in first..first + 3 {
         let id = format!("{number:016x}");
@@ -31,19 +31,19 @@
     }
 }
 
-/// Waits until every box knows so many cordoned halls.
+/// Waits until these boxes know `halls` cordoned halls.
 fn wait_cordoned(deployment: &Deployment, boxes: std::ops::Range<usize>, halls: u64) {
     for number in boxes {
-        wait_for("word of the cordon", || {
+        wait_for("the change of the cordons", || {
             deployment.metric(number, "halls_cordoned") == Some(halls)
         });
     }
 }
 
 #[test]
-fn a_cordoned_hall_gets_nothing_through_changes_of_owner() {
+fn a_cordoned_hall_gets_no_tasks_across_changes_of_owner() {
     let mut deployment = two_halls(3);
-    // Whatever the value is, the row cordons.
+    // The row cordons the hall whatever its value is.
     deployment
         .store
         .put("op", CORDON_KEY, &json!(["unexpected", 7]));
@@ -63,7 +63,7 @@
     deployment.store.delete_row("op", CORDON_KEY);
     let owner = deployment.owner();
     wait_cordoned(&deployment, owner..owner + 1, 1);
-    wait_for("the hall to serve again", || {
+    wait_for("tasks in the hall that is no longer cordoned", || {
         run_jobs(&deployment, 0x400);
         run_jobs(&deployment, 0x500);
         deployment.workers[1].started() > before
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_hall_that_was_taken_back_unheard_serves_again() {
+fn a_hall_uncordoned_during_a_store_fault_serves_again() {
     let deployment = two_halls(1);
     deployment.store.put("op", CORDON_KEY, &json!({}));
     wait_cordoned(&deployment, 0..1, 1);
--- a/tests/platform/faults.rs
+++ b/tests/platform/faults.rs
@@ -1,4 +1,5 @@
-//! Workers that crash by a task or change their room, and boxes that lose power all at once.
+//! Tests crashes of workers by a task, changes of their capacity, restarts under the same id, and
+//! a loss of power of all boxes.
 
 use std::time::Duration;
 
@@ -7,7 +8,7 @@
 use super::{Deployment, LONG_DURATION, TASK_DURATION, assert_ran};
 
 #[test]
-fn a_task_that_crashes_its_workers_is_given_up_and_told() {
+fn a_task_that_crashes_its_workers_is_abandoned_and_reported() {
     let deployment = Deployment::start(2, 4, TASK_DURATION);
     deployment.record().crash_prefix = Some("00000000000000c0.0.0.0".into());
     for id in ["00000000000000c0", "00000000000000c1", "00000000000000c2"] {
@@ -22,26 +23,26 @@
     let owner = deployment.owner();
     assert_eq!(deployment.metric(owner, "worker_crashes_total"), Some(2));
     assert_eq!(deployment.metric(owner, "tasks_given_up_total"), Some(1));
-    let told = |event: &str| {
+    let is_logged = |event: &str| {
         let text = deployment.output(owner);
         let mut lines = text.lines();
         lines.any(|l| l.contains("task=00000000000000c0.0.0.0") && l.contains(event))
     };
     for event in ["orphaned", "crash-counted", "abandoned"] {
-        wait_for(event, || told(&format!("event={event}")));
+        wait_for(event, || is_logged(&format!("event={event}")));
     }
 }
 
 #[test]
-fn a_worker_whose_room_shrinks_gets_what_fits_it() {
+fn a_worker_with_less_capacity_gets_only_tasks_that_fit() {
     let deployment = Deployment::start(1, 1, TASK_DURATION);
     let worker = &deployment.workers[0];
-    // A box is ready before it is the owner and knows a worker.
-    wait_for("the worker to be known", || {
+    // A box is ready before it becomes the owner and knows a worker.
+    wait_for("the owner to know the worker", || {
         deployment.output(0).contains("worker=i-0 event=answers")
     });
     worker.resize(1_000);
-    wait_for("word of the room", || {
+    wait_for("the change of capacity", || {
         deployment.output(0).contains("worker=i-0 event=room")
     });
     deployment.submit_until_accepted("00000000000000d0", 2);
@@ -51,18 +52,18 @@
         deployment.state(0, "00000000000000d0") == "completed"
     });
     assert!(done, "{}", deployment.output(0));
-    assert_eq!(most, 1, "one fits at a time");
+    assert_eq!(most, 1, "only one task fits at a time");
     worker.resize(4_000);
     deployment.submit_until_accepted("00000000000000d1", 4);
-    wait_for("all of a step at once", || {
+    wait_for("all tasks of a step at the same time", || {
         deployment.record().running.len() == 4
     });
 }
 
-/// Workers start again under their ids, with runs on them and after many ends, and count
-/// their ends anew. Their entries tell so at once, or after a while.
+/// Workers restart under their ids while they run tasks, and number their completions from 1 again.
+/// Their directory entries change at once or after a while.
 #[test]
-fn what_a_worker_ends_after_it_has_started_again_is_taken_in() {
+fn completions_of_restarted_workers_are_accepted() {
     let deployment = Deployment::start(2, 3, TASK_DURATION);
     for number in 0..6 {
         deployment.submit_until_accepted(&format!("00000000000000e{number}"), 4);
@@ -93,12 +94,12 @@
     assert!(deployment.metric(owner, "worker_lives_total") >= Some(3));
 }
 
-/// All boxes lose power right after a job was accepted; nothing but the store knows of it.
+/// All boxes lose power right after they accepted a job, so that only the store has it.
 #[test]
-fn a_job_outlasts_the_loss_of_power_of_all_boxes() {
+fn a_job_survives_a_power_loss_of_all_boxes() {
     let mut deployment = Deployment::start(3, 3, LONG_DURATION);
     deployment.submit_until_accepted("00000000000000e0", 2);
-    wait_for("tasks to run", || deployment.record().running.len() == 2);
+    wait_for("running tasks", || deployment.record().running.len() == 2);
     deployment.submit_until_accepted("00000000000000e1", 2);
     deployment.kill_all();
     std::thread::sleep(Duration::from_millis(1_000));
