--- a/src/demo.rs
+++ b/src/demo.rs
@@ -189,6 +189,6 @@
 }
 
 /// Sets a switch that stops a box as planned.
-fn request_stop(switch: &crate::entry::Switch) {
+fn request_stop(switch: &crate::entry::StopFlag) {
     switch.store(true, Ordering::Relaxed);
 }
--- a/src/demo/deployment.rs
+++ b/src/demo/deployment.rs
@@ -8,7 +8,7 @@
 use eyre::WrapErr;
 
 use crate::cell::Shape;
-use crate::entry::{self, Switch};
+use crate::entry::{self, StopFlag};
 use crate::options::{self, Settings};
 use crate::program::block_on;
 use crate::proto;
@@ -49,7 +49,7 @@
 
 struct RunningBox {
     settings: Settings,
-    switch: Switch,
+    switch: StopFlag,
     thread: JoinHandle<()>,
 }
 
@@ -95,7 +95,7 @@
     fn start_box(&mut self, index: usize) -> eyre::Result<RunningBox> {
         self.generation += 1;
         let settings = box_settings(index, self.halls, self.generation, self.platform)?;
-        let switch = Switch::default();
+        let switch = StopFlag::default();
         let (own, off) = (settings.clone(), switch.clone());
         let thread = spawn_thread("entry", move || block_on(entry::run(own, off))?)?;
         Ok(RunningBox {
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -24,16 +24,16 @@
 use crate::options::Settings;
 use crate::utils::drain::Drain;
 use crate::utils::{clock, listen, signals};
-use driver::{Context, Message, Shell};
+use driver::{Context, EngineDriver, Message};
 
 /// Milliseconds between two ticks of the decisions.
-const TICK: u64 = 25;
+const TICK_INTERVAL: u64 = 25;
 
 /// A switch that begins a planned stop from within the process.
-pub type Switch = Arc<AtomicBool>;
+pub type StopFlag = Arc<AtomicBool>;
 
 /// Runs an entry box until its planned stop is complete.
-pub async fn run(settings: Settings, switch: Switch) -> eyre::Result<()> {
+pub async fn run(settings: Settings, stop_flag: StopFlag) -> eyre::Result<()> {
     let web = listen::bind(settings.web)?;
     let rpc = listen::bind(settings.rpc)?;
     let admin = listen::bind(settings.admin)?;
@@ -59,16 +59,18 @@
     let bridge = crate::rpc::bridge::Bridge::start(context.clone());
     monoio::spawn(peers::serve(rpc, drain, bridge, limits.body));
     monoio::spawn(admin::serve(admin, context.clone()));
-    monoio::spawn(ticks(context.clone(), switch));
-    Shell::new(engine, context, trigger).run(receiver).await;
+    monoio::spawn(send_ticks(context.clone(), stop_flag));
+    EngineDriver::new(engine, context, trigger)
+        .run(receiver)
+        .await;
     Ok(())
 }
 
-async fn ticks(context: Rc<Context>, switch: Switch) {
-    let mut interval = monoio::time::interval(Duration::from_millis(TICK));
+async fn send_ticks(context: Rc<Context>, stop_flag: StopFlag) {
+    let mut interval = monoio::time::interval(Duration::from_millis(TICK_INTERVAL));
     loop {
         interval.tick().await;
-        let stopping = signals::stop_requested() || switch.load(Ordering::Relaxed);
+        let stopping = signals::stop_requested() || stop_flag.load(Ordering::Relaxed);
         if stopping {
             context.send(Message::Event(Event::Stop));
         }
--- a/src/entry/convert.rs
+++ b/src/entry/convert.rs
@@ -4,7 +4,7 @@
 
 use tonic::Status;
 
-use super::workers::shape;
+use super::workers::shape_from_proto;
 use crate::cell::Class;
 use crate::claim::{CellRow, VersionedCell};
 use crate::engine::Greeting;
@@ -14,7 +14,7 @@
 use crate::utils::Name;
 
 /// Returns a greeting from its message.
-pub fn greeting(message: proto::Greeting) -> Result<Greeting, Status> {
+pub fn greeting_from_proto(message: proto::Greeting) -> Result<Greeting, Status> {
     let rpc: Result<SocketAddr, _> = message.address.parse();
     let Ok(rpc) = rpc else {
         return Err(Status::invalid_argument("greeting without an address"));
@@ -25,16 +25,16 @@
         hall: message.hall.into(),
         config: message.config,
         stopping: message.stopping,
-        ask: optional(message.ask),
+        ask: non_empty_name(message.ask),
         sent: message.sent,
         moves: message.moves,
-        moved: message.moved.into_iter().map(moved).collect(),
-        loads: message.cells.into_iter().map(load).collect(),
+        moved: message.moved.into_iter().map(versioned_cell).collect(),
+        loads: message.cells.into_iter().map(cell_load).collect(),
     })
 }
 
 /// Returns the message of a greeting.
-pub fn to_greeting(greeting: Greeting) -> proto::Greeting {
+pub fn greeting_to_proto(greeting: Greeting) -> proto::Greeting {
     proto::Greeting {
         from: greeting.from.to_string(),
         address: greeting.rpc.to_string(),
@@ -44,23 +44,23 @@
         ask: greeting.ask.map(|a| a.to_string()).unwrap_or_default(),
         sent: greeting.sent,
         moves: greeting.moves,
-        moved: greeting.moved.into_iter().map(to_moved).collect(),
-        cells: greeting.loads.into_iter().map(to_load).collect(),
+        moved: greeting.moved.into_iter().map(moved_to_proto).collect(),
+        cells: greeting.loads.into_iter().map(cell_load_to_proto).collect(),
     }
 }
 
-fn moved(moved: proto::Moved) -> VersionedCell {
+fn versioned_cell(moved: proto::Moved) -> VersionedCell {
     VersionedCell {
         cell: moved.cell.into(),
         version: moved.version,
         row: CellRow {
-            owner: optional(moved.owner),
+            owner: non_empty_name(moved.owner),
             epoch: moved.epoch,
         },
     }
 }
 
-fn to_moved(versioned: VersionedCell) -> proto::Moved {
+fn moved_to_proto(versioned: VersionedCell) -> proto::Moved {
     proto::Moved {
         cell: versioned.cell.to_string(),
         version: versioned.version,
@@ -69,18 +69,18 @@
     }
 }
 
-fn load(load: proto::CellLoad) -> CellLoad {
+fn cell_load(load: proto::CellLoad) -> CellLoad {
     CellLoad {
         cell: load.cell.into(),
         epoch: load.epoch,
         free_slots: load.free,
         queued: load.queued,
         free_cores: load.cores,
-        largest_worker: shape(load.largest.unwrap_or_default()),
+        largest_worker: shape_from_proto(load.largest.unwrap_or_default()),
     }
 }
 
-fn to_load(load: CellLoad) -> proto::CellLoad {
+fn cell_load_to_proto(load: CellLoad) -> proto::CellLoad {
     proto::CellLoad {
         cell: load.cell.to_string(),
         epoch: load.epoch,
@@ -98,7 +98,7 @@
 }
 
 /// Returns what a request says of itself from its message.
-pub fn meta(message: &proto::Meta) -> Meta {
+pub fn meta_from_proto(message: &proto::Meta) -> Meta {
     let class = match message.batch {
         true => Class::Batch,
         false => Class::Critical,
@@ -117,7 +117,7 @@
 }
 
 /// Returns the message of what a request says of itself.
-pub fn to_meta(meta: &Meta, trace: String) -> proto::Meta {
+pub fn meta_to_proto(meta: &Meta, trace: String) -> proto::Meta {
     proto::Meta {
         id: meta.id.to_string(),
         service: meta.service.to_string(),
@@ -133,6 +133,6 @@
 }
 
 /// Returns a name, or `None` for an empty text.
-pub fn optional(text: String) -> Option<Name> {
+pub fn non_empty_name(text: String) -> Option<Name> {
     (!text.is_empty()).then(|| text.into())
 }
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue};
 
-use super::driver::{Context, Load, Message};
+use super::driver::{Context, Message, TracedRequest};
 use super::peers;
 use crate::cell::SendOutcome;
 use crate::constants;
@@ -18,7 +18,7 @@
 use crate::web::{self, Reply, WebError};
 
 /// One send of a request to an endpoint.
-pub(super) struct Send {
+pub(super) struct EndpointSend {
     /// Number of the request.
     pub ticket: u64,
     /// Cell of the worker.
@@ -32,19 +32,23 @@
 }
 
 /// Sends a request to an endpoint and tells how that ended.
-pub(super) async fn send_to_worker(context: Rc<Context>, load: Rc<Load>, send: Send) {
+pub(super) async fn send_to_endpoint(
+    context: Rc<Context>,
+    request: Rc<TracedRequest>,
+    send: EndpointSend,
+) {
     let ticket = send.ticket;
-    let hop = load.trace.next();
+    let hop = request.trace.next();
     let start = clock::micros();
-    let request = for_worker(&context, &load, &hop, &send);
-    let check = || context.acts();
+    let outgoing = endpoint_request(&context, &request, &hop, &send);
+    let check = || context.may_send();
     let result = context
         .pool
-        .call(send.http, request, send.time_left, check)
+        .call(send.http, outgoing, send.time_left, check)
         .await;
     let until = clock::now() + send.time_left;
     let (outcome, reply) = match result {
-        Ok(reply) if refused(&reply) => (SendOutcome::NotRun, None),
+        Ok(reply) if is_not_run(&reply) => (SendOutcome::NotRun, None),
         Ok(reply) => (SendOutcome::Answered, Some(reply)),
         Err(WebError::CheckFailed) => (SendOutcome::LeaseLapsed, None),
         Err(WebError::NotSent(e)) => {
@@ -63,11 +67,11 @@
     };
     hop.end("endpoint", clock::micros() - start, verdict);
     let event = Event::SendEnded { ticket, outcome };
-    tell(&context, ticket, reply, event);
+    report_end(&context, ticket, reply, event);
 }
 
 /// Tells the task of the decisions how a send ended, with the answer if there is one.
-fn tell(context: &Context, ticket: u64, reply: Option<Reply>, event: Event) {
+fn report_end(context: &Context, ticket: u64, reply: Option<Reply>, event: Event) {
     let message = match reply {
         Some(reply) => Message::Answered {
             ticket,
@@ -79,53 +83,58 @@
     context.send(message);
 }
 
-fn refused(reply: &Reply) -> bool {
+fn is_not_run(reply: &Reply) -> bool {
     let verdict = reply.headers.get(constants::VERDICT);
     verdict.is_some_and(|v| v == "not-run")
 }
 
-fn for_worker(context: &Context, load: &Load, hop: &trace::Context, send: &Send) -> web::Request {
-    let mut request = load.request.clone();
-    let wait = send.time_left.min(context.left());
-    let not_after = clock::wall() + wait;
-    let headers = &mut request.headers;
-    set(headers, constants::CELL, &send.cell);
-    set_number(headers, constants::EPOCH, send.epoch);
-    set_number(headers, constants::TICKET, send.ticket);
-    set_number(headers, constants::NOT_AFTER, not_after);
-    set_number(headers, constants::DEADLINE, send.time_left);
-    set(headers, constants::TRACEPARENT, &hop.header());
-    request
+fn endpoint_request(
+    context: &Context,
+    request: &TracedRequest,
+    hop: &trace::Context,
+    send: &EndpointSend,
+) -> web::Request {
+    let mut outgoing = request.request.clone();
+    let remaining = send.time_left.min(context.send_time_left());
+    let not_after = clock::wall() + remaining;
+    let headers = &mut outgoing.headers;
+    set_header(headers, constants::CELL, &send.cell);
+    set_number_header(headers, constants::EPOCH, send.epoch);
+    set_number_header(headers, constants::TICKET, send.ticket);
+    set_number_header(headers, constants::NOT_AFTER, not_after);
+    set_number_header(headers, constants::DEADLINE, send.time_left);
+    set_header(headers, constants::TRACEPARENT, &hop.header());
+    outgoing
 }
 
 /// Sets a header to a text that is known to be valid in one.
-pub fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
+pub fn set_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-fn set_number(headers: &mut HeaderMap, name: &'static str, value: u64) {
+fn set_number_header(headers: &mut HeaderMap, name: &'static str, value: u64) {
     headers.insert(name, HeaderValue::from(value));
 }
 
 /// Hands a request to another box and tells how that ended.
 pub(super) async fn forward(
     context: Rc<Context>,
-    load: Rc<Load>,
+    request: Rc<TracedRequest>,
     ticket: u64,
     to: SocketAddr,
     meta: Meta,
-    target: peers::Target,
+    target: peers::ForwardTarget,
 ) {
-    let hop = load.trace.next();
+    let hop = request.trace.next();
     let start = clock::micros();
     let admitted = target.dedup_shard.is_some();
     // An owner of a dedup shard whose lease has lapsed must not send the request on.
-    let own = admitted && target.cell.is_some();
-    let (outcome, reply) = match own && !context.acts() {
-        true => (peers::lapsed(&meta), None),
-        false => peers::forward(&context, to, &load.request, &hop, &meta, target).await,
+    let is_owner = admitted && target.cell.is_some();
+    let (outcome, reply) = match is_owner && !context.may_send() {
+        true => (peers::lease_lapsed(&meta), None),
+        false => peers::forward(&context, to, &request.request, &hop, &meta, target).await,
     };
     let verdict = match outcome {
         ForwardOutcome::Answered => "answer",
@@ -134,11 +143,11 @@
     };
     hop.end("forward", clock::micros() - start, verdict);
     let event = Event::ForwardEnded { ticket, outcome };
-    tell(&context, ticket, reply, event);
+    report_end(&context, ticket, reply, event);
 }
 
 /// Returns the headers of an answer as pairs for another box.
-pub fn pairs(headers: &HeaderMap) -> Vec<crate::proto::Header> {
+pub fn headers_to_proto(headers: &HeaderMap) -> Vec<crate::proto::Header> {
     headers
         .iter()
         .map(|(name, value)| crate::proto::Header {
--- a/src/entry/driver.rs
+++ b/src/entry/driver.rs
@@ -8,8 +8,9 @@
 use futures::StreamExt;
 use futures::channel::{mpsc, oneshot};
 
-use super::dispatch::{Send, forward, send_to_worker};
-use super::{peers, platform_client, workers};
+use super::dispatch::{EndpointSend, forward, send_to_endpoint};
+use super::platform_client::PlatformClient;
+use super::{peers, workers};
 use crate::engine::{Action, Engine, Event, Greeting, Now, Query, Verdict, View};
 use crate::options::Settings;
 use crate::request::Meta;
@@ -34,7 +35,7 @@
 
 /// A request with what the tasks need of it.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct TracedRequest {
     /// The whole request.
     pub request: web::Request,
     /// This box' hop of its trace.
@@ -50,9 +51,9 @@
         /// What it says of itself.
         meta: Meta,
         /// The request.
-        load: Load,
+        request: TracedRequest,
         /// Where its outcome goes.
-        reply: oneshot::Sender<Outcome>,
+        reply_to: oneshot::Sender<Outcome>,
     },
     /// A request handed over by another box.
     Forwarded {
@@ -65,9 +66,9 @@
         /// Epoch of the dedup shard, or 0.
         epoch: u64,
         /// The request.
-        load: Load,
+        request: TracedRequest,
         /// Where its outcome goes.
-        reply: oneshot::Sender<Outcome>,
+        reply_to: oneshot::Sender<Outcome>,
     },
     /// The answer to a request, before the event that tells of it.
     Answered {
@@ -83,7 +84,7 @@
         /// What it says.
         greeting: Greeting,
         /// Where the answer goes.
-        reply: oneshot::Sender<(Greeting, bool)>,
+        reply_to: oneshot::Sender<(Greeting, bool)>,
     },
     /// The servers have ended.
     Drained,
@@ -92,22 +93,22 @@
         /// What is asked.
         query: Query,
         /// Where the view goes.
-        reply: oneshot::Sender<View>,
+        reply_to: oneshot::Sender<View>,
     },
 }
 
-/// What all tasks of a box share: no state of the decisions but the fence.
+/// What all tasks of a box share: no state of the decisions but the send_until.
 pub struct Context {
     /// Settings of the box.
     pub settings: Settings,
     /// Connections to endpoints.
     pub pool: Pool,
     /// The table.
-    pub store: platform_client::Store,
+    pub platform: PlatformClient,
     /// Connections to boxes and workers.
     channels: std::cell::RefCell<HashMap<SocketAddr, Channel>>,
     /// Until when sends to workers may leave.
-    fence: Cell<Millis>,
+    send_until: Cell<Millis>,
     sender: mpsc::UnboundedSender<Message>,
 }
 
@@ -117,9 +118,9 @@
         let limit = settings.limits.body + settings.limits.head;
         Self {
             pool: Pool::new(limit),
-            store: platform_client::Store::new(settings.platform, settings.call_timeout),
+            platform: PlatformClient::new(settings.platform, settings.call_timeout),
             channels: Default::default(),
-            fence: Cell::new(0),
+            send_until: Cell::new(0),
             settings,
             sender,
         }
@@ -131,13 +132,13 @@
     }
 
     /// Returns true while sends to workers may leave.
-    pub fn acts(&self) -> bool {
-        clock::now() < self.fence.get()
+    pub fn may_send(&self) -> bool {
+        clock::now() < self.send_until.get()
     }
 
     /// Returns the milliseconds until sends to workers must end.
-    pub fn left(&self) -> Millis {
-        self.fence.get().saturating_sub(clock::now())
+    pub fn send_time_left(&self) -> Millis {
+        self.send_until.get().saturating_sub(clock::now())
     }
 
     /// Returns the connection to a box or a worker.
@@ -149,84 +150,88 @@
 
     /// Asks the decisions for a view of their state.
     pub async fn query(&self, query: Query) -> Option<View> {
-        let (reply, view) = oneshot::channel();
-        self.send(Message::Query { query, reply });
+        let (reply_to, view) = oneshot::channel();
+        self.send(Message::Query { query, reply_to });
         view.await.ok()
     }
 }
 
 /// A request that waits for its outcome.
-struct Parked {
-    load: Rc<Load>,
-    answer: Option<Reply>,
-    reply: oneshot::Sender<Outcome>,
+struct PendingRequest {
+    request: Rc<TracedRequest>,
+    endpoint_reply: Option<Reply>,
+    reply_to: oneshot::Sender<Outcome>,
 }
 
 /// The task that owns the decisions.
-pub struct Shell {
+pub struct EngineDriver {
     engine: Engine,
     context: Rc<Context>,
-    parked: HashMap<u64, Parked>,
+    pending: HashMap<u64, PendingRequest>,
     greetings: HashMap<u64, oneshot::Sender<(Greeting, bool)>>,
     queries: HashMap<u64, oneshot::Sender<View>>,
-    next: u64,
+    last_ticket: u64,
     /// Ends the tasks that hold connections; none once it has begun.
-    trigger: Option<DrainTrigger>,
+    drain_trigger: Option<DrainTrigger>,
 }
 
-impl Shell {
+impl EngineDriver {
     /// Returns the task around an engine, with what ends the servers.
-    pub fn new(engine: Engine, context: Rc<Context>, trigger: DrainTrigger) -> Self {
+    pub fn new(engine: Engine, context: Rc<Context>, drain_trigger: DrainTrigger) -> Self {
         Self {
             engine,
             context,
-            parked: HashMap::new(),
+            pending: HashMap::new(),
             greetings: HashMap::new(),
             queries: HashMap::new(),
-            next: 0,
-            trigger: Some(trigger),
+            last_ticket: 0,
+            drain_trigger: Some(drain_trigger),
         }
     }
 
     /// Takes in messages until a planned stop is complete.
     pub async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
         while let Some(message) = receiver.next().await {
-            let Some(event) = self.accept(message) else {
+            let Some(event) = self.to_event(message) else {
                 log::info!(target: "entry", "stopped");
                 return;
             };
             let now = Now::read();
             let actions = self.engine.step(now, event);
-            self.context.fence.set(self.engine.send_until());
+            self.context.send_until.set(self.engine.send_until());
             for action in actions {
-                self.carry_out(action);
+                self.execute(action);
             }
         }
     }
 
-    fn ticket(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_ticket(&mut self) -> u64 {
+        self.last_ticket += 1;
+        self.last_ticket
     }
 
-    fn park(&mut self, load: Load, reply: oneshot::Sender<Outcome>) -> u64 {
-        let ticket = self.ticket();
-        let parked = Parked {
-            load: Rc::new(load),
-            answer: None,
-            reply,
+    fn add_pending(&mut self, request: TracedRequest, reply_to: oneshot::Sender<Outcome>) -> u64 {
+        let ticket = self.next_ticket();
+        let pending = PendingRequest {
+            request: Rc::new(request),
+            endpoint_reply: None,
+            reply_to,
         };
-        self.parked.insert(ticket, parked);
+        self.pending.insert(ticket, pending);
         ticket
     }
 
     /// Returns the event that a message tells of; none when nothing is left to do.
-    fn accept(&mut self, message: Message) -> Option<Event> {
+    fn to_event(&mut self, message: Message) -> Option<Event> {
         let event = match message {
             Message::Drained => return None,
             Message::Event(event) => event,
-            Message::Request { meta, load, reply } => {
-                let ticket = self.park(load, reply);
+            Message::Request {
+                meta,
+                request,
+                reply_to,
+            } => {
+                let ticket = self.add_pending(request, reply_to);
                 Event::Request { ticket, meta }
             }
             Message::Forwarded {
@@ -234,10 +239,10 @@
                 cell,
                 dedup_shard,
                 epoch,
-                load,
-                reply,
+                request,
+                reply_to,
             } => Event::Forwarded {
-                ticket: self.park(load, reply),
+                ticket: self.add_pending(request, reply_to),
                 meta,
                 cell,
                 dedup_shard,
@@ -248,26 +253,26 @@
                 reply,
                 event,
             } => {
-                if let Some(parked) = self.parked.get_mut(&ticket) {
-                    parked.answer = Some(reply);
+                if let Some(pending) = self.pending.get_mut(&ticket) {
+                    pending.endpoint_reply = Some(reply);
                 }
                 event
             }
-            Message::Greeting { greeting, reply } => {
-                let ticket = self.ticket();
-                self.greetings.insert(ticket, reply);
+            Message::Greeting { greeting, reply_to } => {
+                let ticket = self.next_ticket();
+                self.greetings.insert(ticket, reply_to);
                 Event::GreetingReceived { ticket, greeting }
             }
-            Message::Query { query, reply } => {
-                let ticket = self.ticket();
-                self.queries.insert(ticket, reply);
+            Message::Query { query, reply_to } => {
+                let ticket = self.next_ticket();
+                self.queries.insert(ticket, reply_to);
                 Event::Query { ticket, query }
             }
         };
         Some(event)
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         let context = self.context.clone();
         match action {
             Action::Send {
@@ -277,16 +282,16 @@
                 http,
                 time_left,
             } => {
-                if let Some(parked) = self.parked.get(&ticket) {
-                    let load = parked.load.clone();
-                    let send = Send {
+                if let Some(pending) = self.pending.get(&ticket) {
+                    let request = pending.request.clone();
+                    let send = EndpointSend {
                         ticket,
                         cell,
                         epoch,
                         http,
                         time_left,
                     };
-                    monoio::spawn(send_to_worker(context, load, send));
+                    monoio::spawn(send_to_endpoint(context, request, send));
                 }
             }
             Action::Forward {
@@ -297,33 +302,33 @@
                 dedup_shard,
                 epoch,
             } => {
-                if let Some(parked) = self.parked.get(&ticket) {
-                    let load = parked.load.clone();
+                if let Some(pending) = self.pending.get(&ticket) {
+                    let request = pending.request.clone();
                     crate::metrics::get().forwards.inc();
-                    let target = peers::Target {
+                    let target = peers::ForwardTarget {
                         cell,
                         dedup_shard,
                         epoch,
                     };
-                    monoio::spawn(forward(context, load, ticket, to, meta, target));
+                    monoio::spawn(forward(context, request, ticket, to, meta, target));
                 }
             }
             Action::Finish {
                 ticket,
                 verdict,
                 retries,
-            } => self.finish(ticket, verdict, retries),
+            } => self.finish_request(ticket, verdict, retries),
             Action::CallTable { op, call } => {
                 monoio::spawn(async move {
                     let sent = clock::now();
-                    let outcome = context.store.call(call).await;
+                    let outcome = context.platform.call(call).await;
                     context.send(Message::Event(Event::TableCallEnded { op, sent, outcome }));
                 });
             }
             Action::ListWorkers => {
                 monoio::spawn(async move {
-                    let places = context.store.places().await;
-                    context.send(Message::Event(Event::WorkersListed(places)));
+                    let workers = context.platform.list_workers().await;
+                    context.send(Message::Event(Event::WorkersListed(workers)));
                 });
             }
             Action::CallWorker {
@@ -345,8 +350,8 @@
                 greeting,
                 promised,
             } => {
-                if let Some(reply) = self.greetings.remove(&ticket) {
-                    let _ = reply.send((greeting, promised));
+                if let Some(reply_to) = self.greetings.remove(&ticket) {
+                    let _ = reply_to.send((greeting, promised));
                 }
             }
             Action::FetchSnapshot(rpc) => {
@@ -363,8 +368,8 @@
                 monoio::spawn(async move { peers::hint(&context, rpc, cells, cancelled).await });
             }
             Action::AnswerQuery { ticket, view } => {
-                if let Some(reply) = self.queries.remove(&ticket) {
-                    let _ = reply.send(view);
+                if let Some(reply_to) = self.queries.remove(&ticket) {
+                    let _ = reply_to.send(view);
                 }
             }
             Action::Disconnect(endpoints) => {
@@ -372,34 +377,34 @@
                     context.pool.close_idle(endpoint);
                 }
             }
-            Action::Exit { within } => self.drain(within),
+            Action::Exit { within } => self.begin_drain(within),
         }
     }
 
     /// Lets the servers answer what has come, then ends this task.
-    fn drain(&mut self, within: Millis) {
-        let Some(trigger) = self.trigger.take() else {
+    fn begin_drain(&mut self, within: Millis) {
+        let Some(drain_trigger) = self.drain_trigger.take() else {
             return;
         };
         let context = self.context.clone();
         monoio::spawn(async move {
-            if !trigger.finish(within).await {
+            if !drain_trigger.finish(within).await {
                 log::warn!(target: "entry", "connections were still open at the end of the stop");
             }
             context.send(Message::Drained);
         });
     }
 
-    fn finish(&mut self, ticket: u64, verdict: Verdict, retries: u32) {
-        let Some(parked) = self.parked.remove(&ticket) else {
+    fn finish_request(&mut self, ticket: u64, verdict: Verdict, retries: u32) {
+        let Some(pending) = self.pending.remove(&ticket) else {
             return;
         };
         let outcome = Outcome {
             verdict,
-            reply: parked.answer,
+            reply: pending.endpoint_reply,
             retries,
         };
         // A caller that has gone away needs no answer.
-        let _ = parked.reply.send(outcome);
+        let _ = pending.reply_to.send(outcome);
     }
 }
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -7,8 +7,8 @@
 use tonic::Status;
 
 use super::driver::{Context, Message};
-use super::listings::all_tasks;
-use super::operators::{PAGE, read, stopping};
+use super::listings::collect_tasks;
+use super::operators::{PAGE_SIZE, read_rows, stopping_status};
 use super::peers;
 use crate::cell::Size;
 use crate::engine::{Event, Query, View};
@@ -20,7 +20,7 @@
 use crate::utils::clock;
 
 /// Tries at a commit that other writers spoil.
-const TRIES: u32 = 8;
+const COMMIT_ATTEMPTS: u32 = 8;
 
 /// Spreads a job over the cells and keeps it.
 pub(super) async fn submit(
@@ -45,7 +45,7 @@
         return Err(Status::invalid_argument(findings.join("; ")));
     }
     let Some(View::CandidateCells(candidates)) = context.query(Query::CandidateCells).await else {
-        return Err(stopping());
+        return Err(stopping_status());
     };
     let owners: BTreeMap<Name, Option<SocketAddr>> = candidates
         .iter()
@@ -68,44 +68,44 @@
     }
     match commit(&context, ops).await {
         WriteOutcome::Committed => {}
-        WriteOutcome::Conflict => return submitted_before(&context, &spec).await,
+        WriteOutcome::Conflict => return reply_to_resubmission(&context, &spec).await,
         WriteOutcome::NotSent => {
             return Err(Status::unavailable(
                 "the table is not reached; nothing was submitted",
             ));
         }
         // The row by the job's id tells whether the commit took effect.
-        WriteOutcome::Unknown => return submitted_before(&context, &spec).await,
+        WriteOutcome::Unknown => return reply_to_resubmission(&context, &spec).await,
     }
     hint_owners(&context, &row, &owners);
-    Ok(reply(&row, &shards))
+    Ok(job_reply(&row, &shards))
 }
 
 async fn commit(context: &Context, ops: Vec<Op>) -> WriteOutcome {
-    match context.store.call(Call::Commit(ops)).await {
+    match context.platform.call(Call::Commit(ops)).await {
         Outcome::Written(written) => written,
         _ => WriteOutcome::Unknown,
     }
 }
 
 /// Answers a submission whose job may be there already.
-async fn submitted_before(context: &Context, spec: &Spec) -> Result<proto::JobReply, Status> {
-    let doubt = |_| Status::unknown("the table did not answer; the job may be submitted");
-    let (row, _) = match load(context, &spec.id).await {
+async fn reply_to_resubmission(context: &Context, spec: &Spec) -> Result<proto::JobReply, Status> {
+    let in_doubt = |_| Status::unknown("the table did not answer; the job may be submitted");
+    let (row, _) = match read_job(context, &spec.id).await {
         Err(status) if status.code() == tonic::Code::NotFound => {
             return Err(Status::unknown(
                 "no answer from the table; submit again with the same id",
             ));
         }
-        other => other.map_err(doubt)?,
+        other => other.map_err(in_doubt)?,
     };
     if row.spec != *spec {
         return Err(Status::already_exists(
             "a job with this id and another content exists",
         ));
     }
-    let shards = shards(context, &row).await?;
-    Ok(reply(&row, &shards))
+    let shards = read_shards(context, &row).await?;
+    Ok(job_reply(&row, &shards))
 }
 
 fn hint_owners(context: &Rc<Context>, row: &JobRow, owners: &BTreeMap<Name, Option<SocketAddr>>) {
@@ -116,11 +116,16 @@
         }
     }
     for (owner, cells) in hints {
-        hint(context, owner, cells, Vec::new());
+        send_hint(context, owner, cells, Vec::new());
     }
 }
 
-fn hint(context: &Rc<Context>, owner: Option<SocketAddr>, cells: Vec<Name>, cancelled: Vec<Name>) {
+fn send_hint(
+    context: &Rc<Context>,
+    owner: Option<SocketAddr>,
+    cells: Vec<Name>,
+    cancelled: Vec<Name>,
+) {
     let Some(rpc) = owner else {
         context.send(Message::Event(Event::Hint { cells, cancelled }));
         return;
@@ -129,8 +134,8 @@
     monoio::spawn(async move { peers::hint(&context, rpc, cells, cancelled).await });
 }
 
-async fn load(context: &Context, id: &str) -> Result<(JobRow, u64), Status> {
-    let rows = read(context, vec![job::key(id).into()]).await?;
+async fn read_job(context: &Context, id: &str) -> Result<(JobRow, u64), Status> {
+    let rows = read_rows(context, vec![job::key(id).into()]).await?;
     let Some(row) = rows.first() else {
         return Err(Status::not_found(format!("no job `{id}`")));
     };
@@ -142,12 +147,12 @@
     }
 }
 
-async fn shards(context: &Context, row: &JobRow) -> Result<Vec<JobShardRow>, Status> {
-    let rows = read(context, row.shards.clone()).await?;
+async fn read_shards(context: &Context, row: &JobRow) -> Result<Vec<JobShardRow>, Status> {
+    let rows = read_rows(context, row.shards.clone()).await?;
     Ok(rows.iter().filter_map(decode).collect())
 }
 
-fn reply(row: &JobRow, shards: &[JobShardRow]) -> proto::JobReply {
+fn job_reply(row: &JobRow, shards: &[JobShardRow]) -> proto::JobReply {
     let summary = job::summarize(row, shards);
     let spec = &row.spec;
     proto::JobReply {
@@ -173,10 +178,10 @@
 
 /// Returns the state of a job, with the tasks that run now.
 pub(super) async fn show(context: Rc<Context>, id: String) -> Result<proto::JobReply, Status> {
-    let (row, _) = load(&context, &id).await?;
-    let shards = shards(&context, &row).await?;
-    let mut reply = reply(&row, &shards);
-    let (tasks, _) = all_tasks(&context, Some(id.as_str().into()), false).await?;
+    let (row, _) = read_job(&context, &id).await?;
+    let shards = read_shards(&context, &row).await?;
+    let mut reply = job_reply(&row, &shards);
+    let (tasks, _) = collect_tasks(&context, Some(id.as_str().into()), false).await?;
     reply.running = tasks.iter().filter(|t| t.state == "running").count() as u32;
     Ok(reply)
 }
@@ -186,13 +191,13 @@
     context: Rc<Context>,
     request: proto::ListJobsRequest,
 ) -> Result<proto::ListJobsReply, Status> {
-    let Outcome::Rows(rows) = context.store.call(Call::Scan(job::PREFIX.into())).await else {
+    let Outcome::Rows(rows) = context.platform.call(Call::Scan(job::PREFIX.into())).await else {
         return Err(Status::unavailable("the table does not answer"));
     };
     let after = job::key(&request.after);
     let limit = match request.limit {
-        0 => PAGE,
-        limit => (limit as usize).min(PAGE),
+        0 => PAGE_SIZE,
+        limit => (limit as usize).min(PAGE_SIZE),
     };
     let mut rest = rows
         .iter()
@@ -202,8 +207,8 @@
         let Some(row) = decode::<JobRow>(row) else {
             continue;
         };
-        let shards = shards(&context, &row).await?;
-        jobs.push(reply(&row, &shards));
+        let shards = read_shards(&context, &row).await?;
+        jobs.push(job_reply(&row, &shards));
     }
     Ok(proto::ListJobsReply {
         jobs,
@@ -213,15 +218,15 @@
 
 /// Cancels a job.
 pub(super) async fn cancel(context: Rc<Context>, id: String) -> Result<proto::JobReply, Status> {
-    for _ in 0..TRIES {
-        let (mut row, version) = load(&context, &id).await?;
+    for _ in 0..COMMIT_ATTEMPTS {
+        let (mut row, version) = read_job(&context, &id).await?;
         if row.cancelled {
-            return cancelled(&context, row).await;
+            return finish_cancel(&context, row).await;
         }
         row.cancelled = true;
         let op = Op::put(job::key(&id), Expect::Version(version), &row);
         match commit(&context, vec![op]).await {
-            WriteOutcome::Committed => return cancelled(&context, row).await,
+            WriteOutcome::Committed => return finish_cancel(&context, row).await,
             // After a lost answer the next read tells.
             WriteOutcome::Conflict | WriteOutcome::Unknown => {}
             WriteOutcome::NotSent => {
@@ -236,14 +241,14 @@
     ))
 }
 
-async fn cancelled(context: &Rc<Context>, row: JobRow) -> Result<proto::JobReply, Status> {
+async fn finish_cancel(context: &Rc<Context>, row: JobRow) -> Result<proto::JobReply, Status> {
     let ids = vec![row.spec.id.clone()];
     if let Some(View::Boxes(boxes)) = context.query(Query::Boxes).await {
         for rpc in boxes.iter().filter_map(|b| b.rpc.parse().ok()) {
             let own = rpc == context.settings.rpc;
-            hint(context, (!own).then_some(rpc), Vec::new(), ids.clone());
+            send_hint(context, (!own).then_some(rpc), Vec::new(), ids.clone());
         }
     }
-    let shards = shards(context, &row).await?;
-    Ok(reply(&row, &shards))
+    let shards = read_shards(context, &row).await?;
+    Ok(job_reply(&row, &shards))
 }
--- a/src/entry/listings.rs
+++ b/src/entry/listings.rs
@@ -7,7 +7,7 @@
 
 use super::convert;
 use super::driver::Context;
-use super::operators::stopping;
+use super::operators::stopping_status;
 use crate::engine::{Query, TaskView, View, WorkerView};
 use crate::invariant;
 use crate::proto::{self, operator_client::OperatorClient};
@@ -15,12 +15,12 @@
 use crate::utils::clock::Millis;
 
 /// Bound of one call to another box in milliseconds.
-const PATIENCE: Millis = 2_000;
+const CALL_TIMEOUT: Millis = 2_000;
 
 /// Returns the boxes that this box knows.
 pub(super) async fn list_boxes(context: Rc<Context>) -> Result<proto::ListBoxesReply, Status> {
     let Some(View::Boxes(boxes)) = context.query(Query::Boxes).await else {
-        return Err(stopping());
+        return Err(stopping_status());
     };
     let info = |b: crate::engine::BoxView| proto::BoxInfo {
         id: b.id.to_string(),
@@ -35,9 +35,9 @@
 }
 
 /// Returns the addresses of the other boxes.
-async fn others(context: &Context) -> Result<Vec<(Name, SocketAddr)>, Status> {
+async fn other_boxes(context: &Context) -> Result<Vec<(Name, SocketAddr)>, Status> {
     let Some(View::Boxes(boxes)) = context.query(Query::Boxes).await else {
-        return Err(stopping());
+        return Err(stopping_status());
     };
     let own = context.settings.rpc;
     let parsed = boxes
@@ -52,16 +52,16 @@
     local: bool,
 ) -> Result<proto::ListWorkersReply, Status> {
     let Some(View::Workers(views)) = context.query(Query::Workers).await else {
-        return Err(stopping());
+        return Err(stopping_status());
     };
     let owner = &context.settings.name;
-    let mut workers: Vec<_> = views.into_iter().map(|w| worker(w, owner)).collect();
+    let mut workers: Vec<_> = views.into_iter().map(|w| worker_info(w, owner)).collect();
     let mut missing = Vec::new();
     if !local {
-        for (id, rpc) in others(&context).await? {
+        for (id, rpc) in other_boxes(&context).await? {
             let request = proto::ListWorkersRequest { local: true };
             let call = |c| async move { OperatorClient::new(c).list_workers(request).await };
-            match context.channel(rpc).call(PATIENCE, call).await {
+            match context.channel(rpc).call(CALL_TIMEOUT, call).await {
                 Ok(reply) => workers.extend(reply.workers),
                 Err(_) => missing.push(id.to_string()),
             }
@@ -71,7 +71,7 @@
     Ok(proto::ListWorkersReply { workers, missing })
 }
 
-fn worker(view: WorkerView, owner: &str) -> proto::WorkerInfo {
+fn worker_info(view: WorkerView, owner: &str) -> proto::WorkerInfo {
     proto::WorkerInfo {
         name: view.name.to_string(),
         cell: view.cell.to_string(),
@@ -90,30 +90,30 @@
     context: Rc<Context>,
     request: proto::ListTasksRequest,
 ) -> Result<proto::ListTasksReply, Status> {
-    let job = convert::optional(request.job);
-    let (tasks, missing) = all_tasks(&context, job, request.local).await?;
+    let job = convert::non_empty_name(request.job);
+    let (tasks, missing) = collect_tasks(&context, job, request.local).await?;
     Ok(proto::ListTasksReply { tasks, missing })
 }
 
 /// Returns tasks, of one job if it is given, and the boxes that did not answer.
-pub(super) async fn all_tasks(
+pub(super) async fn collect_tasks(
     context: &Rc<Context>,
     job: Option<Name>,
     local: bool,
 ) -> Result<(Vec<proto::TaskInfo>, Vec<String>), Status> {
     let Some(View::Tasks(views)) = context.query(Query::Tasks(job.clone())).await else {
-        return Err(stopping());
+        return Err(stopping_status());
     };
-    let mut tasks: Vec<_> = views.into_iter().map(task).collect();
+    let mut tasks: Vec<_> = views.into_iter().map(task_info).collect();
     let mut missing = Vec::new();
     if !local {
-        for (id, rpc) in others(context).await? {
+        for (id, rpc) in other_boxes(context).await? {
             let request = proto::ListTasksRequest {
                 job: job.as_ref().map(|j| j.to_string()).unwrap_or_default(),
                 local: true,
             };
             let call = |c| async move { OperatorClient::new(c).list_tasks(request).await };
-            match context.channel(rpc).call(PATIENCE, call).await {
+            match context.channel(rpc).call(CALL_TIMEOUT, call).await {
                 Ok(reply) => tasks.extend(reply.tasks),
                 Err(_) => missing.push(id.to_string()),
             }
@@ -123,7 +123,7 @@
     Ok((tasks, missing))
 }
 
-fn task(view: TaskView) -> proto::TaskInfo {
+fn task_info(view: TaskView) -> proto::TaskInfo {
     proto::TaskInfo {
         job: view.job.to_string(),
         task: view.task,
@@ -137,7 +137,7 @@
 /// Returns the state of this box.
 pub(super) async fn status(context: Rc<Context>) -> Result<proto::StatusReply, Status> {
     let Some(View::Status(view)) = context.query(Query::Status).await else {
-        return Err(stopping());
+        return Err(stopping_status());
     };
     Ok(proto::StatusReply {
         id: view.id.to_string(),
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -16,14 +16,14 @@
 use crate::utils::clock;
 
 /// Largest number of entries in one list.
-pub(super) const PAGE: usize = 500;
+pub(super) const PAGE_SIZE: usize = 500;
 
 /// The operators' service.
-pub struct Service {
+pub struct OperatorService {
     bridge: Bridge<Context>,
 }
 
-impl Service {
+impl OperatorService {
     /// Returns the service on a bridge to the box's tasks.
     pub fn new(bridge: Bridge<Context>) -> Self {
         Self { bridge }
@@ -33,7 +33,7 @@
 type Reply<T> = Result<Response<T>, Status>;
 
 #[tonic::async_trait]
-impl operator_server::Operator for Service {
+impl operator_server::Operator for OperatorService {
     async fn change(&self, request: Request<proto::ChangeRequest>) -> Reply<proto::ChangeReply> {
         let request = request.into_inner();
         self.bridge.run(move |c| change(c, request)).await
@@ -112,7 +112,7 @@
 }
 
 /// Tells a caller that this box takes no calls any more.
-pub(super) fn stopping() -> Status {
+pub(super) fn stopping_status() -> Status {
     Status::unavailable("the box is stopping")
 }
 
@@ -135,17 +135,17 @@
     let (mut transaction, mut step) = ConfigTransaction::new(row);
     loop {
         match step {
-            Step::Call(call) => step = transaction.advance(context.store.call(call).await),
+            Step::Call(call) => step = transaction.advance(context.platform.call(call).await),
             Step::Accepted(version) => {
                 log::info!(target: "config", "version {version} is accepted");
                 return Ok(proto::ChangeReply { version });
             }
-            Step::Refused(refusal) => return Err(refused(refusal)),
+            Step::Refused(refusal) => return Err(refusal_status(refusal)),
         }
     }
 }
 
-fn refused(refusal: Refusal) -> Status {
+fn refusal_status(refusal: Refusal) -> Status {
     match refusal {
         Refusal::Invalid(findings) => Status::invalid_argument(findings.join("; ")),
         Refusal::Conflict { key, version } => {
@@ -165,7 +165,7 @@
 
 async fn show_config(context: Rc<Context>) -> Result<proto::ShowConfigReply, Status> {
     let Some(View::Config(config)) = context.query(Query::Config).await else {
-        return Err(stopping());
+        return Err(stopping_status());
     };
     let entries = config.entries().iter().map(|(key, row)| proto::Entry {
         key: key.to_string(),
@@ -183,13 +183,13 @@
     limit: u32,
 ) -> Result<proto::ListVersionsReply, Status> {
     let Some(View::Config(config)) = context.query(Query::Config).await else {
-        return Err(stopping());
+        return Err(stopping_status());
     };
     let last = config.version();
-    let limit = (limit.max(1) as u64).min(PAGE as u64);
+    let limit = (limit.max(1) as u64).min(PAGE_SIZE as u64);
     let first = last.saturating_sub(limit) + 1;
     let keys = (first..=last).map(config::change_key).collect();
-    let rows = read(&context, keys).await?;
+    let rows = read_rows(&context, keys).await?;
     let mut versions: Vec<ChangeRow> = rows.iter().filter_map(decode).collect();
     versions.sort_by_key(|v| std::cmp::Reverse(v.version));
     let info = |v: ChangeRow| proto::VersionInfo {
@@ -205,11 +205,11 @@
 }
 
 /// Reads rows of the table.
-pub(super) async fn read(context: &Context, keys: Vec<Name>) -> Result<Vec<Row>, Status> {
+pub(super) async fn read_rows(context: &Context, keys: Vec<Name>) -> Result<Vec<Row>, Status> {
     if keys.is_empty() {
         return Ok(Vec::new());
     }
-    match context.store.call(Call::Read(keys)).await {
+    match context.platform.call(Call::Read(keys)).await {
         Outcome::Rows(rows) => Ok(rows),
         _ => Err(Status::unavailable("the table does not answer")),
     }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -8,8 +8,8 @@
 use monoio::net::TcpListener;
 use tonic::{Request, Response, Status};
 
-use super::dispatch::pairs;
-use super::driver::{Context, Load, Message, Outcome};
+use super::dispatch::headers_to_proto;
+use super::driver::{Context, Message, Outcome, TracedRequest};
 use super::{convert, operators};
 use crate::cell::Reason;
 use crate::config::Config;
@@ -26,15 +26,15 @@
 use crate::web::{self, Reply};
 
 /// Bound of one call that is not a request, in milliseconds.
-const PATIENCE: Millis = 2_000;
+const CALL_TIMEOUT: Millis = 2_000;
 /// Milliseconds beyond its deadline that a request's answer is waited for.
-const GRACE: Millis = 50;
+const DEADLINE_GRACE: Millis = 50;
 /// Bytes of a message beyond its body.
-const HEADROOM: usize = 1 << 20;
+const MESSAGE_OVERHEAD: usize = 1 << 20;
 
 /// Where a request is handed to.
 #[derive(Clone, Debug)]
-pub struct Target {
+pub struct ForwardTarget {
     /// Cell that is to run it.
     pub cell: Option<Name>,
     /// Dedup shard of its id.
@@ -44,10 +44,10 @@
 }
 
 /// Returns the outcome of a request that isn't sent as the lease of its dedup shard's owner lapsed.
-pub fn lapsed(meta: &Meta) -> ForwardOutcome {
+pub fn lease_lapsed(meta: &Meta) -> ForwardOutcome {
     ForwardOutcome::NotRun {
         reason: Reason::Lapsed,
-        retry_after: PATIENCE,
+        retry_after: CALL_TIMEOUT,
         retries: meta.retries,
     }
 }
@@ -59,10 +59,10 @@
     request: &web::Request,
     hop: &trace::Context,
     meta: &Meta,
-    target: Target,
+    target: ForwardTarget,
 ) -> (ForwardOutcome, Option<Reply>) {
     let message = proto::ForwardRequest {
-        meta: Some(convert::to_meta(meta, hop.header())),
+        meta: Some(convert::meta_to_proto(meta, hop.header())),
         cell: target.cell.map(|c| c.to_string()).unwrap_or_default(),
         guard: target
             .dedup_shard
@@ -71,22 +71,22 @@
         epoch: target.epoch,
         method: request.method.to_string(),
         path: request.uri.to_string(),
-        headers: pairs(&request.headers),
+        headers: headers_to_proto(&request.headers),
         body: request.body.clone(),
     };
-    let most = context.settings.limits.body + HEADROOM;
+    let max_size = context.settings.limits.body + MESSAGE_OVERHEAD;
     let call = |c| async move {
-        let mut client = PeerClient::new(c).max_decoding_message_size(most);
+        let mut client = PeerClient::new(c).max_decoding_message_size(max_size);
         client.forward(message).await
     };
-    let limit = meta.time_left + GRACE;
+    let limit = meta.time_left + DEADLINE_GRACE;
     match context.channel(to).call(limit, call).await {
-        Ok(reply) => handed(reply),
+        Ok(reply) => forward_outcome(reply),
         Err(CallError::NotSent(e)) => {
             log::debug!(target: "peers", "{to} not reached: {e}");
             let outcome = ForwardOutcome::NotRun {
                 reason: Reason::Unreachable,
-                retry_after: PATIENCE,
+                retry_after: CALL_TIMEOUT,
                 retries: meta.retries,
             };
             (outcome, None)
@@ -98,7 +98,7 @@
     }
 }
 
-fn handed(reply: proto::ForwardReply) -> (ForwardOutcome, Option<Reply>) {
+fn forward_outcome(reply: proto::ForwardReply) -> (ForwardOutcome, Option<Reply>) {
     match reply.verdict() {
         proto::Verdict::Unknown => (ForwardOutcome::Unknown, None),
         proto::Verdict::NotRun => {
@@ -109,23 +109,23 @@
             };
             (outcome, None)
         }
-        proto::Verdict::Answer => match answer(reply) {
+        proto::Verdict::Answer => match endpoint_reply(reply) {
             Some(reply) => (ForwardOutcome::Answered, Some(reply)),
             None => (ForwardOutcome::Unknown, None),
         },
     }
 }
 
-fn answer(reply: proto::ForwardReply) -> Option<Reply> {
+fn endpoint_reply(reply: proto::ForwardReply) -> Option<Reply> {
     let status = StatusCode::from_u16(u16::try_from(reply.status).ok()?).ok()?;
     Some(Reply {
         status,
-        headers: headers(&reply.headers)?,
+        headers: parse_headers(&reply.headers)?,
         body: reply.body,
     })
 }
 
-fn headers(pairs: &[proto::Header]) -> Option<HeaderMap> {
+fn parse_headers(pairs: &[proto::Header]) -> Option<HeaderMap> {
     let mut headers = HeaderMap::with_capacity(pairs.len());
     for pair in pairs {
         let name = HeaderName::from_bytes(pair.name.as_bytes()).ok()?;
@@ -141,18 +141,18 @@
     rpc: SocketAddr,
     greeting: Greeting,
 ) -> Option<(Greeting, bool)> {
-    let message = convert::to_greeting(greeting);
+    let message = convert::greeting_to_proto(greeting);
     let call = |c| async move { PeerClient::new(c).greet(message).await };
     let limit = context.settings.intervals.heartbeat.max(100);
     let reply = context.channel(rpc).call(limit, call).await.ok()?;
-    let greeting = convert::greeting(reply.greeting?).ok()?;
+    let greeting = convert::greeting_from_proto(reply.greeting?).ok()?;
     Some((greeting, reply.promised))
 }
 
 /// Asks another box for its configuration.
 pub async fn snapshot(context: &Context, rpc: SocketAddr) -> Option<Config> {
     let call = |c| async move { PeerClient::new(c).snapshot(proto::SnapshotRequest {}).await };
-    let reply = context.channel(rpc).call(PATIENCE, call).await.ok()?;
+    let reply = context.channel(rpc).call(CALL_TIMEOUT, call).await.ok()?;
     serde_json::from_slice(&reply.config).ok()
 }
 
@@ -164,24 +164,24 @@
         cancelled: cancelled.iter().map(|c| c.to_string()).collect(),
     };
     let call = |c| async move { PeerClient::new(c).hint(message).await };
-    if let Err(e) = context.channel(rpc).call(PATIENCE, call).await {
+    if let Err(e) = context.channel(rpc).call(CALL_TIMEOUT, call).await {
         log::debug!(target: "peers", "hint to {rpc}: {e}");
     }
 }
 
-struct Service {
+struct PeerService {
     bridge: Bridge<Context>,
 }
 
 #[tonic::async_trait]
-impl peer_server::Peer for Service {
+impl peer_server::Peer for PeerService {
     async fn forward(
         &self,
         request: Request<proto::ForwardRequest>,
     ) -> Result<Response<proto::ForwardReply>, Status> {
         let request = request.into_inner();
         self.bridge
-            .run(move |context| accept(context, request))
+            .run(move |context| handle_forward(context, request))
             .await
     }
 
@@ -191,7 +191,7 @@
     ) -> Result<Response<proto::GreetReply>, Status> {
         let message = request.into_inner();
         self.bridge
-            .run(move |context| greeted(context, message))
+            .run(move |context| handle_greeting(context, message))
             .await
     }
 
@@ -228,25 +228,25 @@
     }
 }
 
-async fn greeted(
+async fn handle_greeting(
     context: Rc<Context>,
     message: proto::Greeting,
 ) -> Result<proto::GreetReply, Status> {
     let sent = message.sent;
-    let greeting = convert::greeting(message)?;
-    let (reply, result) = oneshot::channel();
-    context.send(Message::Greeting { greeting, reply });
+    let greeting = convert::greeting_from_proto(message)?;
+    let (reply_to, result) = oneshot::channel();
+    context.send(Message::Greeting { greeting, reply_to });
     let Ok((greeting, promised)) = result.await else {
         return Err(Status::unavailable("stopping"));
     };
     Ok(proto::GreetReply {
-        greeting: Some(convert::to_greeting(greeting)),
+        greeting: Some(convert::greeting_to_proto(greeting)),
         promised,
         sent,
     })
 }
 
-async fn accept(
+async fn handle_forward(
     context: Rc<Context>,
     message: proto::ForwardRequest,
 ) -> Result<proto::ForwardReply, Status> {
@@ -254,23 +254,23 @@
     let request = web::Request {
         method: message.method.parse().map_err(|_| malformed())?,
         uri: message.path.parse().map_err(|_| malformed())?,
-        headers: headers(&message.headers).ok_or_else(malformed)?,
+        headers: parse_headers(&message.headers).ok_or_else(malformed)?,
         body: message.body,
     };
-    let said = message.meta.ok_or_else(malformed)?;
-    let hop = trace::Context::parse(&said.trace).unwrap_or_else(|| trace::Context::new(false));
+    let meta = message.meta.ok_or_else(malformed)?;
+    let hop = trace::Context::parse(&meta.trace).unwrap_or_else(|| trace::Context::new(false));
     let start = crate::utils::clock::micros();
-    let (reply, result) = oneshot::channel();
+    let (reply_to, result) = oneshot::channel();
     context.send(Message::Forwarded {
-        meta: convert::meta(&said),
-        cell: convert::optional(message.cell),
-        dedup_shard: convert::optional(message.guard),
+        meta: convert::meta_from_proto(&meta),
+        cell: convert::non_empty_name(message.cell),
+        dedup_shard: convert::non_empty_name(message.guard),
         epoch: message.epoch,
-        load: Load {
+        request: TracedRequest {
             request,
             trace: hop,
         },
-        reply,
+        reply_to,
     });
     let Ok(outcome) = result.await else {
         return Err(Status::unavailable("stopping"));
@@ -294,7 +294,7 @@
         (Verdict::Answer, Some(reply)) => {
             message.set_verdict(proto::Verdict::Answer);
             message.status = u32::from(reply.status.as_u16());
-            message.headers = pairs(&reply.headers);
+            message.headers = headers_to_proto(&reply.headers);
             message.body = reply.body;
         }
         (
@@ -316,11 +316,12 @@
 
 /// Serves other boxes and operators until `drain` has begun.
 pub async fn serve(listener: TcpListener, drain: Drain, bridge: Bridge<Context>, body: usize) {
-    let service = Service {
+    let service = PeerService {
         bridge: bridge.clone(),
     };
-    let peers = peer_server::PeerServer::new(service).max_decoding_message_size(body + HEADROOM);
-    let operators = operators::Service::new(bridge);
+    let peers =
+        peer_server::PeerServer::new(service).max_decoding_message_size(body + MESSAGE_OVERHEAD);
+    let operators = operators::OperatorService::new(bridge);
     let operators = operator_server::OperatorServer::new(operators);
     rpc::server::serve(listener, drain, move |request| {
         let (mut peers, mut operators) = (peers.clone(), operators.clone());
--- a/src/entry/platform_client.rs
+++ b/src/entry/platform_client.rs
@@ -11,21 +11,21 @@
 use crate::utils::clock::Millis;
 
 /// Rows of one page of a scan.
-const PAGE: u32 = 500;
+const PAGE_SIZE: u32 = 500;
 
 /// A connection to the platform.
 #[derive(Clone)]
-pub struct Store {
+pub struct PlatformClient {
     channel: Channel,
-    patience: Millis,
+    timeout: Millis,
 }
 
-impl Store {
-    /// Returns the connection to a platform, whose calls may take `patience` milliseconds.
-    pub fn new(address: SocketAddr, patience: Millis) -> Self {
+impl PlatformClient {
+    /// Returns the connection to a platform, whose calls may take `timeout` milliseconds.
+    pub fn new(address: SocketAddr, timeout: Millis) -> Self {
         Self {
             channel: Channel::new(address),
-            patience,
+            timeout,
         }
     }
 
@@ -42,12 +42,12 @@
     async fn read(&self, keys: Vec<Name>) -> Outcome {
         let keys = keys.iter().map(|k| k.to_string()).collect();
         let request = proto::ReadRequest { keys };
-        let call = self.channel.call(self.patience, |c| async move {
+        let call = self.channel.call(self.timeout, |c| async move {
             TableClient::new(c).read(request).await
         });
         match call.await {
-            Ok(reply) => Outcome::Rows(reply.rows.into_iter().map(row).collect()),
-            Err(e) => failed("read", &e),
+            Ok(reply) => Outcome::Rows(reply.rows.into_iter().map(row_from_proto).collect()),
+            Err(e) => log_failure("read", &e),
         }
     }
 
@@ -57,27 +57,27 @@
             let request = proto::ScanRequest {
                 prefix: prefix.to_string(),
                 after: rows.last().map(|r| r.key.to_string()).unwrap_or_default(),
-                limit: PAGE,
+                limit: PAGE_SIZE,
             };
-            let call = self.channel.call(self.patience, |c| async move {
+            let call = self.channel.call(self.timeout, |c| async move {
                 TableClient::new(c).scan(request).await
             });
             match call.await {
                 Ok(reply) => {
-                    rows.extend(reply.rows.into_iter().map(row));
+                    rows.extend(reply.rows.into_iter().map(row_from_proto));
                     if !reply.more {
                         return Outcome::Rows(rows);
                     }
                 }
-                Err(e) => return failed("scan", &e),
+                Err(e) => return log_failure("scan", &e),
             }
         }
     }
 
     async fn commit(&self, ops: Vec<Op>) -> WriteOutcome {
-        let ops = ops.into_iter().map(op).collect();
+        let ops = ops.into_iter().map(op_to_proto).collect();
         let request = proto::CommitRequest { ops };
-        let call = self.channel.call(self.patience, |c| async move {
+        let call = self.channel.call(self.timeout, |c| async move {
             TableClient::new(c).commit(request).await
         });
         match call.await {
@@ -99,14 +99,20 @@
     }
 
     /// Reads the list of workers, or `None` when it does not answer.
-    pub async fn places(&self) -> Option<Vec<ListedWorker>> {
-        let call = self.channel.call(self.patience, |c| async move {
+    pub async fn list_workers(&self) -> Option<Vec<ListedWorker>> {
+        let call = self.channel.call(self.timeout, |c| async move {
             DirectoryClient::new(c)
                 .list(proto::DirectoryRequest {})
                 .await
         });
         match call.await {
-            Ok(reply) => Some(reply.entries.into_iter().filter_map(place).collect()),
+            Ok(reply) => Some(
+                reply
+                    .entries
+                    .into_iter()
+                    .filter_map(listed_worker)
+                    .collect(),
+            ),
             Err(e) => {
                 log::debug!(target: "store", "list failed: {e}");
                 None
@@ -115,12 +121,12 @@
     }
 }
 
-fn failed(what: &str, e: &CallError) -> Outcome {
-    log::debug!(target: "store", "{what} failed: {e}");
+fn log_failure(operation: &str, e: &CallError) -> Outcome {
+    log::debug!(target: "store", "{operation} failed: {e}");
     Outcome::Failed
 }
 
-fn row(row: proto::Row) -> Row {
+fn row_from_proto(row: proto::Row) -> Row {
     Row {
         key: row.key.into(),
         version: row.version,
@@ -128,7 +134,7 @@
     }
 }
 
-fn op(op: Op) -> proto::Op {
+fn op_to_proto(op: Op) -> proto::Op {
     let (expect, version) = match op.expect {
         Expect::Any => (proto::Expect::Any, 0),
         Expect::Absent | Expect::Version(0) => (proto::Expect::Absent, 0),
@@ -149,7 +155,7 @@
     }
 }
 
-fn place(entry: proto::DirectoryEntry) -> Option<ListedWorker> {
+fn listed_worker(entry: proto::DirectoryEntry) -> Option<ListedWorker> {
     let addresses = entry.http.parse().ok().zip(entry.rpc.parse().ok());
     let Some((http, rpc)) = addresses else {
         log::error!(target: "store", "{} is listed without addresses", entry.name);
--- a/src/entry/workers.rs
+++ b/src/entry/workers.rs
@@ -16,10 +16,10 @@
 use crate::utils::clock::{self, Millis};
 
 /// Bound of one call in milliseconds.
-const PATIENCE: Millis = 2_000;
+const CALL_TIMEOUT: Millis = 2_000;
 
-/// A call's place: the cell, its epoch and the connection's end.
-struct Place {
+/// A call's target: the cell, its epoch and the connection's end.
+struct CallTarget {
     context: Rc<Context>,
     cell: Name,
     epoch: u64,
@@ -28,7 +28,7 @@
 
 /// Makes the call that a cell asks for and tells how it ended.
 pub async fn call(context: Rc<Context>, cell: Name, epoch: u64, action: Action) {
-    let place = |rpc| Place {
+    let target = |rpc| CallTarget {
         context: context.clone(),
         cell: cell.clone(),
         epoch,
@@ -41,7 +41,7 @@
             acks,
             renew,
             round,
-        } => (worker, sync(place(rpc), acks, renew, round).await),
+        } => (worker, poll(target(rpc), acks, renew, round).await),
         Action::Start {
             worker,
             rpc,
@@ -49,8 +49,8 @@
             work,
         } => {
             let id = run.id;
-            let called = start(place(rpc), run, work).await;
-            (worker, WorkerCallOutcome::Started(id, called))
+            let outcome = start(target(rpc), run, work).await;
+            (worker, WorkerCallOutcome::Started(id, outcome))
         }
         Action::Stop {
             worker,
@@ -58,8 +58,8 @@
             run,
             checkpoint,
         } => {
-            let called = stop(place(rpc), run, checkpoint).await;
-            (worker, WorkerCallOutcome::Stopped(run, called))
+            let outcome = stop(target(rpc), run, checkpoint).await;
+            (worker, WorkerCallOutcome::Stopped(run, outcome))
         }
         Action::Throttle {
             worker,
@@ -67,8 +67,8 @@
             run,
             share,
         } => {
-            let called = throttle(place(rpc), run, share).await;
-            (worker, WorkerCallOutcome::Throttled(run, share, called))
+            let outcome = throttle(target(rpc), run, share).await;
+            (worker, WorkerCallOutcome::Throttled(run, share, outcome))
         }
         Action::Send { .. } | Action::Refuse { .. } | Action::Write { .. } => return,
     };
@@ -81,45 +81,45 @@
     context.send(Message::Event(event));
 }
 
-impl Place {
+impl CallTarget {
     /// Returns the milliseconds since the epoch beyond which a call is void:
     /// with the lease, and before the owner takes a lost start to be over.
     fn not_after(&self) -> Millis {
-        let task = self.context.settings.intervals.task_lease;
-        clock::wall() + self.context.left().min(task)
+        let task_lease = self.context.settings.intervals.task_lease;
+        clock::wall() + self.context.send_time_left().min(task_lease)
     }
 
     /// Connects, and then looks at the lease right before the call leaves.
-    async fn ready(&self) -> Result<crate::rpc::client::Channel, CallError> {
+    async fn connect(&self) -> Result<crate::rpc::client::Channel, CallError> {
         let channel = self.context.channel(self.rpc);
-        channel.connect(PATIENCE).await?;
-        match self.context.acts() {
+        channel.connect(CALL_TIMEOUT).await?;
+        match self.context.may_send() {
             true => Ok(channel),
             false => Err(CallError::NotSent("lease lapsed".into())),
         }
     }
 }
 
-async fn sync(place: Place, acks: Vec<RunId>, renew: bool, round: u64) -> WorkerCallOutcome {
-    let task = place.context.settings.intervals.task_lease;
+async fn poll(target: CallTarget, acks: Vec<RunId>, renew: bool, round: u64) -> WorkerCallOutcome {
+    let task_lease = target.context.settings.intervals.task_lease;
     let sent = clock::now();
     let request = proto::SyncRequest {
-        cell: place.cell.to_string(),
-        epoch: place.epoch,
-        lease: if renew { task } else { 0 },
+        cell: target.cell.to_string(),
+        epoch: target.epoch,
+        lease: if renew { task_lease } else { 0 },
         acks: acks.clone(),
         round,
-        not_after: place.not_after(),
+        not_after: target.not_after(),
     };
-    let result = match place.ready().await {
+    let result = match target.connect().await {
         Ok(channel) => {
             let call = |c| async move { WorkerClient::new(c).sync(request).await };
-            channel.call(PATIENCE, call).await
+            channel.call(CALL_TIMEOUT, call).await
         }
         Err(e) => Err(e),
     };
     let outcome = match result {
-        Ok(reply) => PollOutcome::Reply(sync_result(reply)),
+        Ok(reply) => PollOutcome::Reply(poll_reply(reply)),
         Err(CallError::NotSent(_)) => PollOutcome::NotSent,
         Err(_) => PollOutcome::Lost,
     };
@@ -131,11 +131,11 @@
     }
 }
 
-async fn start(place: Place, run: Run, work: Millis) -> CallOutcome {
+async fn start(target: CallTarget, run: Run, work: Millis) -> CallOutcome {
     let request = proto::StartRequest {
-        cell: place.cell.to_string(),
-        epoch: place.epoch,
-        lease: place.context.settings.intervals.task_lease,
+        cell: target.cell.to_string(),
+        epoch: target.epoch,
+        lease: target.context.settings.intervals.task_lease,
         run: run.id,
         job: run.job.to_string(),
         task: run.task,
@@ -148,54 +148,54 @@
         work,
         done: run.saved,
         round: run.poll_round,
-        not_after: place.not_after(),
+        not_after: target.not_after(),
         share: run.share,
     };
-    let result = match place.ready().await {
+    let result = match target.connect().await {
         Ok(channel) => {
             let call = |c| async move { WorkerClient::new(c).start(request).await };
-            channel.call(PATIENCE, call).await
+            channel.call(CALL_TIMEOUT, call).await
         }
         Err(e) => Err(e),
     };
-    called(result)
+    call_outcome(result)
 }
 
-async fn stop(place: Place, run: RunId, checkpoint: bool) -> CallOutcome {
+async fn stop(target: CallTarget, run: RunId, checkpoint: bool) -> CallOutcome {
     let request = proto::StopRequest {
-        cell: place.cell.to_string(),
-        epoch: place.epoch,
+        cell: target.cell.to_string(),
+        epoch: target.epoch,
         run,
         checkpoint,
     };
-    let result = match place.ready().await {
+    let result = match target.connect().await {
         Ok(channel) => {
             let call = |c| async move { WorkerClient::new(c).stop(request).await };
-            channel.call(PATIENCE, call).await
+            channel.call(CALL_TIMEOUT, call).await
         }
         Err(e) => Err(e),
     };
-    called(result)
+    call_outcome(result)
 }
 
-async fn throttle(place: Place, run: RunId, share: u32) -> CallOutcome {
+async fn throttle(target: CallTarget, run: RunId, share: u32) -> CallOutcome {
     let request = proto::ThrottleRequest {
-        cell: place.cell.to_string(),
-        epoch: place.epoch,
+        cell: target.cell.to_string(),
+        epoch: target.epoch,
         run,
         share,
     };
-    let result = match place.ready().await {
+    let result = match target.connect().await {
         Ok(channel) => {
             let call = |c| async move { WorkerClient::new(c).throttle(request).await };
-            channel.call(PATIENCE, call).await
+            channel.call(CALL_TIMEOUT, call).await
         }
         Err(e) => Err(e),
     };
-    called(result)
+    call_outcome(result)
 }
 
-fn called(result: Result<proto::RunReply, CallError>) -> CallOutcome {
+fn call_outcome(result: Result<proto::RunReply, CallError>) -> CallOutcome {
     match result {
         Ok(reply) if reply.done => CallOutcome::Done(reply.progress),
         Ok(_) | Err(CallError::NotSent(_)) => CallOutcome::Refused,
@@ -203,20 +203,20 @@
     }
 }
 
-fn sync_result(reply: proto::SyncReply) -> PollReply {
+fn poll_reply(reply: proto::SyncReply) -> PollReply {
     PollReply {
         refused: reply.refused,
-        shape: shape(reply.shape.unwrap_or_default()),
+        shape: shape_from_proto(reply.shape.unwrap_or_default()),
         tickets: reply.tickets,
         foreign_requests: reply.foreign,
-        runs: reply.runs.into_iter().filter_map(report).collect(),
-        samples: reply.samples.into_iter().map(sample).collect(),
+        runs: reply.runs.into_iter().filter_map(run_report).collect(),
+        samples: reply.samples.into_iter().map(sample_from_proto).collect(),
         leaving: reply.leaving,
     }
 }
 
 /// Returns a shape from its message.
-pub fn shape(shape: proto::Shape) -> Shape {
+pub fn shape_from_proto(shape: proto::Shape) -> Shape {
     Shape {
         slots: shape.slots,
         connections: shape.connections,
@@ -226,7 +226,7 @@
     }
 }
 
-fn report(run: proto::Run) -> Option<RunReport> {
+fn run_report(run: proto::Run) -> Option<RunReport> {
     let state = match run.state() {
         proto::RunState::Running => RunState::Running,
         proto::RunState::Finished => RunState::Finished,
@@ -252,7 +252,7 @@
     })
 }
 
-fn sample(sample: proto::Sample) -> Sample {
+fn sample_from_proto(sample: proto::Sample) -> Sample {
     Sample {
         kind: sample.kind.into(),
         others: sample.others.into_iter().map(Name::from).collect(),
--- a/src/program.rs
+++ b/src/program.rs
@@ -76,7 +76,10 @@
     let start = || {
         logs::init(&settings.logs, &settings.name)?;
         signals::install_handlers();
-        block_on(crate::entry::run(settings, crate::entry::Switch::default()))?
+        block_on(crate::entry::run(
+            settings,
+            crate::entry::StopFlag::default(),
+        ))?
     };
     finish(start())
 }
