--- a/src/cell.rs
+++ b/src/cell.rs
@@ -28,7 +28,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::constants::WHOLE;
+use crate::constants::PER_MILLE;
 use crate::job;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -47,7 +47,7 @@
 impl Size {
     /// Returns the size with its cores scaled to `share` thousandths.
     pub fn with_core_share(self, share: u32) -> Self {
-        let cores = u64::from(self.cores) * u64::from(share) / u64::from(WHOLE);
+        let cores = u64::from(self.cores) * u64::from(share) / u64::from(PER_MILLE);
         Self {
             cores: cores as u32,
             ..self
--- a/src/cell/outcome.rs
+++ b/src/cell/outcome.rs
@@ -6,7 +6,7 @@
 use super::runs::{CallOutcome, Run, RunId, RunPhase, RunReport, RunState};
 use super::shard::{JobShard, PendingWrite, TaskState};
 use super::state::Cell;
-use crate::constants::WHOLE;
+use crate::constants::PER_MILLE;
 use crate::invariant::{self, Rule};
 use crate::job::Phase;
 use crate::utils::Name;
@@ -403,7 +403,7 @@
         size: report.size,
         share: report.share,
         // An unanswered call of the earlier owner may have raised the share.
-        share_floor: WHOLE,
+        share_floor: PER_MILLE,
         throttle_pending: false,
         phase: RunPhase::Running,
         saved: 0,
--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -5,7 +5,7 @@
 use super::state::Cell;
 use super::worker::{ActiveRequest, Worker};
 use super::{Action, Reason, Selection, Size};
-use crate::constants::WHOLE;
+use crate::constants::PER_MILLE;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -250,7 +250,7 @@
             .running_runs()
             .map(|r| {
                 self.interference.upper_estimate(service, &r.kind, busy) * f64::from(r.share)
-                    / f64::from(WHOLE)
+                    / f64::from(PER_MILLE)
             })
             .sum();
         let mean = self
--- a/src/cell/start.rs
+++ b/src/cell/start.rs
@@ -8,7 +8,7 @@
 use super::throttling::LOWEST_SHARE;
 use super::worker::Worker;
 use super::{Action, Selection, Size};
-use crate::constants::WHOLE;
+use crate::constants::PER_MILLE;
 use crate::invariant::{self, Rule};
 use crate::utils::Name;
 use crate::utils::clock::Millis;
@@ -16,7 +16,7 @@
 /// Most starts in one tick, which bounds the tick's duration.
 const MAX_STARTS: usize = 64;
 /// Shares of its cores with which a run may start, in thousandths, the largest first.
-const START_SHARES: [u32; 3] = [WHOLE, WHOLE / 2, LOWEST_SHARE];
+const START_SHARES: [u32; 3] = [PER_MILLE, PER_MILLE / 2, LOWEST_SHARE];
 /// Milliseconds without a start of its shard after which a task starts at the lowest share
 /// even where it slows down services too much. Otherwise it could wait forever.
 const STARVATION: Millis = 10_000;
@@ -235,7 +235,7 @@
             }
             Selection::Learned => return self.least_interference(now, candidates, &waiting),
         };
-        chosen.map(|w| (w.name.clone(), WHOLE))
+        chosen.map(|w| (w.name.clone(), PER_MILLE))
     }
 
     /// Returns the worker on which a task would slow down services the least, and the largest
@@ -252,10 +252,10 @@
         let ((present, added), worker) =
             scored.min_by(|(a, _), (b, _)| (a.0 + a.1).total_cmp(&(b.0 + b.1)))?;
         if waiting.urgent {
-            return Some((worker.name.clone(), WHOLE));
+            return Some((worker.name.clone(), PER_MILLE));
         }
         let limit = self.slowdown_limit() - 1.0;
-        let total = |share: u32| present + added * f64::from(share) / f64::from(WHOLE);
+        let total = |share: u32| present + added * f64::from(share) / f64::from(PER_MILLE);
         let share = START_SHARES
             .into_iter()
             .find(|share| total(*share) <= limit);
@@ -275,7 +275,7 @@
                 .runs
                 .values()
                 .map(|r| {
-                    let share = f64::from(r.share) / f64::from(WHOLE);
+                    let share = f64::from(r.share) / f64::from(PER_MILLE);
                     self.interference.upper_estimate(service, &r.kind, busy) * share
                 })
                 .sum();
--- a/src/cell/throttling.rs
+++ b/src/cell/throttling.rs
@@ -4,7 +4,7 @@
 use super::state::Cell;
 use super::worker::Worker;
 use super::{Action, Size};
-use crate::constants::WHOLE;
+use crate::constants::PER_MILLE;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
@@ -184,7 +184,7 @@
 
 /// Returns the next step for a throttled run on a worker: twice its share.
 fn raise_share(worker: &Worker) -> Option<(Name, RunId, Option<u32>)> {
-    let run = worker.running_runs().find(|r| r.share < WHOLE)?;
-    let share = (run.share * 2).min(WHOLE);
+    let run = worker.running_runs().find(|r| r.share < PER_MILLE)?;
+    let share = (run.share * 2).min(PER_MILLE);
     Some((worker.name.clone(), run.id, Some(share)))
 }
--- a/src/entry/workers.rs
+++ b/src/entry/workers.rs
@@ -8,7 +8,7 @@
     Action, CallOutcome, PollOutcome, PollReply, Run, RunId, RunReport, RunState, Sample, Shape,
     Size,
 };
-use crate::constants::WHOLE;
+use crate::constants::PER_MILLE;
 use crate::engine::{Event, WorkerCallOutcome};
 use crate::proto::{self, worker_client::WorkerClient};
 use crate::rpc::client::CallError;
@@ -256,7 +256,7 @@
     Sample {
         kind: sample.kind.into(),
         others: sample.others.into_iter().map(Name::from).collect(),
-        slowdown: f64::from(sample.slowdown) / f64::from(WHOLE),
+        slowdown: f64::from(sample.slowdown) / f64::from(PER_MILLE),
         busy: sample.busy,
     }
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,4 +1,4 @@
-//! The course of one job or task, out of the logs of many boxes.
+//! Finds the history of a job, task or worker in the logs of many boxes.
 
 #[cfg(test)]
 mod tests;
@@ -8,35 +8,35 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// One decision that touched the job, as a box logged it.
+/// An event that a box logged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LoggedEvent {
-    /// Milliseconds since the Unix epoch on the clock of the box.
+    /// Time on the clock of the box, in milliseconds since the Unix epoch.
     pub time: Millis,
-    /// Box that decided.
+    /// Box that logged the event.
     #[serde(rename = "box")]
     pub node: String,
-    /// What happened.
+    /// Name of the event.
     pub event: String,
-    /// What decided it: `key=value` pairs, without the event.
+    /// The `key=value` pairs of the line, without that of the event.
     pub inputs: String,
 }
 
-/// Returns the events of a job, a task or a worker in their order, with what
-/// befell the owners and the store between the first and the last of them.
+/// Returns the events that mention a job, a task or a worker, ordered by time. Events between the
+/// first and the last of them that concern every job, such as a change of owner, are included.
 pub fn find_events<'l>(lines: impl Iterator<Item = &'l str>, id: &str) -> Vec<LoggedEvent> {
     let all: Vec<(bool, LoggedEvent)> = lines
         .filter_map(|line| Some((mentions(line, id), parse_line(line)?)))
         .collect();
-    let touched = || {
+    let times = || {
         all.iter()
             .filter(|(mentioned, _)| *mentioned)
             .map(|(_, m)| m.time)
     };
-    let (Some(first), Some(last)) = (touched().min(), touched().max()) else {
+    let (Some(first), Some(last)) = (times().min(), times().max()) else {
         return Vec::new();
     };
-    let within = |m: &LoggedEvent| (first..=last).contains(&m.time) && affects_all_jobs(&m.event);
+    let within = |m: &LoggedEvent| (first..=last).contains(&m.time) && concerns_every_job(&m.event);
     let mut events: Vec<LoggedEvent> = all
         .into_iter()
         .filter(|(mentioned, m)| *mentioned || within(m))
@@ -46,7 +46,7 @@
     events
 }
 
-/// Events that touch every job.
+/// Names of events that concern every job.
 const COMMON_EVENTS: [&str; 10] = [
     "owner-begins",
     "owner-ends",
@@ -60,11 +60,12 @@
     "cordons",
 ];
 
-fn affects_all_jobs(event: &str) -> bool {
+fn concerns_every_job(event: &str) -> bool {
     COMMON_EVENTS.contains(&event)
 }
 
-/// Returns true when a line has the id as a value or as the start of one.
+/// Returns true if a word or value of the line is the id, or starts with the id and a dot as the
+/// names of a job's tasks do.
 fn mentions(line: &str, id: &str) -> bool {
     line.split_ascii_whitespace().any(|word| {
         let value = word.split_once('=').map_or(word, |(_, v)| v);
@@ -73,7 +74,7 @@
     })
 }
 
-/// Reads a line as text: time, level, box, module and pairs; or as JSON.
+/// Parses a log line in either format. A text line has the time, level, box, module and pairs.
 fn parse_line(line: &str) -> Option<LoggedEvent> {
     let start = line.find(|c: char| c.is_ascii_digit() || c == '{')?;
     let line = &line[start..];
@@ -81,7 +82,7 @@
         return parse_json(line);
     }
     let words: Vec<&str> = line.split_ascii_whitespace().collect();
-    // A test bench may put its own time and the box before the line.
+    // A test bench may prepend its own time and the name of the box.
     let place = words
         .iter()
         .position(|w| w.len() >= 13 && w.parse::<Millis>().is_ok())?;
@@ -90,7 +91,7 @@
     parse_message(time, node, &words.get(place + 4..)?.join(" "))
 }
 
-/// A log line as JSON, as far as it is needed.
+/// The needed fields of a log line in JSON format.
 #[derive(serde::Deserialize)]
 struct Line {
     time: Millis,
@@ -104,6 +105,7 @@
     parse_message(line.time, line.node.to_string(), &line.message)
 }
 
+/// Splits a message into its event and the other words; none without an event.
 fn parse_message(time: Millis, node: String, message: &str) -> Option<LoggedEvent> {
     let mut event = None;
     let mut inputs = Vec::new();
--- a/src/explain/tests.rs
+++ b/src/explain/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the course of a job out of log lines.
+//! Tests of finding a job's history in log lines.
 
 use super::find_events;
 
@@ -13,15 +13,15 @@
 ";
 
 #[test]
-fn a_job_is_followed_over_boxes_with_what_befell_the_owner() {
-    let moments = find_events(LOG.lines(), "aa11");
-    let events: Vec<&str> = moments.iter().map(|m| &*m.event).collect();
+fn the_events_of_a_job_on_all_boxes_are_found_with_those_of_the_owner() {
+    let found = find_events(LOG.lines(), "aa11");
+    let events: Vec<&str> = found.iter().map(|m| &*m.event).collect();
     assert_eq!(events, ["accept", "start", "owner-begins", "end"]);
-    assert_eq!(moments[3].node, "b2");
-    assert_eq!(moments[1].inputs, "task=aa11.0.0.0 run=1 worker=w1");
+    assert_eq!(found[3].node, "b2");
+    assert_eq!(found[1].inputs, "task=aa11.0.0.0 run=1 worker=w1");
 }
 
 #[test]
-fn an_unknown_id_has_no_course() {
+fn an_unknown_id_has_no_events() {
     assert!(find_events(LOG.lines(), "ff").is_empty());
 }
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -1,30 +1,30 @@
-//! Invariants asserted inside the program, in release builds as well.
+//! Invariants that are checked at run time, in release builds, too.
 //!
-//! A violation is counted and logged as an error; the caller refuses what
-//! would break the rule. Tests and randomised runs read the counts.
+//! A violation is counted and logged as an error, and the caller of the check rejects the operation
+//! that would break the rule. Tests and randomised runs read the counts.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// What must always hold.
+/// A rule that must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// No worker is given more than its room.
+    /// No worker is allocated more than its capacity.
     Room,
-    /// No task runs in two places.
+    /// No task runs on two workers.
     Place,
-    /// Evicted work resumes exactly once.
+    /// An evicted task resumes exactly once.
     Resume,
-    /// An answer goes to its own request.
+    /// An answer is returned for the request that it belongs to.
     Answer,
-    /// What is called not run was not run.
+    /// A request that is answered `not-run` was not run.
     NotRun,
     /// A request that is not repeatable runs at most once.
     Once,
-    /// A leaving endpoint gets nothing new.
+    /// An endpoint that leaves gets no new requests or tasks.
     Leaving,
-    /// A configuration never goes back.
+    /// The version of the configuration never decreases.
     Config,
-    /// One owner acts for a cell.
+    /// A cell has at most one owner that acts.
     Owner,
 }
 
@@ -41,17 +41,20 @@
     Rule::Owner,
 ];
 
+/// Number of checks of each rule.
 static CHECKS: [AtomicU64; 9] = [const { AtomicU64::new(0) }; 9];
+/// Number of violations of each rule.
 static VIOLATIONS: [AtomicU64; 9] = [const { AtomicU64::new(0) }; 9];
 
-static PANIC: AtomicBool = AtomicBool::new(false);
+/// True if a violation panics.
+static PANIC_ON_VIOLATION: AtomicBool = AtomicBool::new(false);
 
-/// Makes every violation a panic, for randomised runs.
+/// Makes every violation panic from now on, for randomised runs.
 pub fn panic_on_violation() {
-    PANIC.store(true, Ordering::Relaxed);
+    PANIC_ON_VIOLATION.store(true, Ordering::Relaxed);
 }
 
-/// Counts a check; returns `holds`, and logs the violation when it is false.
+/// Counts a check of a rule and returns `holds`. If it is false, counts and logs a violation.
 pub fn check(holds: bool, rule: Rule, detail: impl FnOnce() -> String) -> bool {
     let index = rule as usize;
     CHECKS[index].fetch_add(1, Ordering::Relaxed);
@@ -60,24 +63,24 @@
         let detail = detail();
         log::error!(target: "invariant", "{rule:?} violated: {detail}");
         assert!(
-            !PANIC.load(Ordering::Relaxed),
+            !PANIC_ON_VIOLATION.load(Ordering::Relaxed),
             "{rule:?} violated: {detail}"
         );
     }
     holds
 }
 
-/// Returns how often a rule was checked.
+/// Returns the number of checks of a rule.
 pub fn checks(rule: Rule) -> u64 {
     CHECKS[rule as usize].load(Ordering::Relaxed)
 }
 
-/// Returns how often a rule was violated.
+/// Returns the number of violations of a rule.
 pub fn violations(rule: Rule) -> u64 {
     VIOLATIONS[rule as usize].load(Ordering::Relaxed)
 }
 
-/// Returns how often any rule was violated.
+/// Returns the number of violations of all rules.
 pub fn total_violations() -> u64 {
     RULES.iter().map(|r| violations(*r)).sum()
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! willowpoint: a scheduler for latency-critical and batch work on the same boxes.
 //!
-//! Every entry box runs one daemon with all duties: it takes callers'
-//! requests, hands them to the owner of a suitable cell of workers, and owns
-//! some cells itself. What must last lies in the platform's table. See
-//! `docs/DESIGN.md`.
+//! Every box runs one daemon, of one of two kinds. The daemon of `entry` takes callers' requests,
+//! forwards them to the owner of a suitable cell of workers, and owns some cells itself. The daemon
+//! of `serve` schedules jobs on the workers of the platform, which form one cell that one of the
+//! boxes owns. Durable state is kept in the platform's table or store. See `docs/DESIGN.md`.
 
 pub mod cell;
 pub mod claim;
--- a/src/standin/worker/serve.rs
+++ b/src/standin/worker/serve.rs
@@ -73,7 +73,7 @@
             age,
             kind: s.kind.to_string(),
             others: s.others.iter().map(|o| o.to_string()).collect(),
-            slowdown: (s.slowdown * f64::from(constants::WHOLE)) as u32,
+            slowdown: (s.slowdown * f64::from(constants::PER_MILLE)) as u32,
             busy: s.busy,
         });
         Ok(Response::new(proto::SyncReply {
@@ -108,7 +108,7 @@
                 memory: size.memory,
                 accelerators: size.accelerators,
             },
-            share: request.share.clamp(1, constants::WHOLE),
+            share: request.share.clamp(1, constants::PER_MILLE),
             state: RunState::Running,
             work: request.work,
             done: request.done as f64,
--- a/src/standin/worker/state.rs
+++ b/src/standin/worker/state.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use crate::cell::{RunId, RunReport, RunState, Sample, Shape, Size};
-use crate::constants::WHOLE;
+use crate::constants::PER_MILLE;
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 use crate::utils::hash::stable;
@@ -173,8 +173,9 @@
     /// Returns the slowdown of a service by the present runs, as a factor of at least 1.
     pub fn slowdown(&self, service: &str) -> f64 {
         let running = self.running();
-        let interference = running
-            .map(|t| Self::interference(service, &t.kind) * f64::from(t.share) / f64::from(WHOLE));
+        let interference = running.map(|t| {
+            Self::interference(service, &t.kind) * f64::from(t.share) / f64::from(PER_MILLE)
+        });
         1.0 + interference.sum::<f64>()
     }
 
@@ -193,7 +194,7 @@
             }
             let end = now.min(run.lease);
             let span = end.saturating_sub(from) as f64;
-            run.done += span * f64::from(run.share) / f64::from(WHOLE);
+            run.done += span * f64::from(run.share) / f64::from(PER_MILLE);
             if fail && run.done > run.saved as f64 + 20.0 {
                 run.state = RunState::Failed;
             } else if run.done >= run.work as f64 {
@@ -340,7 +341,7 @@
             return Err(Refusal::Fenced);
         }
         let run = self.runs.get_mut(&id).ok_or(Refusal::Missing)?;
-        run.share = share.min(WHOLE);
+        run.share = share.min(PER_MILLE);
         Ok(())
     }
 
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -1,4 +1,4 @@
-//! Spans: one for each hop of a request, under one trace id.
+//! Request tracing: trace contexts, and spans in the log, one for each hop of a request.
 
 #[cfg(test)]
 mod tests;
@@ -8,54 +8,54 @@
 use crate::utils::clock;
 use crate::utils::hash::mix;
 
-/// Log target of spans.
+/// Log target under which spans are logged.
 pub const TARGET: &str = "trace";
 
-/// Place of a hop in its trace (W3C Trace Context, level 1).
+/// Trace context of a hop (W3C Trace Context, level 1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Context {
-    /// The whole way of the request.
+    /// Id of the trace, which all hops of a request share.
     pub trace: u128,
-    /// This hop.
+    /// Id of this hop.
     pub span: u64,
-    /// The hop before it, or 0.
+    /// Id of the hop before this one, or 0.
     pub parent: u64,
-    /// True when its spans are logged.
+    /// True if the spans of this trace are logged.
     pub sampled: bool,
 }
 
-/// A hop that has ended, as logged.
+/// A finished hop, as it is logged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Span {
     /// Trace id in hexadecimal.
     pub trace: String,
     /// Id of the hop in hexadecimal.
     pub span: String,
-    /// Id of the hop before it in hexadecimal.
+    /// Id of the hop before this one in hexadecimal, or zeros.
     pub parent: String,
-    /// What the hop was.
+    /// Kind of the hop.
     pub name: String,
-    /// Milliseconds since the Unix epoch of its end.
+    /// End of the hop, in milliseconds since the Unix epoch.
     pub end: u64,
-    /// Microseconds that it took.
+    /// Duration of the hop, in microseconds.
     pub micros: u64,
-    /// How it ended.
+    /// Verdict that the hop ended with.
     pub verdict: String,
 }
 
 impl Context {
-    /// Returns the context of a new trace.
+    /// Creates the context of the first hop of a new trace.
     pub fn new(sampled: bool) -> Self {
-        let (high, low) = (random_id(), random_id());
+        let (high, low) = (unique_id(), unique_id());
         Self {
             trace: u128::from(high) << 64 | u128::from(low),
-            span: random_id(),
+            span: unique_id(),
             parent: 0,
             sampled,
         }
     }
 
-    /// Reads a `traceparent` header and returns the context of the next hop.
+    /// Parses a `traceparent` header, and returns the context of the hop after it.
     pub fn parse(header: &str) -> Option<Self> {
         let mut parts = header.split('-');
         let (version, trace) = (parts.next()?, parts.next()?);
@@ -78,18 +78,18 @@
     pub fn next(&self) -> Self {
         Self {
             parent: self.span,
-            span: random_id(),
+            span: unique_id(),
             ..*self
         }
     }
 
-    /// Returns the `traceparent` header that hands this hop on.
+    /// Returns the `traceparent` header for the next hop.
     pub fn header(&self) -> String {
         let flags = u8::from(self.sampled);
         format!("00-{:032x}-{:016x}-{flags:02x}", self.trace, self.span)
     }
 
-    /// Logs the end of this hop, which took `micros`.
+    /// Logs the span of this hop, which took `micros` microseconds, if the trace is sampled.
     pub fn end(&self, name: &str, micros: u64, verdict: &str) {
         if !self.sampled {
             return;
@@ -108,8 +108,8 @@
     }
 }
 
-/// Returns a number that no other hop has, with overwhelming likelihood.
-fn random_id() -> u64 {
+/// Returns an id that is unique with overwhelming probability.
+fn unique_id() -> u64 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static COUNTER: AtomicU64 = AtomicU64::new(0);
     let count = COUNTER.fetch_add(1, Ordering::Relaxed);
@@ -117,7 +117,7 @@
     mix(mix(clock::wall() ^ process) ^ count).max(1)
 }
 
-/// Returns the spans of a trace among log lines, JSON or plain.
+/// Returns the spans of a trace in log lines of either format, ordered by their start.
 pub fn find_spans<'l>(lines: impl Iterator<Item = &'l str>, trace: &str) -> Vec<Span> {
     let mut spans: Vec<Span> = lines
         .filter(|line| line.contains(trace))
@@ -128,7 +128,7 @@
     spans
 }
 
-/// A log line as far as a span needs it.
+/// The needed field of a log line in JSON format.
 #[derive(Deserialize)]
 struct Line {
     message: String,
