--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,4 +1,4 @@
-//! The daemon of an entry box: sockets and tasks around the decisions.
+//! Daemon of an entry box: the servers and tasks that perform the I/O for the engine.
 
 mod admin;
 mod callers;
@@ -26,13 +26,13 @@
 use crate::utils::{clock, listen, signals};
 use driver::{Context, EngineDriver, Message};
 
-/// Milliseconds between two ticks of the decisions.
+/// Milliseconds between two ticks of the engine.
 const TICK_INTERVAL: u64 = 25;
 
-/// A switch that begins a planned stop from within the process.
+/// Flag that starts a planned stop from within the process when set.
 pub type StopFlag = Arc<AtomicBool>;
 
-/// Runs an entry box until its planned stop is complete.
+/// Runs an entry box until a planned stop is complete.
 pub async fn run(settings: Settings, stop_flag: StopFlag) -> eyre::Result<()> {
     let web = listen::bind(settings.web)?;
     let rpc = listen::bind(settings.rpc)?;
@@ -47,7 +47,7 @@
         policy: settings.policy.clone(),
         dedup_timings: DedupTimings::default(),
     });
-    log::info!(target: "entry", "{} starts, callers at {}", engine.id(), settings.web);
+    log::info!(target: "entry", "box {} listens for callers on {}", engine.id(), settings.web);
     let (sender, receiver) = mpsc::unbounded();
     let context = Rc::new(Context::new(settings, sender));
     let limits = context.settings.limits;
@@ -66,6 +66,8 @@
     Ok(())
 }
 
+/// Sends ticks to the engine until it has stopped, and a stop event with each while a planned stop
+/// is requested.
 async fn send_ticks(context: Rc<Context>, stop_flag: StopFlag) {
     let mut interval = monoio::time::interval(Duration::from_millis(TICK_INTERVAL));
     loop {
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and metrics over HTTP.
+//! HTTP endpoints for health, readiness and metrics.
 
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
 use crate::utils::drain::Drain;
 use crate::web::{self, Reply};
 
-/// Serves `/health`, `/ready` and `/metrics` for ever.
+/// Serves `/health`, `/ready` and `/metrics` until the process ends.
 pub async fn serve(listener: TcpListener, context: Rc<Context>) {
     let limits = context.settings.limits;
     let handle = move |request| handle(context.clone(), request);
@@ -23,7 +23,10 @@
         "/health" => Reply::text(StatusCode::OK, "ok\n"),
         "/ready" => ready(&context).await,
         "/metrics" => Reply::text(StatusCode::OK, metrics::get().encode()),
-        _ => Reply::text(StatusCode::NOT_FOUND, "try /health, /ready or /metrics\n"),
+        _ => Reply::text(
+            StatusCode::NOT_FOUND,
+            "not found: try /health, /ready or /metrics\n",
+        ),
     }
 }
 
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' requests over HTTP.
+//! Answers callers' HTTP requests and reports the verdict in the reply's headers.
 
 use std::rc::Rc;
 
@@ -16,10 +16,10 @@
 use crate::utils::clock;
 use crate::web::{self, Reply};
 
-/// Retry delay of an invalid request in milliseconds; its headers are removed before sending.
+/// Retry delay of an invalid request in milliseconds; not sent, as its headers are removed.
 const RETRY_DELAY: u64 = 200;
 
-/// Takes a caller's request to its answer.
+/// Returns the reply to a caller's request, and records its metrics and its span.
 pub async fn handle(context: Rc<Context>, request: web::Request) -> Reply {
     let start = clock::micros();
     let hop = trace_context(&context, &request);
@@ -37,11 +37,11 @@
             });
             match result.await {
                 Ok(outcome) => outcome_reply(outcome),
-                // The box has stopped between the request and its answer.
+                // The box stopped before the request was answered.
                 Err(_) => unknown_reply("stopping"),
             }
         }
-        Err(findings) => invalid_reply(&findings),
+        Err(errors) => invalid_reply(&errors),
     };
     let micros = clock::micros() - start;
     metrics::get().request_seconds.observe(micros as f64 / 1e6);
@@ -53,17 +53,20 @@
     reply
 }
 
+/// Returns the trace context of a request's header, or that of a new trace, which is sampled at
+/// random.
 fn trace_context(context: &Context, request: &web::Request) -> trace::Context {
     let header = request.headers.get(constants::TRACEPARENT);
     let received = header
         .and_then(|h| h.to_str().ok())
         .and_then(trace::Context::parse);
     received.unwrap_or_else(|| {
-        let draw = crate::utils::hash::mix(clock::micros()) as f64 / u64::MAX as f64;
-        trace::Context::new(draw < context.settings.trace_share)
+        let random = crate::utils::hash::mix(clock::micros()) as f64 / u64::MAX as f64;
+        trace::Context::new(random < context.settings.trace_share)
     })
 }
 
+/// Returns the reply to the caller and its metric labels.
 fn outcome_reply(outcome: Outcome) -> (Reply, AnswerLabels) {
     match (outcome.verdict, outcome.reply) {
         (Verdict::Answer, Some(mut reply)) => {
@@ -88,7 +91,7 @@
 
 fn not_run_reply(reason: &'static str, retry_after: u64) -> (Reply, AnswerLabels) {
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    let text = format!("not run: {reason}; come back in {retry_after} ms\n");
+    let text = format!("not run: {reason}; retry in {retry_after} ms\n");
     let mut reply = Reply::text(status, text);
     set_header(&mut reply.headers, constants::VERDICT, "not-run");
     set_header(&mut reply.headers, constants::REASON, reason);
@@ -110,7 +113,7 @@
 }
 
 fn unknown_reply(reason: &'static str) -> (Reply, AnswerLabels) {
-    let text = format!("unknown: it may have run ({reason})\n");
+    let text = format!("unknown: the request may have run ({reason})\n");
     let mut reply = Reply::text(StatusCode::GATEWAY_TIMEOUT, text);
     set_header(&mut reply.headers, constants::VERDICT, "unknown");
     set_header(&mut reply.headers, constants::REASON, reason);
@@ -121,11 +124,12 @@
     (reply, answer)
 }
 
-fn invalid_reply(findings: &[request::HeaderError]) -> (Reply, AnswerLabels) {
+/// Returns the reply to a request with invalid headers, which names them and asks for no retry.
+fn invalid_reply(errors: &[request::HeaderError]) -> (Reply, AnswerLabels) {
     metrics::get().malformed.inc();
     let mut text = String::from("not run: invalid\n");
-    for finding in findings {
-        text.push_str(&format!("{}: {}\n", finding.header, finding.problem));
+    for error in errors {
+        text.push_str(&format!("{}: {}\n", error.header, error.problem));
     }
     let (mut reply, answer) = not_run_reply("invalid", RETRY_DELAY);
     reply.status = StatusCode::BAD_REQUEST;
--- a/src/entry/convert.rs
+++ b/src/entry/convert.rs
@@ -1,4 +1,4 @@
-//! Between messages on the wire and the types of the decisions.
+//! Conversions between protocol messages and the engine's types.
 
 use std::net::SocketAddr;
 
@@ -13,11 +13,13 @@
 use crate::route::CellLoad;
 use crate::utils::Name;
 
-/// Returns a greeting from its message.
+/// Converts a greeting from its message; fails if its address is invalid.
 pub fn greeting_from_proto(message: proto::Greeting) -> Result<Greeting, Status> {
     let rpc: Result<SocketAddr, _> = message.address.parse();
     let Ok(rpc) = rpc else {
-        return Err(Status::invalid_argument("greeting without an address"));
+        return Err(Status::invalid_argument(
+            "the greeting has no valid socket address",
+        ));
     };
     Ok(Greeting {
         from: message.from.into(),
@@ -33,7 +35,7 @@
     })
 }
 
-/// Returns the message of a greeting.
+/// Converts a greeting to its message.
 pub fn greeting_to_proto(greeting: Greeting) -> proto::Greeting {
     proto::Greeting {
         from: greeting.from.to_string(),
@@ -97,7 +99,7 @@
     }
 }
 
-/// Returns what a request says of itself from its message.
+/// Converts a request's header values from their message.
 pub fn meta_from_proto(message: &proto::Meta) -> Meta {
     let class = match message.batch {
         true => Class::Batch,
@@ -116,7 +118,7 @@
     }
 }
 
-/// Returns the message of what a request says of itself.
+/// Converts a request's header values to their message.
 pub fn meta_to_proto(meta: &Meta, trace: String) -> proto::Meta {
     proto::Meta {
         id: meta.id.to_string(),
@@ -132,7 +134,7 @@
     }
 }
 
-/// Returns a name, or `None` for an empty text.
+/// Returns the text as a name, or `None` if it is empty.
 pub fn non_empty_name(text: String) -> Option<Name> {
     (!text.is_empty()).then(|| text.into())
 }
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -1,4 +1,5 @@
-//! Sends of requests to endpoints and to other boxes, and how they ended.
+//! Sends requests to endpoints, forwards them to other boxes, and reports the outcomes to the
+//! engine.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,9 +18,9 @@
 use crate::utils::clock::{self, Millis};
 use crate::web::{self, Reply, WebError};
 
-/// One send of a request to an endpoint.
+/// Parameters of a send to an endpoint.
 pub(super) struct EndpointSend {
-    /// Number of the request.
+    /// Number of the request on this box.
     pub ticket: u64,
     /// Cell of the worker.
     pub cell: Name,
@@ -27,11 +28,11 @@
     pub epoch: u64,
     /// Address of the endpoint.
     pub http: SocketAddr,
-    /// Milliseconds that the request has left.
+    /// Milliseconds until the deadline of the request.
     pub time_left: Millis,
 }
 
-/// Sends a request to an endpoint and tells how that ended.
+/// Sends a request to an endpoint and reports the outcome, unless this box may no longer send.
 pub(super) async fn send_to_endpoint(
     context: Rc<Context>,
     request: Rc<TracedRequest>,
@@ -52,11 +53,11 @@
         Ok(reply) => (SendOutcome::Answered, Some(reply)),
         Err(WebError::CheckFailed) => (SendOutcome::LeaseLapsed, None),
         Err(WebError::NotSent(e)) => {
-            log::debug!(target: "entry", "{} not reached: {e}", send.http);
+            log::debug!(target: "entry", "endpoint {} not reached: {e}", send.http);
             (SendOutcome::NotRun, None)
         }
         Err(e) => {
-            log::debug!(target: "entry", "{}: {e}", send.http);
+            log::debug!(target: "entry", "request to endpoint {} failed: {e}", send.http);
             (SendOutcome::Unknown { until }, None)
         }
     };
@@ -70,7 +71,7 @@
     report_end(&context, ticket, reply, event);
 }
 
-/// Tells the task of the decisions how a send ended, with the answer if there is one.
+/// Reports the end of a send or forward to the engine, with the reply if one was received.
 fn report_end(context: &Context, ticket: u64, reply: Option<Reply>, event: Event) {
     let message = match reply {
         Some(reply) => Message::Answered {
@@ -83,11 +84,13 @@
     context.send(message);
 }
 
+/// Returns true if the worker refused the request before running it.
 fn is_not_run(reply: &Reply) -> bool {
     let verdict = reply.headers.get(constants::VERDICT);
     verdict.is_some_and(|v| v == "not-run")
 }
 
+/// Returns the request with the headers that the endpoint checks before it runs the request.
 fn endpoint_request(
     context: &Context,
     request: &TracedRequest,
@@ -107,7 +110,7 @@
     outgoing
 }
 
-/// Sets a header to a text that is known to be valid in one.
+/// Sets a header; does nothing if the value is not valid in one.
 pub fn set_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
@@ -118,7 +121,7 @@
     headers.insert(name, HeaderValue::from(value));
 }
 
-/// Hands a request to another box and tells how that ended.
+/// Forwards a request to another box and reports the outcome.
 pub(super) async fn forward(
     context: Rc<Context>,
     request: Rc<TracedRequest>,
@@ -130,7 +133,7 @@
     let hop = request.trace.next();
     let start = clock::micros();
     let admitted = target.dedup_shard.is_some();
-    // An owner of a dedup shard whose lease has lapsed must not send the request on.
+    // The owner of the dedup shard must not forward the request after its lease has lapsed.
     let is_owner = admitted && target.cell.is_some();
     let (outcome, reply) = match is_owner && !context.may_send() {
         true => (peers::lease_lapsed(&meta), None),
@@ -146,7 +149,7 @@
     report_end(&context, ticket, reply, event);
 }
 
-/// Returns the headers of an answer as pairs for another box.
+/// Converts header fields to their messages.
 pub fn headers_to_proto(headers: &HeaderMap) -> Vec<crate::proto::Header> {
     headers
         .iter()
--- a/src/entry/driver.rs
+++ b/src/entry/driver.rs
@@ -1,4 +1,4 @@
-//! The task that owns the decisions and carries out what they ask for.
+//! Task that owns the engine: passes it events and performs the actions that it returns.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -22,102 +22,102 @@
 use crate::web::client::Pool;
 use crate::web::{self, Reply};
 
-/// What a request came to.
+/// Outcome of a request.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// What the caller is told.
+    /// Result for the caller.
     pub verdict: Verdict,
-    /// The endpoint's answer, with [`Verdict::Answer`].
+    /// Reply of the endpoint if the verdict is [`Verdict::Answer`].
     pub reply: Option<Reply>,
-    /// Sends that are left to it.
+    /// Number of retries that the request has left.
     pub retries: u32,
 }
 
-/// A request with what the tasks need of it.
+/// HTTP request with its trace context.
 #[derive(Clone, Debug)]
 pub struct TracedRequest {
-    /// The whole request.
+    /// The HTTP request.
     pub request: web::Request,
-    /// This box' hop of its trace.
+    /// Trace context of this box's hop.
     pub trace: trace::Context,
 }
 
-/// A message to the task of the decisions.
+/// Message to the [`EngineDriver`].
 pub enum Message {
-    /// An event without further parts.
+    /// An event that is passed to the engine unchanged.
     Event(Event),
-    /// A caller's request.
+    /// A caller's request arrived.
     Request {
-        /// What it says of itself.
+        /// Checked headers of the request.
         meta: Meta,
         /// The request.
         request: TracedRequest,
-        /// Where its outcome goes.
+        /// Receives the outcome.
         reply_to: oneshot::Sender<Outcome>,
     },
-    /// A request handed over by another box.
+    /// A request arrived that another box has forwarded.
     Forwarded {
-        /// What it says of itself.
+        /// Checked headers of the request.
         meta: Meta,
-        /// Cell that is to run it.
+        /// Cell in which the request runs; `None` if this box is to choose.
         cell: Option<Name>,
-        /// Dedup shard of its id.
+        /// Dedup shard of the request's id; `None` for a repeatable request.
         dedup_shard: Option<Name>,
-        /// Epoch of the dedup shard, or 0.
+        /// Epoch of the dedup shard that admitted the request, or 0.
         epoch: u64,
         /// The request.
         request: TracedRequest,
-        /// Where its outcome goes.
+        /// Receives the outcome.
         reply_to: oneshot::Sender<Outcome>,
     },
-    /// The answer to a request, before the event that tells of it.
+    /// A send or forward ended with a reply, which is stored before the engine receives the event.
     Answered {
-        /// The request.
+        /// Number of the request on this box.
         ticket: u64,
-        /// The endpoint's answer.
+        /// Reply of the endpoint.
         reply: Reply,
-        /// The event that tells of it.
+        /// Event that reports the end of the send or forward.
         event: Event,
     },
-    /// Another box' greeting.
+    /// A greeting of another box arrived.
     Greeting {
-        /// What it says.
+        /// The greeting.
         greeting: Greeting,
-        /// Where the answer goes.
+        /// Receives the greeting of this box and whether it gives the requested promise.
         reply_to: oneshot::Sender<(Greeting, bool)>,
     },
-    /// The servers have ended.
+    /// The drain of the servers has ended.
     Drained,
-    /// A question about the state.
+    /// A view of the engine's state is requested.
     Query {
-        /// What is asked.
+        /// Requested view.
         query: Query,
-        /// Where the view goes.
+        /// Receives the view.
         reply_to: oneshot::Sender<View>,
     },
 }
 
-/// What all tasks of a box share: no state of the decisions but the send_until.
+/// State shared by all tasks of a box; of the engine's state only the time limit for sends.
 pub struct Context {
     /// Settings of the box.
     pub settings: Settings,
-    /// Connections to endpoints.
+    /// HTTP connections to endpoints.
     pub pool: Pool,
-    /// The table.
+    /// Client of the platform's table and directory.
     pub platform: PlatformClient,
-    /// Connections to boxes and workers.
+    /// gRPC channels to boxes and workers by address.
     channels: std::cell::RefCell<HashMap<SocketAddr, Channel>>,
-    /// Until when sends to workers may leave.
+    /// Time until which requests and calls may be sent to workers, in ms on the monotonic clock.
     send_until: Cell<Millis>,
     sender: mpsc::UnboundedSender<Message>,
 }
 
 impl Context {
-    /// Returns the context of a box.
+    /// Returns the context of a box whose messages go to `sender`.
     pub fn new(settings: Settings, sender: mpsc::UnboundedSender<Message>) -> Self {
-        let limit = settings.limits.body + settings.limits.head;
+        let max_reply = settings.limits.body + settings.limits.head;
         Self {
-            pool: Pool::new(limit),
+            pool: Pool::new(max_reply),
             platform: PlatformClient::new(settings.platform, settings.call_timeout),
             channels: Default::default(),
             send_until: Cell::new(0),
@@ -126,29 +126,29 @@
         }
     }
 
-    /// Sends a message to the decisions; false when they have ended.
+    /// Sends a message to the [`EngineDriver`]; returns false if it has ended.
     pub fn send(&self, message: Message) -> bool {
         self.sender.unbounded_send(message).is_ok()
     }
 
-    /// Returns true while sends to workers may leave.
+    /// Returns true while requests and calls may be sent to workers.
     pub fn may_send(&self) -> bool {
         clock::now() < self.send_until.get()
     }
 
-    /// Returns the milliseconds until sends to workers must end.
+    /// Returns the milliseconds for which requests and calls may still be sent to workers.
     pub fn send_time_left(&self) -> Millis {
         self.send_until.get().saturating_sub(clock::now())
     }
 
-    /// Returns the connection to a box or a worker.
+    /// Returns the gRPC channel to a box or worker; creates it on first use.
     pub fn channel(&self, address: SocketAddr) -> Channel {
         let mut channels = self.channels.borrow_mut();
         let channel = channels.entry(address);
         channel.or_insert_with(|| Channel::new(address)).clone()
     }
 
-    /// Asks the decisions for a view of their state.
+    /// Returns a view of the engine's state, or `None` if the box has stopped.
     pub async fn query(&self, query: Query) -> Option<View> {
         let (reply_to, view) = oneshot::channel();
         self.send(Message::Query { query, reply_to });
@@ -156,27 +156,28 @@
     }
 }
 
-/// A request that waits for its outcome.
+/// Request that has not been answered.
 struct PendingRequest {
     request: Rc<TracedRequest>,
     endpoint_reply: Option<Reply>,
     reply_to: oneshot::Sender<Outcome>,
 }
 
-/// The task that owns the decisions.
+/// Task that owns the engine.
 pub struct EngineDriver {
     engine: Engine,
     context: Rc<Context>,
+    /// Requests by ticket, which is the number of a request, greeting or query on this box.
     pending: HashMap<u64, PendingRequest>,
     greetings: HashMap<u64, oneshot::Sender<(Greeting, bool)>>,
     queries: HashMap<u64, oneshot::Sender<View>>,
     last_ticket: u64,
-    /// Ends the tasks that hold connections; none once it has begun.
+    /// Begins the drain of the servers; `None` once it has begun.
     drain_trigger: Option<DrainTrigger>,
 }
 
 impl EngineDriver {
-    /// Returns the task around an engine, with what ends the servers.
+    /// Returns the task for an engine; `drain_trigger` ends the servers on a planned stop.
     pub fn new(engine: Engine, context: Rc<Context>, drain_trigger: DrainTrigger) -> Self {
         Self {
             engine,
@@ -189,10 +190,10 @@
         }
     }
 
-    /// Takes in messages until a planned stop is complete.
+    /// Processes messages until a planned stop is complete.
     pub async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
         while let Some(message) = receiver.next().await {
-            let Some(event) = self.to_event(message) else {
+            let Some(event) = self.accept_message(message) else {
                 log::info!(target: "entry", "stopped");
                 return;
             };
@@ -210,6 +211,7 @@
         self.last_ticket
     }
 
+    /// Stores a request until it is answered, and returns its ticket.
     fn add_pending(&mut self, request: TracedRequest, reply_to: oneshot::Sender<Outcome>) -> u64 {
         let ticket = self.next_ticket();
         let pending = PendingRequest {
@@ -221,8 +223,8 @@
         ticket
     }
 
-    /// Returns the event that a message tells of; none when nothing is left to do.
-    fn to_event(&mut self, message: Message) -> Option<Event> {
+    /// Returns the event of a message and stores what its answer needs; `None` ends the task.
+    fn accept_message(&mut self, message: Message) -> Option<Event> {
         let event = match message {
             Message::Drained => return None,
             Message::Event(event) => event,
@@ -272,6 +274,7 @@
         Some(event)
     }
 
+    /// Performs an action; one that waits for I/O runs in a task of its own.
     fn execute(&mut self, action: Action) {
         let context = self.context.clone();
         match action {
@@ -381,7 +384,7 @@
         }
     }
 
-    /// Lets the servers answer what has come, then ends this task.
+    /// Drains the servers for at most `within` milliseconds, then ends this task.
     fn begin_drain(&mut self, within: Millis) {
         let Some(drain_trigger) = self.drain_trigger.take() else {
             return;
@@ -389,12 +392,13 @@
         let context = self.context.clone();
         monoio::spawn(async move {
             if !drain_trigger.finish(within).await {
-                log::warn!(target: "entry", "connections were still open at the end of the stop");
+                log::warn!(target: "entry", "connections were still open when the drain timed out");
             }
             context.send(Message::Drained);
         });
     }
 
+    /// Answers a request with its outcome.
     fn finish_request(&mut self, ticket: u64, verdict: Verdict, retries: u32) {
         let Some(pending) = self.pending.remove(&ticket) else {
             return;
@@ -404,7 +408,7 @@
             reply: pending.endpoint_reply,
             retries,
         };
-        // A caller that has gone away needs no answer.
+        // The receiver is dropped if the caller has disconnected.
         let _ = pending.reply_to.send(outcome);
     }
 }
