--- a/benches/path.rs
+++ b/benches/path.rs
@@ -29,7 +29,7 @@
     let deployment = Deployment::start(DeploymentSize {
         boxes: 2,
         workers: 8,
-        service: 0,
+        service_time: 0,
         halls: 1,
     })?;
     block_on(measure(&deployment))??;
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -29,8 +29,8 @@
 pub const TICKET: &str = "willowpoint-ticket";
 /// Header of a request to a stand-in worker: microseconds of work.
 pub const WORK: &str = "willowpoint-work-us";
-/// Header of a request to an endpoint: milliseconds since the Unix epoch after which it must not be
-/// run.
+/// Header of a request to an endpoint: time after which it must not be run, in milliseconds since
+/// the Unix epoch.
 pub const NOT_AFTER: &str = "willowpoint-not-after-ms";
 /// Header of a `not-run` answer: milliseconds after which the caller may retry.
 pub const RETRY_AFTER: &str = "willowpoint-retry-after-ms";
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,4 +1,4 @@
-//! The embedded demo: everything in one process, on real sockets.
+//! The demo: runs a deployment in one process on real sockets, and prints a summary.
 
 pub mod deployment;
 
@@ -16,20 +16,20 @@
 use crate::rpc::client::Channel;
 use deployment::{Deployment, DeploymentSize};
 
-/// Requests a second on all boxes together.
+/// Requests per second to all boxes together.
 const REQUEST_RATE: f64 = 1_500.0;
-/// Milliseconds until an answer is worthless.
+/// Deadline of a request, in milliseconds.
 const DEADLINE: u64 = 1_000;
-/// Milliseconds of one call to a box.
+/// Longest duration of a call to a box, in milliseconds.
 const CALL_TIMEOUT: u64 = 5_000;
-/// Milliseconds to wait for the deployment to be ready.
+/// Longest wait for the deployment to become ready, in milliseconds.
 const READY_TIMEOUT: u64 = 30_000;
-/// Batch tasks of one job.
+/// Number of tasks of a batch job.
 const TASKS_PER_JOB: u32 = 24;
-/// Kinds of batch work.
+/// Kinds of batch jobs; one job of each is submitted.
 const KINDS: [&str; 4] = ["reconcile", "restock", "settle", "tariff"];
 
-/// Runs the demo and prints its summary.
+/// Runs the demo, and prints its summary. Fails if an invariant was violated.
 pub fn run(options: &Demo) -> eyre::Result<()> {
     let quiet = LogSettings {
         level: log::LevelFilter::Error,
@@ -39,7 +39,7 @@
     let mut deployment = Deployment::start(DeploymentSize {
         boxes: 3,
         workers: 8,
-        service: 5_000,
+        service_time: 5_000,
         halls: 2,
     })?;
     let progress = |text: &str| {
@@ -47,15 +47,15 @@
             eprintln!("{text}");
         }
     };
-    progress("two halls, three entry boxes, a platform and eight workers are up");
+    progress("started a platform, eight workers and three entry boxes in two halls");
     let (report, jobs, rows) = block_on(async {
         deployment.wait_ready(READY_TIMEOUT).await?;
         submit_work(&deployment).await?;
-        progress("a service is created, jobs are submitted, load begins");
+        progress("created a service and submitted jobs, starting the load");
         let half = options.seconds.max(2) * 500;
         let before = deployment.table_rows();
         let first = load::run(plan(&deployment, options.seed, half)).await;
-        progress("one entry box is replaced under load");
+        progress("replacing an entry box under load");
         deployment.replace(2, READY_TIMEOUT).await?;
         let second = load::run(plan(&deployment, options.seed + 1, half)).await;
         let after = deployment.table_rows();
@@ -83,6 +83,7 @@
     }
 }
 
+/// Creates the service, and submits one job of each kind.
 async fn submit_work(deployment: &Deployment) -> eyre::Result<()> {
     deployment.create_service().await?;
     let channel = Channel::new(deployment.rpc_address(0));
@@ -100,7 +101,10 @@
         };
         let request = proto::SubmitJobRequest { spec: Some(spec) };
         let call = |c| async move { OperatorClient::new(c).submit_job(request).await };
-        channel.call(CALL_TIMEOUT, call).await.wrap_err("no job")?;
+        channel
+            .call(CALL_TIMEOUT, call)
+            .await
+            .wrap_err("cannot submit a job")?;
     }
     Ok(())
 }
@@ -112,10 +116,11 @@
     let reply = channel
         .call(CALL_TIMEOUT, call)
         .await
-        .wrap_err("no list of jobs")?;
+        .wrap_err("cannot list the jobs")?;
     Ok(reply.jobs)
 }
 
+/// Adds up two reports.
 fn merge(first: Report, second: Report) -> Report {
     let mut all = first;
     for (verdict, count) in second.verdicts {
@@ -163,24 +168,32 @@
         println!("{value:#}");
         return;
     }
-    println!("requests by what the caller was told");
+    println!("requests by verdict");
     for (verdict, count) in &report.verdicts {
         println!("  {verdict:28} {count:>8}");
     }
-    println!("  {:28} {:>8}", "wrong or cut answers", report.wrong);
+    println!("  {:28} {:>8}", "wrong or truncated answers", report.wrong);
     println!("time to the answer");
     for (name, part) in parts {
         println!("  {name:28} {:>8.2} ms", report.quantile(part) as f64 / 1e3);
     }
     println!("batch");
     println!("  {:28} {done:>8}", "tasks finished");
-    println!("  {:28} {rate:>8.1}", "tasks a second");
+    println!("  {:28} {rate:>8.1}", "tasks per second");
     println!("  {:28} {evictions:>8}", "evictions");
-    println!("the platform's table");
-    let a_second = |rows: u64| rows as f64 / seconds as f64;
-    println!("  {:28} {:>8.1}", "rows read a second", a_second(rows.0));
-    println!("  {:28} {:>8.1}", "rows written a second", a_second(rows.1));
-    println!("invariants checked inside the program");
+    println!("platform's table");
+    let per_second = |rows: u64| rows as f64 / seconds as f64;
+    println!(
+        "  {:28} {:>8.1}",
+        "rows read per second",
+        per_second(rows.0)
+    );
+    println!(
+        "  {:28} {:>8.1}",
+        "rows written per second",
+        per_second(rows.1)
+    );
+    println!("checks of invariants");
     for rule in RULES {
         let name = format!("{rule:?}").to_lowercase();
         println!("  {name:28} {:>8}", checks(rule));
@@ -188,7 +201,7 @@
     println!("  {:28} {:>8}", "violated", total_violations());
 }
 
-/// Sets a switch that stops a box as planned.
-fn request_stop(switch: &crate::entry::StopFlag) {
-    switch.store(true, Ordering::Relaxed);
+/// Requests a planned stop of a box.
+fn request_stop(stop_flag: &crate::entry::StopFlag) {
+    stop_flag.store(true, Ordering::Relaxed);
 }
--- a/src/demo/deployment.rs
+++ b/src/demo/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment inside one process: each part on a thread of its own.
+//! Runs a deployment inside one process, with each part on a thread of its own.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU16, Ordering};
@@ -18,38 +18,39 @@
 use crate::standin::worker;
 use crate::utils::clock;
 
-/// Rates of the platform, as the users have them.
+/// Rate limits of the table, as on the users' platform.
 const TABLE_RATES: Rates = Rates {
     writes: 300,
     reads: 2_000,
 };
 
-/// Milliseconds of one call to a box.
+/// Longest duration of a call to a box, in milliseconds.
 const CALL_TIMEOUT: u64 = 5_000;
-/// Pause between two looks at a box.
+/// Interval at which a box's state is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// First port that is tried, and how many ports are.
+/// First port that is tried, and the number of ports.
 const PORTS: (u16, u16) = (23_000, 4_000);
 
-/// Workers of one rack.
+/// Number of workers in a rack.
 const WORKERS_PER_RACK: usize = 8;
 
-/// Sizes of a deployment.
+/// Size of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct DeploymentSize {
-    /// Entry boxes.
+    /// Number of entry boxes.
     pub boxes: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Microseconds that a request takes alone.
-    pub service: u64,
-    /// Halls over which workers and boxes are spread.
+    /// Time that a request takes without interference, in microseconds.
+    pub service_time: u64,
+    /// Number of halls over which workers and boxes are spread.
     pub halls: usize,
 }
 
+/// An entry box that runs on a thread.
 struct RunningBox {
     settings: Settings,
-    switch: StopFlag,
+    stop_flag: StopFlag,
     thread: JoinHandle<()>,
 }
 
@@ -60,17 +61,18 @@
     endpoints: Vec<SocketAddr>,
     halls: usize,
     boxes: Vec<RunningBox>,
+    /// Number of boxes started so far, which makes their names unique.
     generation: usize,
 }
 
 impl Deployment {
     /// Starts a platform, workers and entry boxes on free ports.
-    pub fn start(site: DeploymentSize) -> eyre::Result<Self> {
+    pub fn start(size: DeploymentSize) -> eyre::Result<Self> {
         let platform = free_address()?;
         let service = Platform::new(TABLE_RATES);
         let mut endpoints = Vec::new();
-        for index in 0..site.workers {
-            let endpoint = start_worker(&service, index, site)?;
+        for index in 0..size.workers {
+            let endpoint = start_worker(&service, index, size)?;
             endpoints.push(endpoint);
         }
         let table = service.clone();
@@ -81,13 +83,13 @@
             platform,
             table,
             endpoints,
-            halls: site.halls,
+            halls: size.halls,
             boxes: Vec::new(),
             generation: 0,
         };
-        for index in 0..site.boxes {
-            let member = deployment.start_box(index)?;
-            deployment.boxes.push(member);
+        for index in 0..size.boxes {
+            let running = deployment.start_box(index)?;
+            deployment.boxes.push(running);
         }
         Ok(deployment)
     }
@@ -95,42 +97,42 @@
     fn start_box(&mut self, index: usize) -> eyre::Result<RunningBox> {
         self.generation += 1;
         let settings = box_settings(index, self.halls, self.generation, self.platform)?;
-        let switch = StopFlag::default();
-        let (own, off) = (settings.clone(), switch.clone());
+        let stop_flag = StopFlag::default();
+        let (own, off) = (settings.clone(), stop_flag.clone());
         let thread = spawn_thread("entry", move || block_on(entry::run(own, off))?)?;
         Ok(RunningBox {
             settings,
-            switch,
+            stop_flag,
             thread,
         })
     }
 
-    /// Returns the rows that the platform's table has read and written.
+    /// Returns the numbers of rows that the platform's table has read and written.
     pub fn table_rows(&self) -> (u64, u64) {
         let counts = self.table.counts();
         (counts.reads, counts.writes)
     }
 
-    /// Returns the addresses for callers.
+    /// Returns the addresses of all boxes for callers.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.boxes.iter().map(|m| m.settings.web).collect()
     }
 
-    /// Returns the address for operators of a box.
+    /// Returns the address of a box for operators.
     pub fn rpc_address(&self, index: usize) -> SocketAddr {
         self.boxes[index].settings.rpc
     }
 
-    /// Waits until every box answers and all cells have an owner.
+    /// Waits for at most `limit` milliseconds until every box is ready.
     pub async fn wait_ready(&self, limit: u64) -> eyre::Result<()> {
         let end = clock::now() + limit;
-        for member in &self.boxes {
-            wait_until_ready(&member.settings, end).await?;
+        for running in &self.boxes {
+            wait_until_ready(&running.settings, end).await?;
         }
         Ok(())
     }
 
-    /// Starts a worker that is in no list, and returns its endpoint.
+    /// Starts a worker that is not in the platform's directory, and returns its endpoint.
     pub fn start_unlisted_worker(&self, service: u64) -> eyre::Result<SocketAddr> {
         let (http, rpc) = (free_address()?, free_address()?);
         let options = worker_options(http, rpc, service);
@@ -138,7 +140,7 @@
         Ok(http)
     }
 
-    /// Creates the service `stock` and waits until it is in force at every box.
+    /// Creates the service `stock`, and waits until every box knows it.
     pub async fn create_service(&self) -> eyre::Result<()> {
         let change = proto::EntryChange {
             key: "service/stock".into(),
@@ -154,12 +156,15 @@
         let channel = Channel::new(self.boxes[0].settings.rpc);
         let call = |c| async move { OperatorClient::new(c).change(request).await };
         let reply = channel.call(CALL_TIMEOUT, call).await;
-        let version = reply.wrap_err("no service")?.version;
+        let version = reply.wrap_err("cannot create the service")?.version;
         let end = clock::now() + CALL_TIMEOUT;
-        for member in &self.boxes {
-            while status(&member.settings).await?.config < version {
+        for running in &self.boxes {
+            while status(&running.settings).await?.config < version {
                 if clock::now() >= end {
-                    return Err(eyre::eyre!("{} does not follow", member.settings.name));
+                    return Err(eyre::eyre!(
+                        "{} did not apply the configuration in time",
+                        running.settings.name
+                    ));
                 }
                 monoio::time::sleep(POLL_INTERVAL).await;
             }
@@ -167,19 +172,18 @@
         Ok(())
     }
 
-    /// Returns the box that owns the cell of the first worker, once one does
-    /// and all others know.
+    /// Waits until one box owns all workers and the other boxes know it. Returns its index.
     pub async fn wait_owner(&self) -> eyre::Result<usize> {
         let end = clock::now() + CALL_TIMEOUT * 4;
         loop {
-            for (index, member) in self.boxes.iter().enumerate() {
-                let channel = Channel::new(member.settings.rpc);
+            for (index, running) in self.boxes.iter().enumerate() {
+                let channel = Channel::new(running.settings.rpc);
                 let request = proto::ListWorkersRequest { local: true };
                 let call = |c| async move { OperatorClient::new(c).list_workers(request).await };
                 let reply = channel.call(CALL_TIMEOUT, call).await?;
                 let open = reply.workers.iter().filter(|w| w.state == "open").count();
                 if open == self.endpoints.len() {
-                    // Greetings tell the others.
+                    // The other boxes learn the owner from heartbeats.
                     monoio::time::sleep(Duration::from_secs(3)).await;
                     return Ok(index);
                 }
@@ -191,29 +195,29 @@
         }
     }
 
-    /// Starts a new box in the place of one that then stops as planned.
+    /// Starts a new box, waits until it is ready, and then begins a planned stop of an old one.
     pub async fn replace(&mut self, index: usize, limit: u64) -> eyre::Result<()> {
         let fresh = self.start_box(index)?;
         wait_until_ready(&fresh.settings, clock::now() + limit).await?;
         let old = std::mem::replace(&mut self.boxes[index], fresh);
-        super::request_stop(&old.switch);
-        // It ends by itself when what is in progress has ended.
+        super::request_stop(&old.stop_flag);
+        // The thread ends by itself once the requests in progress have ended.
         drop(old.thread);
         Ok(())
     }
 
-    /// Stops all boxes as planned.
+    /// Begins a planned stop of all boxes, and waits for its end.
     pub fn stop(self) {
-        for member in &self.boxes {
-            super::request_stop(&member.switch);
+        for running in &self.boxes {
+            super::request_stop(&running.stop_flag);
         }
-        for member in self.boxes {
-            let _ = member.thread.join();
+        for running in self.boxes {
+            let _ = running.thread.join();
         }
     }
 }
 
-/// Asks a box for its status.
+/// Returns the status of a box.
 async fn status(settings: &Settings) -> eyre::Result<proto::StatusReply> {
     let channel = Channel::new(settings.rpc);
     let request = proto::StatusRequest {};
@@ -221,7 +225,7 @@
     Ok(channel.call(CALL_TIMEOUT, call).await?)
 }
 
-/// Waits until a box is ready, as the platform's balancer would.
+/// Waits until a box is ready or the time `end` has come.
 async fn wait_until_ready(settings: &Settings, end: u64) -> eyre::Result<()> {
     loop {
         if status(settings).await.is_ok_and(|s| s.ready) {
@@ -238,18 +242,18 @@
 fn start_worker(
     platform: &Platform,
     index: usize,
-    site: DeploymentSize,
+    size: DeploymentSize,
 ) -> eyre::Result<SocketAddr> {
     let (http, rpc) = (free_address()?, free_address()?);
     platform.register(proto::DirectoryEntry {
         name: format!("w{index}"),
-        hall: format!("h{}", index % site.halls),
+        hall: format!("h{}", index % size.halls),
         rack: format!("r{}", index / WORKERS_PER_RACK),
         http: http.to_string(),
         rpc: rpc.to_string(),
         leaving: false,
     });
-    let options = worker_options(http, rpc, site.service);
+    let options = worker_options(http, rpc, size.service_time);
     spawn_thread("worker", move || block_on(worker::serve(options))?)?;
     Ok(http)
 }
@@ -270,7 +274,7 @@
     }
 }
 
-/// Starts a part on a thread; its error ends up in the log.
+/// Runs a part of the deployment on a new thread. An error of the part is logged.
 fn spawn_thread(
     name: &str,
     part: impl FnOnce() -> eyre::Result<()> + Send + 'static,
@@ -279,14 +283,13 @@
     let thread = std::thread::Builder::new().name(label.clone());
     let handle = thread.spawn(move || {
         if let Err(e) = part() {
-            log::error!(target: "demo", "{label} ended: {e:#}");
+            log::error!(target: "demo", "{label} failed: {e:#}");
         }
     });
-    handle.wrap_err_with(|| format!("no thread for {name}"))
+    handle.wrap_err_with(|| format!("cannot start the thread of {name}"))
 }
 
-/// Returns a free address on loopback, below the ports that outgoing
-/// connections get.
+/// Returns a free address on loopback, below the range of ports of outgoing connections.
 fn free_address() -> eyre::Result<SocketAddr> {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let start = PORTS.0 + (std::process::id() % u32::from(PORTS.1)) as u16;
@@ -297,9 +300,10 @@
             return Ok(address);
         }
     }
-    Err(eyre::eyre!("no free port on loopback"))
+    Err(eyre::eyre!("no free port on 127.0.0.1"))
 }
 
+/// Returns the settings of a new box on free ports.
 fn box_settings(
     index: usize,
     halls: usize,
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' commands.
+//! Commands of operators, which call an entry box and print its reply.
 
 mod commands;
 mod print;
@@ -7,14 +7,14 @@
 
 /// Exit codes for scripts.
 pub mod exit {
-    /// The command did what it was asked for.
+    /// The command succeeded.
     pub const DONE: u8 = 0;
-    /// The arguments are wrong, or a local file can't be read.
+    /// The arguments are wrong, or a local file cannot be read.
     pub const USAGE: u8 = 1;
-    /// The box refused; nothing was changed.
+    /// The box refused the command, or a settings file has findings; nothing was changed.
     pub const REFUSED: u8 = 2;
-    /// No box was reached, or not the table behind it; nothing was changed.
+    /// No box was reached, or the box did not reach its table; nothing was changed.
     pub const NOT_REACHED: u8 = 3;
-    /// The change may have been made.
+    /// The outcome is unknown; the change may have been made.
     pub const UNKNOWN: u8 = 4;
 }
--- a/src/operator/commands.rs
+++ b/src/operator/commands.rs
@@ -1,4 +1,4 @@
-//! Calls to an entry box and what is printed of the replies.
+//! Calls an entry box for each command, and formats the reply.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
 use crate::rpc::client::{CallError, Channel};
 use crate::utils::clock;
 
-/// What a command prints, or why it failed.
+/// Text that a command prints, or the error of its call.
 type CommandResult = Result<String, CallError>;
 
-/// Runs an operator's command; returns what is printed and the exit code.
+/// Runs an operator's command. Returns the text to print and the exit code.
 pub async fn run(command: &Command) -> (String, u8) {
     let printed = match command {
         Command::Service { target, action } => service(target, action).await,
@@ -24,7 +24,7 @@
         Command::Worker { target, action } => worker(target, action).await,
         Command::Task { target, action } => task(target, action).await,
         Command::Status { target } => status(target).await,
-        _ => Err(CallError::NotSent("no operator's command".into())),
+        _ => Err(CallError::NotSent("not an operator's command".into())),
     };
     match printed {
         Ok(text) => (text, exit::DONE),
@@ -32,6 +32,7 @@
     }
 }
 
+/// Returns the exit code for a failed call.
 fn exit_code(e: &CallError) -> u8 {
     use tonic::Code;
     match e {
@@ -57,7 +58,7 @@
     }
 }
 
-/// Returns a channel to the first box that can be reached.
+/// Returns a channel to the first of the given boxes that can be reached.
 async fn connect(target: &Target) -> Result<Channel, CallError> {
     let mut last = CallError::NotSent("name an entry box with --at or WILLOWPOINT_AT".into());
     for address in &target.at {
@@ -70,6 +71,7 @@
     Err(last)
 }
 
+/// Adds the address to the error of a failed connection.
 fn with_address(address: SocketAddr, e: CallError) -> CallError {
     match e {
         CallError::NotSent(reason) => CallError::NotSent(format!("{address}: {reason}")),
@@ -77,7 +79,7 @@
     }
 }
 
-/// Calls a box through the generated client.
+/// Connects to a box, and calls a method of its operator service.
 macro_rules! call {
     ($target:expr, $method:ident, $request:expr) => {{
         let channel = connect($target).await?;
@@ -91,6 +93,7 @@
     format!("{value:#}\n")
 }
 
+/// Sends a change of the configuration. Without an id, makes one from the time and the process id.
 async fn change(
     target: &Target,
     changes: Vec<proto::EntryChange>,
@@ -152,7 +155,8 @@
     }
 }
 
-/// Returns the version of an entry that must exist.
+/// Returns the expected version of an entry: the given one, or that of the current configuration.
+/// Without a given version, the entry must exist.
 async fn existing_version(
     target: &Target,
     key: &str,
@@ -308,7 +312,7 @@
             let mut changes = Vec::new();
             for text in set {
                 let Some((key, value)) = text.split_once('=') else {
-                    let reason = format!("--set {text}: write KIND/NAME=JSON");
+                    let reason = format!("--set {text}: not of the form KIND/NAME=JSON");
                     return Err(CallError::Refused(tonic::Code::InvalidArgument, reason));
                 };
                 changes.push(entry(key.into(), Some(value.into()), *expect));
@@ -434,6 +438,7 @@
     Ok(format!("{table}{}", missing_note(&reply.missing)))
 }
 
+/// Returns a line with the boxes that did not answer, or nothing if all did.
 fn missing_note(boxes: &[String]) -> String {
     match boxes.is_empty() {
         true => String::new(),
--- a/src/operator/print.rs
+++ b/src/operator/print.rs
@@ -1,4 +1,4 @@
-//! Tables for readers.
+//! Prints tables as aligned text.
 
 /// A table whose columns are as wide as their longest cell.
 pub struct Table {
@@ -6,7 +6,7 @@
 }
 
 impl Table {
-    /// Returns a table with a heading.
+    /// Creates a table with a heading, which is printed in capitals.
     pub fn new(heading: &[&str]) -> Self {
         let heading = heading.iter().map(|h| h.to_uppercase()).collect();
         Self {
--- a/src/program.rs
+++ b/src/program.rs
@@ -1,4 +1,4 @@
-//! From the command line to what runs.
+//! Runs the command that the command line names.
 
 use std::future::Future;
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 use crate::utils::signals;
 use crate::{cell, daemon, demo, proto, rpc, trace};
 
-/// Runs a command to its end.
+/// Runs a command, and returns the exit code of the process.
 pub fn run(command: Command) -> ExitCode {
     let result = match &command {
         Command::Check { files } => return check_files(files),
@@ -29,6 +29,7 @@
     finish(result)
 }
 
+/// Prints an error, if any, and returns the exit code.
 fn finish(result: eyre::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -39,7 +40,7 @@
     }
 }
 
-/// Runs a future on this thread's runtime, which uses epoll.
+/// Runs a future to its end on a new runtime of this thread, which uses epoll.
 pub fn block_on<F: Future>(future: F) -> eyre::Result<F::Output> {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new()
         .enable_timer()
@@ -62,7 +63,7 @@
     ExitCode::from(code)
 }
 
-/// Prints what is wrong with the settings of a daemon that does not start.
+/// Prints the findings in the settings of a daemon, which then does not start.
 fn report_findings(findings: &[options::Finding]) -> ExitCode {
     findings.iter().for_each(|f| eprintln!("{f}"));
     ExitCode::from(exit::REFUSED)
@@ -138,7 +139,7 @@
             rpc: rpc.to_string(),
             leaving: false,
         };
-        register(platform, entry).await?;
+        register_worker(platform, entry).await?;
     }
     let options = worker::Options {
         http,
@@ -156,23 +157,27 @@
     worker::serve(options).await
 }
 
-/// Milliseconds of one try to register with the platform's stand-in, and tries.
+/// Longest duration of an attempt to register with the platform's stand-in, in milliseconds, and
+/// number of retries.
 const REGISTER: (u64, u32) = (1_000, 20);
 
-async fn register(
+/// Adds a worker to the directory of the platform's stand-in.
+async fn register_worker(
     platform: std::net::SocketAddr,
     entry: proto::DirectoryEntry,
 ) -> eyre::Result<()> {
     use crate::proto::platform_faults_client::PlatformFaultsClient;
     let channel = rpc::client::Channel::new(platform);
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         let entry = entry.clone();
         let call = |c| async move { PlatformFaultsClient::new(c).register(entry).await };
         match channel.call(REGISTER.0, call).await {
             Ok(_) => return Ok(()),
-            Err(e) if tries == REGISTER.1 => return Err(e).wrap_err("cannot register"),
-            Err(_) => tries += 1,
+            Err(e) if retries == REGISTER.1 => {
+                return Err(e).wrap_err("cannot register the worker with the platform");
+            }
+            Err(_) => retries += 1,
         }
         monoio::time::sleep(std::time::Duration::from_millis(100)).await;
     }
@@ -196,7 +201,7 @@
     let text = read_all(files)?;
     let spans = trace::find_spans(text.lines(), id);
     if spans.is_empty() {
-        return Err(eyre::eyre!("no span of trace {id}"));
+        return Err(eyre::eyre!("no span of trace {id} found"));
     }
     if json {
         println!("{}", serde_json::to_string_pretty(&spans)?);
@@ -216,10 +221,10 @@
     Ok(())
 }
 
-/// Reads files one after the other, or the standard input without any.
+/// Returns the concatenated text of files, or standard input if there are none.
 fn read_all(files: &[String]) -> eyre::Result<String> {
     if files.is_empty() {
-        return std::io::read_to_string(std::io::stdin()).wrap_err("cannot read the input");
+        return std::io::read_to_string(std::io::stdin()).wrap_err("cannot read standard input");
     }
     let mut text = String::new();
     for name in files {
@@ -233,7 +238,7 @@
     let text = read_all(files)?;
     let events = crate::explain::find_events(text.lines(), id);
     if events.is_empty() {
-        return Err(eyre::eyre!("no line names {id}"));
+        return Err(eyre::eyre!("no event of {id} found"));
     }
     if json {
         println!("{}", serde_json::to_string_pretty(&events)?);
