--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -1,4 +1,4 @@
-//! Operators' calls on jobs.
+//! Operators' calls that submit, show, list and cancel jobs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
 use crate::utils::Name;
 use crate::utils::clock;
 
-/// Tries at a commit that other writers spoil.
+/// Number of attempts at a commit that conflicts with other writers or is not answered.
 const COMMIT_ATTEMPTS: u32 = 8;
 
-/// Spreads a job over the cells and keeps it.
+/// Spreads a job over the cells, stores it and notifies the owners of its cells.
 pub(super) async fn submit(
     context: Rc<Context>,
     spec: proto::JobSpec,
@@ -49,7 +49,7 @@
     };
     let owners: BTreeMap<Name, Option<SocketAddr>> = candidates
         .iter()
-        .map(|(s, rpc)| (s.cell.clone(), *rpc))
+        .map(|(candidate, rpc)| (candidate.cell.clone(), *rpc))
         .collect();
     let candidates: Vec<CandidateCell> = candidates
         .into_iter()
@@ -68,14 +68,14 @@
     }
     match commit(&context, ops).await {
         WriteOutcome::Committed => {}
-        WriteOutcome::Conflict => return reply_to_resubmission(&context, &spec).await,
+        WriteOutcome::Conflict => return existing_job_reply(&context, &spec).await,
         WriteOutcome::NotSent => {
             return Err(Status::unavailable(
-                "the table is not reached; nothing was submitted",
+                "the table cannot be reached; nothing was submitted",
             ));
         }
-        // The row by the job's id tells whether the commit took effect.
-        WriteOutcome::Unknown => return reply_to_resubmission(&context, &spec).await,
+        // The row under the job's id shows whether the commit took effect.
+        WriteOutcome::Unknown => return existing_job_reply(&context, &spec).await,
     }
     hint_owners(&context, &row, &owners);
     Ok(job_reply(&row, &shards))
@@ -88,26 +88,29 @@
     }
 }
 
-/// Answers a submission whose job may be there already.
-async fn reply_to_resubmission(context: &Context, spec: &Spec) -> Result<proto::JobReply, Status> {
-    let in_doubt = |_| Status::unknown("the table did not answer; the job may be submitted");
+/// Returns the reply to a submission whose job may already be stored.
+///
+/// A second submission with the same id and specification succeeds, so a caller may retry.
+async fn existing_job_reply(context: &Context, spec: &Spec) -> Result<proto::JobReply, Status> {
+    let in_doubt = |_| Status::unknown("the table did not answer; the job may have been submitted");
     let (row, _) = match read_job(context, &spec.id).await {
         Err(status) if status.code() == tonic::Code::NotFound => {
             return Err(Status::unknown(
-                "no answer from the table; submit again with the same id",
+                "the table did not answer; submit the job again with the same id",
             ));
         }
         other => other.map_err(in_doubt)?,
     };
     if row.spec != *spec {
         return Err(Status::already_exists(
-            "a job with this id and another content exists",
+            "a job with this id and a different specification already exists",
         ));
     }
     let shards = read_shards(context, &row).await?;
     Ok(job_reply(&row, &shards))
 }
 
+/// Notifies the owners of a job's cells of its job shards.
 fn hint_owners(context: &Rc<Context>, row: &JobRow, owners: &BTreeMap<Name, Option<SocketAddr>>) {
     let mut hints: BTreeMap<Option<SocketAddr>, Vec<Name>> = BTreeMap::new();
     for cell in row.shards.iter().filter_map(|key| job::shard_cell(key)) {
@@ -120,6 +123,7 @@
     }
 }
 
+/// Notifies a box of new job shards or cancelled jobs; `None` means this box.
 fn send_hint(
     context: &Rc<Context>,
     owner: Option<SocketAddr>,
@@ -134,19 +138,21 @@
     monoio::spawn(async move { peers::hint(&context, rpc, cells, cancelled).await });
 }
 
+/// Returns the row of a job and the row's version.
 async fn read_job(context: &Context, id: &str) -> Result<(JobRow, u64), Status> {
     let rows = read_rows(context, vec![job::key(id).into()]).await?;
     let Some(row) = rows.first() else {
-        return Err(Status::not_found(format!("no job `{id}`")));
+        return Err(Status::not_found(format!("job `{id}` does not exist")));
     };
     match decode(row) {
         Some(job) => Ok((job, row.version)),
         None => Err(Status::data_loss(format!(
-            "the row of job `{id}` does not decode"
+            "the row of job `{id}` cannot be decoded"
         ))),
     }
 }
 
+/// Returns the job shards of a job, without those whose row is missing or cannot be decoded.
 async fn read_shards(context: &Context, row: &JobRow) -> Result<Vec<JobShardRow>, Status> {
     let rows = read_rows(context, row.shards.clone()).await?;
     Ok(rows.iter().filter_map(decode).collect())
@@ -176,7 +182,7 @@
     }
 }
 
-/// Returns the state of a job, with the tasks that run now.
+/// Returns the state of a job and the number of its running tasks.
 pub(super) async fn show(context: Rc<Context>, id: String) -> Result<proto::JobReply, Status> {
     let (row, _) = read_job(&context, &id).await?;
     let shards = read_shards(&context, &row).await?;
@@ -186,24 +192,24 @@
     Ok(reply)
 }
 
-/// Returns a page of all jobs, in the order of their ids.
+/// Returns a page of the jobs in the order of their ids.
 pub(super) async fn list_jobs(
     context: Rc<Context>,
     request: proto::ListJobsRequest,
 ) -> Result<proto::ListJobsReply, Status> {
     let Outcome::Rows(rows) = context.platform.call(Call::Scan(job::PREFIX.into())).await else {
-        return Err(Status::unavailable("the table does not answer"));
+        return Err(Status::unavailable("the table did not answer"));
     };
     let after = job::key(&request.after);
     let limit = match request.limit {
         0 => PAGE_SIZE,
         limit => (limit as usize).min(PAGE_SIZE),
     };
-    let mut rest = rows
+    let mut remaining = rows
         .iter()
         .filter(|r| request.after.is_empty() || *r.key > *after);
     let mut jobs = Vec::new();
-    for row in rest.by_ref().take(limit) {
+    for row in remaining.by_ref().take(limit) {
         let Some(row) = decode::<JobRow>(row) else {
             continue;
         };
@@ -212,7 +218,7 @@
     }
     Ok(proto::ListJobsReply {
         jobs,
-        more: rest.next().is_some(),
+        more: remaining.next().is_some(),
     })
 }
 
@@ -227,26 +233,27 @@
         let op = Op::put(job::key(&id), Expect::Version(version), &row);
         match commit(&context, vec![op]).await {
             WriteOutcome::Committed => return finish_cancel(&context, row).await,
-            // After a lost answer the next read tells.
+            // The next read shows whether a commit that was not answered took effect.
             WriteOutcome::Conflict | WriteOutcome::Unknown => {}
             WriteOutcome::NotSent => {
                 return Err(Status::unavailable(
-                    "the table is not reached; nothing was cancelled",
+                    "the table cannot be reached; nothing was cancelled",
                 ));
             }
         }
     }
     Err(Status::unknown(
-        "the table did not answer; the job may be cancelled",
+        "the table did not answer; the job may have been cancelled",
     ))
 }
 
+/// Notifies all boxes of a cancelled job and returns the reply.
 async fn finish_cancel(context: &Rc<Context>, row: JobRow) -> Result<proto::JobReply, Status> {
     let ids = vec![row.spec.id.clone()];
     if let Some(View::Boxes(boxes)) = context.query(Query::Boxes).await {
         for rpc in boxes.iter().filter_map(|b| b.rpc.parse().ok()) {
-            let own = rpc == context.settings.rpc;
-            send_hint(context, (!own).then_some(rpc), Vec::new(), ids.clone());
+            let is_own = rpc == context.settings.rpc;
+            send_hint(context, (!is_own).then_some(rpc), Vec::new(), ids.clone());
         }
     }
     let shards = read_shards(context, &row).await?;
--- a/src/entry/listings.rs
+++ b/src/entry/listings.rs
@@ -1,4 +1,4 @@
-//! Operators' views of boxes, workers and tasks.
+//! Operators' calls that list boxes, workers and tasks, and show the state of a box.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,10 +14,10 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Bound of one call to another box in milliseconds.
+/// Time limit of a call to another box in milliseconds.
 const CALL_TIMEOUT: Millis = 2_000;
 
-/// Returns the boxes that this box knows.
+/// Returns the boxes known to this box.
 pub(super) async fn list_boxes(context: Rc<Context>) -> Result<proto::ListBoxesReply, Status> {
     let Some(View::Boxes(boxes)) = context.query(Query::Boxes).await else {
         return Err(stopping_status());
@@ -34,19 +34,19 @@
     })
 }
 
-/// Returns the addresses of the other boxes.
+/// Returns the names and RPC addresses of the other boxes.
 async fn other_boxes(context: &Context) -> Result<Vec<(Name, SocketAddr)>, Status> {
     let Some(View::Boxes(boxes)) = context.query(Query::Boxes).await else {
         return Err(stopping_status());
     };
-    let own = context.settings.rpc;
+    let own_rpc = context.settings.rpc;
     let parsed = boxes
         .into_iter()
         .filter_map(|b| Some((b.id, b.rpc.parse().ok()?)));
-    Ok(parsed.filter(|(_, rpc)| *rpc != own).collect())
+    Ok(parsed.filter(|(_, rpc)| *rpc != own_rpc).collect())
 }
 
-/// Returns the workers of this box, and those of all boxes unless `local`.
+/// Returns the workers in the cells of this box only if `local`, or else in those of all boxes.
 pub(super) async fn list_workers(
     context: Rc<Context>,
     local: bool,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Returns the tasks at this box, and those at all boxes unless `local` is asked for.
+/// Returns the tasks in the cells of this box only if `local`, or else in those of all boxes.
 pub(super) async fn list_tasks(
     context: Rc<Context>,
     request: proto::ListTasksRequest,
@@ -95,7 +95,7 @@
     Ok(proto::ListTasksReply { tasks, missing })
 }
 
-/// Returns tasks, of one job if it is given, and the boxes that did not answer.
+/// Returns the tasks of one job or of all jobs, and the boxes that did not answer.
 pub(super) async fn collect_tasks(
     context: &Rc<Context>,
     job: Option<Name>,
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' service, and the calls on the configuration.
+//! gRPC service for operators, with the calls that change and show the configuration.
 
 use std::rc::Rc;
 
@@ -15,16 +15,16 @@
 use crate::utils::Name;
 use crate::utils::clock;
 
-/// Largest number of entries in one list.
+/// Largest number of entries in a reply.
 pub(super) const PAGE_SIZE: usize = 500;
 
-/// The operators' service.
+/// Implementation of the operators' gRPC service.
 pub struct OperatorService {
     bridge: Bridge<Context>,
 }
 
 impl OperatorService {
-    /// Returns the service on a bridge to the box's tasks.
+    /// Returns the service; `bridge` runs its calls on the thread of the box's tasks.
     pub fn new(bridge: Bridge<Context>) -> Self {
         Self { bridge }
     }
@@ -111,11 +111,12 @@
     }
 }
 
-/// Tells a caller that this box takes no calls any more.
+/// Returns the status of calls that arrive after the box has stopped.
 pub(super) fn stopping_status() -> Status {
     Status::unavailable("the box is stopping")
 }
 
+/// Applies a change of the configuration.
 async fn change(
     context: Rc<Context>,
     request: proto::ChangeRequest,
@@ -137,7 +138,7 @@
         match step {
             Step::Call(call) => step = transaction.advance(context.platform.call(call).await),
             Step::Accepted(version) => {
-                log::info!(target: "config", "version {version} is accepted");
+                log::info!(target: "config", "accepted configuration version {version}");
                 return Ok(proto::ChangeReply { version });
             }
             Step::Refused(refusal) => return Err(refusal_status(refusal)),
@@ -145,6 +146,7 @@
     }
 }
 
+/// Returns the status for a change that was not accepted.
 fn refusal_status(refusal: Refusal) -> Status {
     match refusal {
         Refusal::Invalid(findings) => Status::invalid_argument(findings.join("; ")),
@@ -155,14 +157,17 @@
             };
             Status::failed_precondition(format!("conflict: {key} {found}"))
         }
-        Refusal::Busy => Status::aborted("other changes were faster; try again"),
-        Refusal::NotReached => {
-            Status::unavailable("the table does not answer; nothing was changed")
+        Refusal::Busy => {
+            Status::aborted("concurrent changes conflicted with every attempt; try again")
+        }
+        Refusal::NotReached => Status::unavailable("the table did not answer; nothing was changed"),
+        Refusal::Unknown => {
+            Status::unknown("the table did not answer; the change may have been made")
         }
-        Refusal::Unknown => Status::unknown("the table did not answer; the change may be made"),
     }
 }
 
+/// Returns the active configuration.
 async fn show_config(context: Rc<Context>) -> Result<proto::ShowConfigReply, Status> {
     let Some(View::Config(config)) = context.query(Query::Config).await else {
         return Err(stopping_status());
@@ -178,6 +183,7 @@
     })
 }
 
+/// Returns the latest versions of the configuration, newest first.
 async fn list_versions(
     context: Rc<Context>,
     limit: u32,
@@ -204,13 +210,13 @@
     })
 }
 
-/// Reads rows of the table.
+/// Returns the rows with these keys that exist in the table.
 pub(super) async fn read_rows(context: &Context, keys: Vec<Name>) -> Result<Vec<Row>, Status> {
     if keys.is_empty() {
         return Ok(Vec::new());
     }
     match context.platform.call(Call::Read(keys)).await {
         Outcome::Rows(rows) => Ok(rows),
-        _ => Err(Status::unavailable("the table does not answer")),
+        _ => Err(Status::unavailable("the table did not answer")),
     }
 }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! Calls between boxes, in both directions.
+//! Calls between boxes: the client functions and the gRPC service.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,25 +25,27 @@
 use crate::utils::drain::Drain;
 use crate::web::{self, Reply};
 
-/// Bound of one call that is not a request, in milliseconds.
+/// Time limit of a call other than a heartbeat or forward, and the retry delay of a request that
+/// could not be forwarded, in milliseconds.
 const CALL_TIMEOUT: Millis = 2_000;
-/// Milliseconds beyond its deadline that a request's answer is waited for.
+/// Milliseconds after its deadline for which the reply to a forwarded request is awaited.
 const DEADLINE_GRACE: Millis = 50;
-/// Bytes of a message beyond its body.
+/// Largest size of a forwarded message without its body, in bytes.
 const MESSAGE_OVERHEAD: usize = 1 << 20;
 
-/// Where a request is handed to.
+/// Cell and dedup shard for which a request is forwarded.
 #[derive(Clone, Debug)]
 pub struct ForwardTarget {
-    /// Cell that is to run it.
+    /// Cell in which the request runs; `None` if the receiver is to choose.
     pub cell: Option<Name>,
-    /// Dedup shard of its id.
+    /// Dedup shard of the request's id; `None` for a repeatable request.
     pub dedup_shard: Option<Name>,
-    /// Epoch of the dedup shard, or 0.
+    /// Epoch of the dedup shard that admitted the request, or 0.
     pub epoch: u64,
 }
 
-/// Returns the outcome of a request that isn't sent as the lease of its dedup shard's owner lapsed.
+/// Returns the outcome of a request that is not forwarded because the lease of its dedup shard's
+/// owner lapsed.
 pub fn lease_lapsed(meta: &Meta) -> ForwardOutcome {
     ForwardOutcome::NotRun {
         reason: Reason::Lapsed,
@@ -52,7 +54,7 @@
     }
 }
 
-/// Hands a request to another box.
+/// Forwards a request to another box.
 pub async fn forward(
     context: &Context,
     to: SocketAddr,
@@ -83,7 +85,7 @@
     match context.channel(to).call(limit, call).await {
         Ok(reply) => forward_outcome(reply),
         Err(CallError::NotSent(e)) => {
-            log::debug!(target: "peers", "{to} not reached: {e}");
+            log::debug!(target: "peers", "box {to} not reached: {e}");
             let outcome = ForwardOutcome::NotRun {
                 reason: Reason::Unreachable,
                 retry_after: CALL_TIMEOUT,
@@ -92,12 +94,13 @@
             (outcome, None)
         }
         Err(e) => {
-            log::debug!(target: "peers", "{to}: {e}");
+            log::debug!(target: "peers", "forward to {to} failed: {e}");
             (ForwardOutcome::Unknown, None)
         }
     }
 }
 
+/// Returns the outcome of a forward, with the endpoint's reply if there is one.
 fn forward_outcome(reply: proto::ForwardReply) -> (ForwardOutcome, Option<Reply>) {
     match reply.verdict() {
         proto::Verdict::Unknown => (ForwardOutcome::Unknown, None),
@@ -116,6 +119,7 @@
     }
 }
 
+/// Returns the endpoint's reply, or `None` if its status or a header is invalid.
 fn endpoint_reply(reply: proto::ForwardReply) -> Option<Reply> {
     let status = StatusCode::from_u16(u16::try_from(reply.status).ok()?).ok()?;
     Some(Reply {
@@ -125,6 +129,7 @@
     })
 }
 
+/// Returns the header fields, or `None` if one is invalid.
 fn parse_headers(pairs: &[proto::Header]) -> Option<HeaderMap> {
     let mut headers = HeaderMap::with_capacity(pairs.len());
     for pair in pairs {
@@ -135,7 +140,8 @@
     Some(headers)
 }
 
-/// Greets another box; returns its answer and whether it promised.
+/// Sends a heartbeat to another box; returns its greeting and whether it gives the requested
+/// promise.
 pub async fn greet(
     context: &Context,
     rpc: SocketAddr,
@@ -149,14 +155,14 @@
     Some((greeting, reply.promised))
 }
 
-/// Asks another box for its configuration.
+/// Fetches the configuration of another box.
 pub async fn snapshot(context: &Context, rpc: SocketAddr) -> Option<Config> {
     let call = |c| async move { PeerClient::new(c).snapshot(proto::SnapshotRequest {}).await };
     let reply = context.channel(rpc).call(CALL_TIMEOUT, call).await.ok()?;
     serde_json::from_slice(&reply.config).ok()
 }
 
-/// Tells another box of new job shards and cancelled jobs; without an answer it
+/// Notifies another box of new job shards and cancelled jobs; a box that misses the notification
 /// finds them by itself later.
 pub async fn hint(context: &Context, rpc: SocketAddr, cells: Vec<Name>, cancelled: Vec<Name>) {
     let message = proto::HintRequest {
@@ -165,10 +171,11 @@
     };
     let call = |c| async move { PeerClient::new(c).hint(message).await };
     if let Err(e) = context.channel(rpc).call(CALL_TIMEOUT, call).await {
-        log::debug!(target: "peers", "hint to {rpc}: {e}");
+        log::debug!(target: "peers", "hint to {rpc} failed: {e}");
     }
 }
 
+/// Implementation of the gRPC service for other boxes.
 struct PeerService {
     bridge: Bridge<Context>,
 }
@@ -217,7 +224,7 @@
     ) -> Result<Response<proto::SnapshotReply>, Status> {
         let work = |context: Rc<Context>| async move {
             let Some(View::Config(config)) = context.query(Query::Config).await else {
-                return Err(Status::unavailable("stopping"));
+                return Err(Status::unavailable("the box is stopping"));
             };
             Ok(proto::SnapshotReply {
                 version: config.version(),
@@ -228,6 +235,7 @@
     }
 }
 
+/// Answers a greeting of another box.
 async fn handle_greeting(
     context: Rc<Context>,
     message: proto::Greeting,
@@ -237,7 +245,7 @@
     let (reply_to, result) = oneshot::channel();
     context.send(Message::Greeting { greeting, reply_to });
     let Ok((greeting, promised)) = result.await else {
-        return Err(Status::unavailable("stopping"));
+        return Err(Status::unavailable("the box is stopping"));
     };
     Ok(proto::GreetReply {
         greeting: Some(convert::greeting_to_proto(greeting)),
@@ -246,11 +254,12 @@
     })
 }
 
+/// Answers a request that another box has forwarded.
 async fn handle_forward(
     context: Rc<Context>,
     message: proto::ForwardRequest,
 ) -> Result<proto::ForwardReply, Status> {
-    let malformed = || Status::invalid_argument("malformed request");
+    let malformed = || Status::invalid_argument("malformed forwarded request");
     let request = web::Request {
         method: message.method.parse().map_err(|_| malformed())?,
         uri: message.path.parse().map_err(|_| malformed())?,
@@ -273,7 +282,7 @@
         reply_to,
     });
     let Ok(outcome) = result.await else {
-        return Err(Status::unavailable("stopping"));
+        return Err(Status::unavailable("the box is stopping"));
     };
     let reply = forward_reply(outcome);
     let verdict = match reply.verdict() {
@@ -285,6 +294,7 @@
     Ok(reply)
 }
 
+/// Returns the message for the outcome of a forwarded request.
 fn forward_reply(outcome: Outcome) -> proto::ForwardReply {
     let mut message = proto::ForwardReply {
         retries: outcome.retries,
@@ -314,13 +324,13 @@
     message
 }
 
-/// Serves other boxes and operators until `drain` has begun.
-pub async fn serve(listener: TcpListener, drain: Drain, bridge: Bridge<Context>, body: usize) {
+/// Serves other boxes and operators until `drain` begins; `max_body` limits a request's body.
+pub async fn serve(listener: TcpListener, drain: Drain, bridge: Bridge<Context>, max_body: usize) {
     let service = PeerService {
         bridge: bridge.clone(),
     };
-    let peers =
-        peer_server::PeerServer::new(service).max_decoding_message_size(body + MESSAGE_OVERHEAD);
+    let peers = peer_server::PeerServer::new(service)
+        .max_decoding_message_size(max_body + MESSAGE_OVERHEAD);
     let operators = operators::OperatorService::new(bridge);
     let operators = operator_server::OperatorServer::new(operators);
     rpc::server::serve(listener, drain, move |request| {
--- a/src/entry/platform_client.rs
+++ b/src/entry/platform_client.rs
@@ -1,4 +1,4 @@
-//! The platform: its table and its list of workers.
+//! Client of the platform: its table and its directory of workers.
 
 use std::net::SocketAddr;
 
@@ -10,10 +10,10 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Rows of one page of a scan.
+/// Number of rows in a page of a scan.
 const PAGE_SIZE: u32 = 500;
 
-/// A connection to the platform.
+/// Client of the platform's gRPC services.
 #[derive(Clone)]
 pub struct PlatformClient {
     channel: Channel,
@@ -21,7 +21,7 @@
 }
 
 impl PlatformClient {
-    /// Returns the connection to a platform, whose calls may take `timeout` milliseconds.
+    /// Returns a client whose calls time out after `timeout` milliseconds.
     pub fn new(address: SocketAddr, timeout: Millis) -> Self {
         Self {
             channel: Channel::new(address),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Calls the table.
+    /// Performs an operation on the table.
     pub async fn call(&self, call: Call) -> Outcome {
         crate::metrics::get().table_calls.inc();
         match call {
@@ -83,7 +83,7 @@
         match call.await {
             Ok(reply) if reply.committed => WriteOutcome::Committed,
             Ok(reply) => {
-                log::debug!(target: "store", "conflict at {}", reply.conflict);
+                log::debug!(target: "store", "commit conflicts at row {}", reply.conflict);
                 WriteOutcome::Conflict
             }
             Err(CallError::NotSent(e)) => {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Reads the list of workers, or `None` when it does not answer.
+    /// Returns the listed workers, or `None` if the directory does not answer.
     pub async fn list_workers(&self) -> Option<Vec<ListedWorker>> {
         let call = self.channel.call(self.timeout, |c| async move {
             DirectoryClient::new(c)
@@ -114,13 +114,14 @@
                     .collect(),
             ),
             Err(e) => {
-                log::debug!(target: "store", "list failed: {e}");
+                log::debug!(target: "store", "directory read failed: {e}");
                 None
             }
         }
     }
 }
 
+/// Logs a failed read or scan and returns its outcome.
 fn log_failure(operation: &str, e: &CallError) -> Outcome {
     log::debug!(target: "store", "{operation} failed: {e}");
     Outcome::Failed
@@ -155,10 +156,11 @@
     }
 }
 
+/// Returns a worker from its directory entry, or `None` if an address is invalid.
 fn listed_worker(entry: proto::DirectoryEntry) -> Option<ListedWorker> {
     let addresses = entry.http.parse().ok().zip(entry.rpc.parse().ok());
     let Some((http, rpc)) = addresses else {
-        log::error!(target: "store", "{} is listed without addresses", entry.name);
+        log::error!(target: "store", "worker {} is listed without valid addresses", entry.name);
         return None;
     };
     Some(ListedWorker {
--- a/src/entry/workers.rs
+++ b/src/entry/workers.rs
@@ -1,4 +1,4 @@
-//! Calls to workers.
+//! Calls to workers: polls, and starts, stops and throttles of runs.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,10 +15,10 @@
 use crate::utils::Name;
 use crate::utils::clock::{self, Millis};
 
-/// Bound of one call in milliseconds.
+/// Time limit of a call in milliseconds, and of connecting before it.
 const CALL_TIMEOUT: Millis = 2_000;
 
-/// A call's target: the cell, its epoch and the connection's end.
+/// Worker to call, and the cell and epoch for which the call is made.
 struct CallTarget {
     context: Rc<Context>,
     cell: Name,
@@ -26,7 +26,7 @@
     rpc: SocketAddr,
 }
 
-/// Makes the call that a cell asks for and tells how it ended.
+/// Makes the call for a cell's action and reports the outcome to the engine.
 pub async fn call(context: Rc<Context>, cell: Name, epoch: u64, action: Action) {
     let target = |rpc| CallTarget {
         context: context.clone(),
@@ -82,14 +82,16 @@
 }
 
 impl CallTarget {
-    /// Returns the milliseconds since the epoch beyond which a call is void:
-    /// with the lease, and before the owner takes a lost start to be over.
+    /// Returns the time after which the worker must ignore the call, in ms since the Unix epoch.
+    ///
+    /// The call is void when this box's lease ends, and before the owner concludes that a lost
+    /// start cannot take effect any more.
     fn not_after(&self) -> Millis {
         let task_lease = self.context.settings.intervals.task_lease;
         clock::wall() + self.context.send_time_left().min(task_lease)
     }
 
-    /// Connects, and then looks at the lease right before the call leaves.
+    /// Connects, then checks right before the call is sent that this box may still send.
     async fn connect(&self) -> Result<crate::rpc::client::Channel, CallError> {
         let channel = self.context.channel(self.rpc);
         channel.connect(CALL_TIMEOUT).await?;
@@ -100,6 +102,7 @@
     }
 }
 
+/// Polls a worker: acknowledges ended runs, renews its runs if `renew`, and reads its state.
 async fn poll(target: CallTarget, acks: Vec<RunId>, renew: bool, round: u64) -> WorkerCallOutcome {
     let task_lease = target.context.settings.intervals.task_lease;
     let sent = clock::now();
@@ -215,7 +218,7 @@
     }
 }
 
-/// Returns a shape from its message.
+/// Converts a shape from its message.
 pub fn shape_from_proto(shape: proto::Shape) -> Shape {
     Shape {
         slots: shape.slots,
@@ -226,6 +229,7 @@
     }
 }
 
+/// Converts a run's report from its message; `None` if its state is unknown.
 fn run_report(run: proto::Run) -> Option<RunReport> {
     let state = match run.state() {
         proto::RunState::Running => RunState::Running,
