--- a/src/web.rs
+++ b/src/web.rs
@@ -107,7 +107,7 @@
     let first = lengths.next();
     let chunked = headers.contains_key(http::header::TRANSFER_ENCODING);
     if lengths.next().is_some() || (first.is_some() && chunked) {
-        return Err(WebError::Malformed("ambiguous length".into()));
+        return Err(WebError::Malformed("ambiguous body length".into()));
     }
     let Some(first) = first else {
         return Ok(None);
@@ -117,7 +117,7 @@
     let value = text.parse().ok().filter(|_| digits);
     value
         .map(Some)
-        .ok_or_else(|| WebError::Malformed("content-length is no number".into()))
+        .ok_or_else(|| WebError::Malformed("content-length is not a number".into()))
 }
 
 fn to_payload(body: Bytes) -> Payload {
