--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -29,6 +29,7 @@
 use crate::utils::clock::Millis;
 use crate::utils::random::Random;
 
+/// Default settings of owners in tests.
 pub const SETTINGS: OwnerSettings = OwnerSettings {
     lease_length: 4_000,
     max_unconfirmed: 10_000,
@@ -43,6 +44,7 @@
     pub now: Millis,
     pub owner: Owner,
     pub workers: BTreeMap<Name, FakeWorker>,
+    /// Answers to job requests, by ticket.
     pub answers: BTreeMap<u64, Answer>,
     pub faults: Faults,
     /// True while the store neither executes nor answers a call.
@@ -87,15 +89,19 @@
     pub last_polls: BTreeMap<Name, Poll>,
     /// Last start that was sent and its time, by worker.
     pub last_starts: BTreeMap<Name, (Millis, Start)>,
+    /// Rows of the store, by table and key.
     pub rows: BTreeMap<(&'static str, Name), Bytes>,
+    /// Last version that the store has assigned.
     pub version: u64,
+    /// Version of the owner row.
     pub owner_version: u64,
     /// Time until which the owner's machine is suspended.
     suspended_until: Millis,
     epoch: u64,
     random: Random,
+    /// Calls and events to come, by time and serial number.
     scheduled: BTreeMap<(Millis, u64), Scheduled>,
-    serial: u64,
+    last_serial: u64,
     last_ticket: u64,
 }
 
@@ -111,6 +117,7 @@
     }
 }
 
+/// Returns a step of `count` tasks that use `cpu` thousandths of a processor each.
 pub fn step(count: u32, cpu: u64) -> StepSpec {
     StepSpec {
         count,
@@ -149,6 +156,7 @@
     }
 }
 
+/// Returns the directory entry of a worker with four processors.
 pub fn listing(id: &str, port: u16) -> Listing {
     Listing {
         id: id.into(),
@@ -168,6 +176,7 @@
     }
 }
 
+/// Returns the owner row of a box that serves under an epoch.
 pub fn owner_row(epoch: u64) -> OwnerRow {
     OwnerRow {
         name: format!("box-{epoch}").into(),
@@ -224,7 +233,7 @@
             epoch: 1,
             random: Random::new(7),
             scheduled: BTreeMap::new(),
-            serial: 0,
+            last_serial: 0,
             last_ticket: 0,
         };
         world.put_owner(&owner_row(1));
@@ -295,6 +304,7 @@
         })
     }
 
+    /// Returns the state of a job as the owner answers it; `None` if the owner gives no state.
     pub fn job_state(&mut self, id: &str) -> Option<JobState> {
         let ticket = self.request(JobRequest::Show(id.into()));
         match self.answers.get(&ticket) {
@@ -326,8 +336,8 @@
             wall: self.now,
         };
         let journal = Journal::new(row, self.owner_version, self.now);
-        let kept = self.stored_jobs();
-        self.owner = Owner::new(self.settings, journal, kept, self.now + inherited, at);
+        let jobs = self.stored_jobs();
+        self.owner = Owner::new(self.settings, journal, jobs, self.now + inherited, at);
         self.read_history(self.epoch, None);
         if !self.cordons_withheld {
             self.handle(Event::Cordoned(self.cordoned.clone()));
--- a/src/sched/tests/world/calls.rs
+++ b/src/sched/tests/world/calls.rs
@@ -68,6 +68,7 @@
 }
 
 impl World {
+    /// Sends a call, subject to the simulated faults.
     pub(super) fn send(&mut self, call: Call) {
         if matches!(call, Call::Throttle(_)) && self.faults.lost_throttles > 0 {
             self.faults.lost_throttles -= 1;
@@ -199,14 +200,15 @@
         format!("{worker} until {}", self.now + ADVICE_VALIDITY).into()
     }
 
+    /// Schedules something to happen `after` ms from now, or later if the owner is suspended.
     pub(super) fn schedule(&mut self, after: Millis, due: Scheduled) {
-        self.serial += 1;
+        self.last_serial += 1;
         let mut at = self.now + after;
         if !matches!(due, Scheduled::Call(..) | Scheduled::Delayed(..)) {
             // A suspended box receives nothing.
             at = at.max(self.suspended_until);
         }
-        self.scheduled.insert((at, self.serial), due);
+        self.scheduled.insert((at, self.last_serial), due);
     }
 
     /// Suspends the owner's machine. Calls that were sent still arrive, replies wait, and timers
@@ -277,6 +279,7 @@
         }
     }
 
+    /// Applies the writes if the owner row still has this version.
     fn commit(&mut self, version: u64, writes: Vec<Write>) -> CommitOutcome {
         assert!(writes.len() < MAX_COMMIT_ENTRIES, "{} writes", writes.len());
         if version != self.owner_version {
--- a/src/sched/tests/world/interference.rs
+++ b/src/sched/tests/world/interference.rs
@@ -86,6 +86,7 @@
         }
     }
 
+    /// Applies due changes of the speed and drops old measurements.
     fn advance(&mut self, now: Millis) {
         while let Some((_, speed)) = self.changes.pop_front_if(|(at, _)| *at <= now) {
             self.speed = speed;
@@ -180,8 +181,8 @@
             return;
         }
         for worker in self.workers.values_mut() {
-            let over = worker.measure(model, now);
-            self.longest_breach = self.longest_breach.max(over);
+            let breach = worker.measure(model, now);
+            self.longest_breach = self.longest_breach.max(breach);
         }
     }
 
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -19,6 +19,7 @@
 /// shrank.
 const IN_FLIGHT: Millis = 2;
 
+/// A run on a fake worker, with the outcome that its script sets.
 #[derive(Clone, Debug)]
 pub(super) struct Run {
     pub(super) run: u32,
@@ -52,11 +53,13 @@
     pub(super) loads: Loads,
     /// Highest run of each task that ended or was stopped here; starts up to it are refused.
     closed_runs: BTreeMap<String, u32>,
+    /// Ended runs that the owner has not acknowledged.
     unacknowledged: Vec<EndedRun>,
     /// Runs that were done or failed, with the time, by number of their completion.
     end_times: BTreeMap<u64, (String, RunOutcome, Millis)>,
     /// Last time when the lease was expired.
     lapsed_at: Millis,
+    /// Number of the next completion.
     next_end: u64,
 }
 
@@ -301,10 +304,10 @@
 
     /// Changes the capacity of a worker and of its directory entry.
     pub fn resize(&mut self, id: &str, resources: Resources) {
-        let told_at = self.now.max(self.suspended_until);
+        let notified_at = self.now.max(self.suspended_until);
         let worker = self.workers.get_mut(id).expect("worker");
         if !worker.listing.capacity.within(resources) {
-            worker.shrunk_at = told_at;
+            worker.shrunk_at = notified_at;
         }
         worker.listing.capacity = resources;
         let entry = DirectoryEntry::Listed(worker.listing.clone());
--- a/tests/platform/worker.rs
+++ b/tests/platform/worker.rs
@@ -78,7 +78,7 @@
 
 struct Run {
     run: u64,
-    ends: Instant,
+    ends_at: Instant,
 }
 
 struct State {
@@ -91,7 +91,9 @@
     /// End of the lease, shared with the record.
     shared_lease: Lease,
     runs: BTreeMap<String, Run>,
+    /// Highest run of each task that ended or was stopped here; starts up to it are refused.
     closed_runs: BTreeMap<String, u64>,
+    /// Ended runs that the owner has not acknowledged: number, task, run, outcome.
     unacknowledged: Vec<(u64, String, u64, &'static str)>,
     next_end: u64,
     /// True from a crash until the next incarnation serves.
@@ -343,13 +345,13 @@
             return self.conflict("late");
         }
         let lasting = call["spec"] == LASTING_SPEC;
-        let ends = Instant::now()
+        let ends_at = Instant::now()
             + if lasting {
                 LASTING_DURATION
             } else {
                 self.duration
             };
-        self.state().runs.insert(task.clone(), Run { run, ends });
+        self.state().runs.insert(task.clone(), Run { run, ends_at });
         self.started.fetch_add(1, Ordering::Relaxed);
         let lease = self.state().shared_lease.clone();
         self.record().start(task, &lease);
@@ -401,8 +403,11 @@
         let lapsed = self.lease_expired();
         let state = self.state();
         let now = Instant::now();
-        let due = state.runs.iter().filter(|(_, r)| lapsed || r.ends <= now);
-        let due: Vec<(String, bool)> = due.map(|(t, r)| (t.clone(), r.ends <= now)).collect();
+        let due = state
+            .runs
+            .iter()
+            .filter(|(_, r)| lapsed || r.ends_at <= now);
+        let due: Vec<(String, bool)> = due.map(|(t, r)| (t.clone(), r.ends_at <= now)).collect();
         drop(state);
         for (task, done) in due {
             self.end(&task, if done { "done" } else { "lapsed" });
