--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they hand jobs in, come again, give up, cancel, and ask how jobs go on.
+//! Callers that submit jobs, retry, give up, cancel, and poll the state of jobs.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,53 +11,53 @@
 use willowpoint::utils::random::Random;
 
 use crate::checks::{self, Findings};
-use crate::jobs::{Jobs, Told};
+use crate::jobs::{Jobs, SubmitStatus};
 use crate::platform::support::wait_for;
 use crate::platform::worker::{LASTING_SPEC, Record};
 use crate::platform::{HOST, PATH};
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(3_500);
-/// How long a caller waits for a connection.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Boxes that a caller asks before it gives up.
-const TRIES: usize = 6;
-/// Pause between two tries.
-const RETRY: Duration = Duration::from_millis(150);
+/// Read timeout of a request.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_500);
+/// Connect timeout of a request.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Attempts to submit a job, each at the next box.
+const MAX_ATTEMPTS: usize = 6;
+/// Pause between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Longest pause between two jobs of a caller, in milliseconds.
-const PAUSE: u64 = 400;
-/// Most tasks of a step.
-const TASKS: u64 = 3;
-/// Part of the jobs that are cancelled.
-const CANCELLED: f64 = 0.1;
-/// Id of the job whose tasks are lasting.
+const MAX_PAUSE: u64 = 400;
+/// Largest number of tasks in a step.
+const MAX_TASKS: u64 = 3;
+/// Share of the accepted jobs that are cancelled.
+const CANCEL_SHARE: f64 = 0.1;
+/// Id of the job with lasting tasks.
 const LASTING_ID: &str = "eeee000000000001";
-/// Pause between two looks at the jobs that are open.
-const LOOK: Duration = Duration::from_millis(50);
+/// Pause between two polls of all open jobs.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An answer, or why there is none.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A status and a body.
+    /// Answered with this status and body.
     Status(u16, String),
-    /// The request did not leave the caller.
-    Unsent,
-    /// It may have arrived.
+    /// No connection was made, so the request was not sent.
+    NotSent,
+    /// The request may have been sent, but no answer was received.
     Lost,
 }
 
-/// The boxes as callers reach them.
+/// The boxes' addresses and the state that callers share.
 #[derive(Clone)]
 pub struct Boxes {
     pub addresses: Vec<SocketAddr>,
+    /// Set once callers should stop.
     pub stop: Arc<AtomicBool>,
-    /// What the workers ran.
+    /// The runs that workers recorded.
     pub record: Arc<Mutex<Record>>,
 }
 
 impl Boxes {
-    /// Returns true once callers should end.
-    fn stopped(&self) -> bool {
+    fn stop_requested(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
@@ -65,23 +65,23 @@
         self.record.lock().expect("no holder panicked")
     }
 
-    /// Sends a request to a box of a number, counted on from the first again.
+    /// Sends a request to the box of index `number` modulo the number of boxes.
     pub fn call(&self, number: usize, method: &str, id: &str, body: &str) -> Answer {
         let address = self.addresses[number % self.addresses.len()];
-        let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT) else {
-            return Answer::Unsent;
+        let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) else {
+            return Answer::NotSent;
         };
         let head = format!(
             "{method} {PATH}{id} HTTP/1.1\r\nhost: {HOST}\r\nconnection: close\r\n\
              x-deadline-ms: 3000\r\ncontent-length: {}\r\n\r\n",
             body.len()
         );
-        answer(stream, &(head + body)).unwrap_or(Answer::Lost)
+        send_request(stream, &(head + body)).unwrap_or(Answer::Lost)
     }
 }
 
-fn answer(mut stream: TcpStream, request: &str) -> Option<Answer> {
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+fn send_request(mut stream: TcpStream, request: &str) -> Option<Answer> {
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
     let mut text = String::new();
     stream.read_to_string(&mut text).ok()?;
@@ -90,111 +90,111 @@
     Some(Answer::Status(status, body.into()))
 }
 
-/// Starts a caller that hands in jobs until it is stopped.
-pub fn submit(number: usize, seed: u64, boxes: Boxes, jobs: Jobs) -> JoinHandle<()> {
+/// Spawns a caller that submits jobs until it is stopped.
+pub fn spawn_submitter(number: usize, seed: u64, boxes: Boxes, jobs: Jobs) -> JoinHandle<()> {
     std::thread::spawn(move || {
         let mut random = Random::new(seed ^ (number as u64 + 1));
         let mut count = 0;
-        while !boxes.stopped() {
+        while !boxes.stop_requested() {
             count += 1;
             let id = format!("{number:04x}{count:012x}");
-            let tasks = 1 + random.below(TASKS) as u32;
-            hand_in(&mut random, &boxes, &jobs, &id, tasks);
-            let pause = Duration::from_millis(random.below(PAUSE));
+            let tasks = 1 + random.below(MAX_TASKS) as u32;
+            submit_job(&mut random, &boxes, &jobs, &id, tasks);
+            let pause = Duration::from_millis(random.below(MAX_PAUSE));
             std::thread::sleep(pause);
         }
     })
 }
 
-fn hand_in(random: &mut Random, boxes: &Boxes, jobs: &Jobs, id: &str, tasks: u32) {
-    jobs.ask(id, tasks);
-    let body = job(tasks);
+fn submit_job(random: &mut Random, boxes: &Boxes, jobs: &Jobs, id: &str, tasks: u32) {
+    jobs.insert(id, tasks);
+    let body = two_step_job(tasks);
     let first = random.below(1_000) as usize;
-    let mut sure = true;
-    for turn in 0..TRIES {
-        match boxes.call(first + turn, "POST", id, &body) {
+    let mut all_refused = true;
+    for attempt in 0..MAX_ATTEMPTS {
+        match boxes.call(first + attempt, "POST", id, &body) {
             Answer::Status(200, _) => {
-                jobs.note(id, |job| job.told = Told::Taken);
-                return cancel_some(random, boxes, jobs, id);
+                jobs.update(id, |job| job.status = SubmitStatus::Accepted);
+                return maybe_cancel(random, boxes, jobs, id);
             }
-            Answer::Status(503, _) | Answer::Unsent => {}
-            Answer::Status(..) | Answer::Lost => sure = false,
+            Answer::Status(503, _) | Answer::NotSent => {}
+            Answer::Status(..) | Answer::Lost => all_refused = false,
         }
-        std::thread::sleep(RETRY);
+        std::thread::sleep(RETRY_DELAY);
     }
-    if sure {
-        jobs.note(id, |job| job.told = Told::Denied);
+    if all_refused {
+        jobs.update(id, |job| job.status = SubmitStatus::Refused);
     }
 }
 
-/// Hands in a job of one step whose tasks run until it is cancelled; returns its id.
-pub fn lasting(boxes: &Boxes, jobs: &Jobs, tasks: u32) -> &'static str {
+/// Submits a job of one step whose tasks run until it is cancelled; returns its id.
+pub fn submit_lasting(boxes: &Boxes, jobs: &Jobs, tasks: u32) -> &'static str {
     let step = json!({ "count": tasks, "cpu": 1000, "memMb": 100, "persistent": true });
     let body = json!({ "spec": LASTING_SPEC, "steps": [step] }).to_string();
-    jobs.ask(LASTING_ID, tasks);
-    jobs.note(LASTING_ID, |job| job.lasting = true);
-    let mut turn = 0;
-    wait_for("the lasting job to be taken", || {
-        turn += 1;
-        let answer = boxes.call(turn, "POST", LASTING_ID, &body);
+    jobs.insert(LASTING_ID, tasks);
+    jobs.update(LASTING_ID, |job| job.lasting = true);
+    let mut attempt = 0;
+    wait_for("the lasting job to be accepted", || {
+        attempt += 1;
+        let answer = boxes.call(attempt, "POST", LASTING_ID, &body);
         matches!(answer, Answer::Status(200, _))
     });
-    jobs.note(LASTING_ID, |job| job.told = Told::Taken);
+    jobs.update(LASTING_ID, |job| job.status = SubmitStatus::Accepted);
     LASTING_ID
 }
 
-/// Returns a job of two steps.
-pub fn job(tasks: u32) -> String {
+/// Returns the JSON body of a job of two steps, the second of which depends on the first.
+pub fn two_step_job(tasks: u32) -> String {
     let step = json!({ "count": tasks, "cpu": 1000, "memMb": 100, "estimateMs": 300 });
     let mut second = step.clone();
     second["after"] = json!([0]);
     json!({ "spec": "text", "steps": [step, second] }).to_string()
 }
 
-fn cancel_some(random: &mut Random, boxes: &Boxes, jobs: &Jobs, id: &str) {
-    if !random.chance(CANCELLED) {
+fn maybe_cancel(random: &mut Random, boxes: &Boxes, jobs: &Jobs, id: &str) {
+    if !random.chance(CANCEL_SHARE) {
         return;
     }
-    jobs.note(id, |job| job.unwanted = true);
+    jobs.update(id, |job| job.cancel_requested = true);
     let number = random.below(1_000) as usize;
     if let Answer::Status(200, _) = boxes.call(number, "DELETE", id, "") {
-        let done = checks::done(&boxes.record(), id);
-        jobs.note(id, |job| job.cancelled = Some(done));
+        let done = checks::count_done(&boxes.record(), id);
+        jobs.update(id, |job| job.done_at_cancel = Some(done));
     }
 }
 
-/// Starts one that asks for all open jobs in turn, and tells of those shown falsely.
-pub fn follow(boxes: Boxes, jobs: Jobs, findings: Findings) -> JoinHandle<()> {
+/// Spawns a thread that polls all open jobs in turn and reports those with a wrong state.
+pub fn spawn_poller(boxes: Boxes, jobs: Jobs, findings: Findings) -> JoinHandle<()> {
     std::thread::spawn(move || {
         let mut number = 0;
-        while !boxes.stopped() || !jobs.open().is_empty() {
+        while !boxes.stop_requested() || !jobs.open().is_empty() {
             for id in jobs.open() {
                 number += 1;
-                look(number, &boxes, &jobs, &findings, &id);
-                if findings.given_up() {
+                poll_state(number, &boxes, &jobs, &findings, &id);
+                if findings.waiting_stopped() {
                     return;
                 }
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     })
 }
 
-fn look(number: usize, boxes: &Boxes, jobs: &Jobs, findings: &Findings, id: &str) {
+fn poll_state(number: usize, boxes: &Boxes, jobs: &Jobs, findings: &Findings, id: &str) {
     match boxes.call(number, "GET", id, "") {
         Answer::Status(200, body) => {
             let shown: Value = serde_json::from_str(&body).unwrap_or(Value::Null);
             let state = shown["state"].as_str().unwrap_or_default();
             if ["completed", "failed", "cancelled"].contains(&state) {
-                jobs.note(id, |job| job.ended = state.into());
+                jobs.update(id, |job| job.final_state = state.into());
             }
             if state.is_empty() {
-                findings.tell(id, format!("is shown without a state: {body}"));
+                findings.report(id, format!("is shown without a state: {body}"));
             }
         }
         Answer::Status(410, _) => {
-            findings.tell(id, "a job that was taken is not known".into());
-            jobs.note(id, |job| job.ended = "unknown".into());
+            findings.report(id, "a job that was taken is not known".into());
+            jobs.update(id, |job| job.final_state = "unknown".into());
         }
         _ => {}
     }
--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -1,135 +1,143 @@
-//! The promises, checked by what callers were told and what workers ran. Nothing here is
-//! shared with the decisions.
+//! Checks of the guarantees against what callers were answered and what workers ran. They share
+//! no code with the scheduler.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-use crate::jobs::{Job, Told};
+use crate::jobs::{Job, SubmitStatus};
 use crate::platform::worker::Record;
 
-/// Hex digits of a job's id, with which the names of its tasks begin.
-const ID: usize = 16;
-/// Lives of workers that have to end with a task before its job may be given up.
-const GIVEN_UP: u32 = 2;
+/// Length of a job's id in hex digits; the names of its tasks begin with the id.
+const ID_LENGTH: usize = 16;
+/// Worker incarnations that must end while they run a task before its job may fail.
+const MIN_LOSSES_TO_FAIL: u32 = 2;
 
-/// A promise that was broken.
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// Id of the job.
     pub id: String,
-    /// What was seen.
-    pub what: String,
+    /// Description of the violation.
+    pub detail: String,
 }
 
-/// What was found so far; clones share it.
+/// The violations found so far; clones share the same list.
 #[derive(Clone, Default)]
 pub struct Findings {
-    all: Arc<Mutex<Vec<Broken>>>,
-    given_up: Arc<AtomicBool>,
+    all: Arc<Mutex<Vec<Violation>>>,
+    waiting_stopped: Arc<AtomicBool>,
 }
 
 impl Findings {
-    /// Adds one, once.
-    pub fn tell(&self, id: &str, what: String) {
-        let broken = Broken {
+    /// Adds and prints a violation unless it is in the list already.
+    pub fn report(&self, id: &str, detail: String) {
+        let violation = Violation {
             id: id.into(),
-            what,
+            detail,
         };
         let mut all = self.all.lock().expect("no holder panicked");
-        if !all.contains(&broken) {
-            println!("BROKEN {id}: {}", broken.what);
-            all.push(broken);
+        if !all.contains(&violation) {
+            println!("BROKEN {id}: {}", violation.detail);
+            all.push(violation);
         }
     }
 
-    /// Returns all of them.
-    pub fn all(&self) -> Vec<Broken> {
+    /// Returns all violations.
+    pub fn all(&self) -> Vec<Violation> {
         self.all.lock().expect("no holder panicked").clone()
     }
 
-    /// Has those that wait for open jobs wait no more.
-    pub fn give_up(&self) {
-        self.given_up.store(true, Ordering::Relaxed);
+    /// Tells the threads that wait for open jobs to stop waiting.
+    pub fn stop_waiting(&self) {
+        self.waiting_stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Returns true once they should not.
-    pub fn given_up(&self) -> bool {
-        self.given_up.load(Ordering::Relaxed)
+    /// Returns true once waiting for open jobs should stop.
+    pub fn waiting_stopped(&self) -> bool {
+        self.waiting_stopped.load(Ordering::Relaxed)
     }
 }
 
-/// Returns the id of the job of a task.
-fn owner(task: &str) -> &str {
-    task.get(..ID).unwrap_or(task)
+/// Returns the id of the job that a task belongs to.
+fn job_id(task: &str) -> &str {
+    task.get(..ID_LENGTH).unwrap_or(task)
 }
 
-/// Checks what must hold at each moment.
-pub fn during(jobs: &BTreeMap<String, Job>, record: &Record, findings: &Findings) {
+/// Checks the guarantees that must hold at any time.
+pub fn check_always(jobs: &BTreeMap<String, Job>, record: &Record, findings: &Findings) {
     for task in &record.duplicates {
-        let what = format!("{task} ran twice at a time, or again after its end was noted");
-        findings.tell(owner(task), what);
+        let detail = format!("{task} ran twice at a time, or again after its end was noted");
+        findings.report(job_id(task), detail);
     }
     for task in record.starts.keys() {
-        let id = owner(task);
-        match jobs.get(id).map(|job| job.told) {
-            None => findings.tell(id, format!("{task} was started and nobody asked for it")),
-            Some(Told::Denied) => findings.tell(id, format!("{task} was started, its job refused")),
+        let id = job_id(task);
+        match jobs.get(id).map(|job| job.status) {
+            None => findings.report(id, format!("{task} was started and nobody asked for it")),
+            Some(SubmitStatus::Refused) => {
+                findings.report(id, format!("{task} was started, its job refused"))
+            }
             Some(_) => {}
         }
     }
 }
 
-/// Checks what must hold once all is well again and the jobs had time to end.
-pub fn after(jobs: &BTreeMap<String, Job>, record: &Record, findings: &Findings) {
-    for (id, job) in jobs.iter().filter(|(_, job)| job.told == Told::Taken) {
+/// Checks the guarantees that must hold after all faults are over and the jobs had time to end.
+pub fn check_at_end(jobs: &BTreeMap<String, Job>, record: &Record, findings: &Findings) {
+    for (id, job) in jobs
+        .iter()
+        .filter(|(_, job)| job.status == SubmitStatus::Accepted)
+    {
         if job.lasting {
-            lasts(id, job, record, findings);
+            check_lasting(id, job, record, findings);
             continue;
         }
-        let done = done(record, id);
+        let done = count_done(record, id);
         let all = job.tasks * 2;
-        match job.ended.as_str() {
+        match job.final_state.as_str() {
             "completed" if done == all => {}
-            "completed" => findings.tell(id, format!("completed, {done} of {all} tasks ended so")),
-            "cancelled" if job.unwanted => {}
-            "failed" if lost(record, id) >= GIVEN_UP => {}
-            "" => findings.tell(id, "was taken and does not end".into()),
-            other => findings.tell(id, format!("shown as {other} without a cause")),
+            "completed" => {
+                findings.report(id, format!("completed, {done} of {all} tasks ended so"))
+            }
+            "cancelled" if job.cancel_requested => {}
+            "failed" if max_lost_runs(record, id) >= MIN_LOSSES_TO_FAIL => {}
+            "" => findings.report(id, "was taken and does not end".into()),
+            other => findings.report(id, format!("shown as {other} without a cause")),
         }
-        // One that was over by then stays what it was.
-        let stands = job.cancelled.is_none_or(|then| then == all);
-        if !stands && job.ended == "completed" {
-            findings.tell(id, "was cancelled and went on to its end".into());
+        // A cancellation has no effect on a job whose tasks were all done by then.
+        let may_complete = job.done_at_cancel.is_none_or(|done| done == all);
+        if !may_complete && job.final_state == "completed" {
+            findings.report(id, "was cancelled and went on to its end".into());
         }
     }
 }
 
 /// Checks that all tasks of a lasting job run.
-fn lasts(id: &str, job: &Job, record: &Record, findings: &Findings) {
-    let running = running(record, id);
-    if running < job.tasks && lost(record, id) < GIVEN_UP {
-        findings.tell(id, format!("{running} of {} lasting tasks run", job.tasks));
+fn check_lasting(id: &str, job: &Job, record: &Record, findings: &Findings) {
+    let running = count_running(record, id);
+    if running < job.tasks && max_lost_runs(record, id) < MIN_LOSSES_TO_FAIL {
+        findings.report(id, format!("{running} of {} lasting tasks run", job.tasks));
     }
 }
 
-/// Returns how many tasks of a job run.
-pub fn running(record: &Record, id: &str) -> u32 {
-    let tasks = record.running.iter().filter(|task| owner(task) == id);
+/// Returns how many tasks of a job are running.
+pub fn count_running(record: &Record, id: &str) -> u32 {
+    let tasks = record.running.iter().filter(|task| job_id(task) == id);
     tasks.count() as u32
 }
 
-/// Returns how many tasks of a job have ended as done.
-pub fn done(record: &Record, id: &str) -> u32 {
-    let tasks = record.done.iter().filter(|task| owner(task) == id);
+/// Returns how many tasks of a job are done.
+pub fn count_done(record: &Record, id: &str) -> u32 {
+    let tasks = record.done.iter().filter(|task| job_id(task) == id);
     tasks.count() as u32
 }
 
-/// Returns the most lives of workers that have ended with a task of a job.
-fn lost(record: &Record, id: &str) -> u32 {
+/// Returns the largest number of worker incarnations that ended while they ran the same task
+/// of a job.
+fn max_lost_runs(record: &Record, id: &str) -> u32 {
     let tasks = record
         .lost_runs
         .iter()
-        .filter(|(task, _)| owner(task) == id);
+        .filter(|(task, _)| job_id(task) == id);
     tasks.map(|(_, count)| *count).max().unwrap_or(0)
 }
--- a/tools/soak/src/main.rs
+++ b/tools/soak/src/main.rs
@@ -1,8 +1,9 @@
-//! Runs of the real processes under drawn faults.
+//! Soak test: runs real processes under random faults and checks the guarantees.
 //!
-//! Boxes are `willowpoint serve` as processes; the store and the workers are stand-ins in this
-//! one. Faults come from outside: signals, connections, the store, the workers. What callers
-//! are told and what workers run is checked by code that shares nothing with the decisions.
+//! Boxes are `willowpoint serve` processes; the store and the workers are stand-ins within this
+//! process. Faults are injected from outside: signals, connections, the store, the workers. The
+//! answers to callers and the runs of workers are checked by code that shares nothing with the
+//! scheduler.
 
 mod callers;
 mod checks;
@@ -23,10 +24,10 @@
 use run::Outcome;
 use willowpoint::utils::signals;
 
-/// Broken promises whose history is printed.
-const SHOWN: usize = 3;
+/// Number of violations whose job history is printed.
+const MAX_EXPLAINED: usize = 3;
 
-/// Runs boxes as processes under drawn faults and checks what they promise.
+/// Runs boxes as processes under random faults and checks their guarantees.
 ///
 /// Example: cargo build --release --workspace && target/release/willowpoint-soak --seed 7
 #[derive(Debug, Clone, Bpaf)]
@@ -35,25 +36,25 @@
     /// Seed of the first run
     #[bpaf(argument("N"), fallback(1), display_fallback)]
     seed: u64,
-    /// Runs, each with the next seed
+    /// Number of runs, each with the next seed
     #[bpaf(argument("N"), fallback(1), display_fallback)]
     runs: u64,
-    /// Seconds for which jobs come in each run
+    /// Seconds in which jobs are submitted in each run
     #[bpaf(argument("N"), fallback(60), display_fallback)]
     seconds: u64,
-    /// Boxes
+    /// Number of boxes
     #[bpaf(argument("N"), fallback(3), display_fallback)]
     boxes: usize,
-    /// Workers
+    /// Number of workers
     #[bpaf(argument("N"), fallback(6), display_fallback)]
     workers: usize,
-    /// Faults a minute
+    /// Faults per minute
     #[bpaf(argument("N"), fallback(30), display_fallback)]
     faults: u64,
-    /// Play this plan in place of drawn ones
+    /// Run this plan instead of generated ones
     #[bpaf(argument("FILE"), optional)]
     plan: Option<PathBuf>,
-    /// Keep plan, findings and logs of runs that break a promise here
+    /// Directory for plan, violations and logs of runs that violate a guarantee
     #[bpaf(argument("DIR"), optional)]
     keep: Option<PathBuf>,
 }
@@ -75,12 +76,12 @@
             "PLAN {}",
             serde_json::to_string(&plan).expect("a plan as JSON")
         );
-        let outcome = run::play(&plan);
+        let outcome = run::run_plan(&plan);
         report(&plan, &outcome, options.keep.as_deref());
-        if !outcome.broken.is_empty() {
+        if !outcome.violations.is_empty() {
             failed.push(seed);
         }
-        if outcome.cut_short {
+        if outcome.interrupted {
             return ExitCode::from(3);
         }
     }
@@ -91,13 +92,13 @@
     }
 }
 
-/// Returns the plans to play, drawn or out of a file as it was printed.
+/// Returns the plans to run, generated or read from a file in the printed format.
 fn plans(options: &Options) -> Result<Vec<Plan>, String> {
     let Some(file) = &options.plan else {
         let seeds = options.seed..options.seed + options.runs;
-        let draw = |seed| {
+        let generate = |seed| {
             let Options { boxes, workers, .. } = *options;
-            Plan::draw(
+            Plan::generate(
                 seed,
                 boxes,
                 workers,
@@ -105,47 +106,47 @@
                 options.faults,
             )
         };
-        return Ok(seeds.map(draw).collect());
+        return Ok(seeds.map(generate).collect());
     };
-    let named = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
-    let text = std::fs::read_to_string(file).map_err(|e| named(&e))?;
-    let plan = serde_json::from_str(&text).map_err(|e| named(&e))?;
+    let in_file = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
+    let text = std::fs::read_to_string(file).map_err(|e| in_file(&e))?;
+    let plan = serde_json::from_str(&text).map_err(|e| in_file(&e))?;
     Ok(vec![plan])
 }
 
 fn report(plan: &Plan, outcome: &Outcome, keep: Option<&Path>) {
     let Outcome { jobs, faults, .. } = outcome;
-    let [asked, taken, denied, completed] = jobs;
-    let ended = match (outcome.cut_short, outcome.broken.len()) {
+    let [submitted, accepted, refused, completed] = jobs;
+    let result = match (outcome.interrupted, outcome.violations.len()) {
         (true, _) => "cut short".into(),
         (false, 0) => "no promise broken".into(),
         (false, count) => format!("{count} broken"),
     };
     println!(
-        "RUN seed {}: {ended}; jobs asked {asked}, taken {taken}, denied {denied}, completed \
-         {completed}; faults {faults:?}",
+        "RUN seed {}: {result}; jobs asked {submitted}, taken {accepted}, denied {refused}, \
+         completed {completed}; faults {faults:?}",
         plan.seed
     );
-    for broken in outcome.broken.iter().take(SHOWN) {
-        println!("{}: {}", broken.id, broken.what);
-        println!("{}", run::history(&broken.id, &outcome.logs));
+    for violation in outcome.violations.iter().take(MAX_EXPLAINED) {
+        println!("{}: {}", violation.id, violation.detail);
+        println!("{}", run::explain(&violation.id, &outcome.logs));
     }
-    if let Some(folder) = keep.filter(|_| !outcome.broken.is_empty())
+    if let Some(folder) = keep.filter(|_| !outcome.violations.is_empty())
         && let Err(e) = save(&folder.join(plan.seed.to_string()), plan, outcome)
     {
-        eprintln!("not kept in {}: {e}", folder.display());
+        eprintln!("cannot save the run in {}: {e}", folder.display());
     }
 }
 
-/// Writes what is needed to look into a run that broke a promise.
+/// Saves plan, violations and logs of a run that violated a guarantee.
 fn save(folder: &Path, plan: &Plan, outcome: &Outcome) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let text = serde_json::to_string(plan).expect("a plan as JSON");
     std::fs::write(folder.join("plan.json"), text)?;
     let lines = outcome
-        .broken
+        .violations
         .iter()
-        .map(|b| format!("{}: {}\n", b.id, b.what));
+        .map(|v| format!("{}: {}\n", v.id, v.detail));
     std::fs::write(folder.join("broken.txt"), lines.collect::<String>())?;
     for log in &outcome.logs {
         let name = log.file_name().unwrap_or_default();
--- a/tools/soak/src/plan.rs
+++ b/tools/soak/src/plan.rs
@@ -1,52 +1,52 @@
-//! What a run does to the processes and when, drawn from its seed alone.
+//! Plans of faults for a run, generated from a seed alone.
 
 use serde::{Deserialize, Serialize};
 use willowpoint::utils::random::Random;
 
-/// Milliseconds before the first fault, for a first owner and first jobs.
-const QUIET: u64 = 1_500;
-/// Shortest and longest milliseconds that a fault lasts.
-const SPANS: (u64, u64) = (200, 6_000);
+/// Earliest time of a fault in ms, so that a cell has an owner and jobs before it.
+const FIRST_FAULT: u64 = 1_500;
+/// Minimum and maximum duration of a fault in ms.
+const DURATIONS: (u64, u64) = (200, 6_000);
 
-/// What is done to a deployment.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A box is asked to stop, and started again.
+    /// A box is stopped by SIGTERM, then restarted.
     StopBox,
-    /// A box is killed, and started again.
+    /// A box is killed, then restarted.
     KillBox,
-    /// A box is paused.
+    /// A box is paused by SIGSTOP.
     FreezeBox,
-    /// All boxes lose power at once, and are started again.
+    /// All boxes are killed at once, as by a power failure, then restarted.
     KillAll,
-    /// The store says nothing to a box.
+    /// The connections between the store and one box are cut.
     CutBox,
-    /// The store answers nobody and does nothing.
+    /// The store neither executes nor answers calls.
     StoreSilent,
-    /// The store turns all calls away.
+    /// The store rejects all calls.
     StoreBusy,
-    /// The store writes and does not say so.
+    /// The store executes calls but sends no replies.
     StoreMute,
-    /// The store takes its time.
+    /// The store delays each reply.
     StoreSlow,
-    /// The store forgets its history.
+    /// The store drops its history of changes.
     StoreForgets,
-    /// Connections to the store that are open fall silent.
+    /// Open connections to the store stay open but carry nothing more.
     SilentConnections,
-    /// A worker starts again under its id.
+    /// A worker restarts under the same id.
     RestartWorker,
-    /// A worker lets orders lie, and carries them out then.
+    /// A worker carries out orders after their owner has stopped waiting.
     LateWorker,
-    /// A worker answers nobody, and carries orders out after seconds.
+    /// A worker sends no answers for longer than its lease, then carries out its orders.
     SilentWorker,
-    /// A worker has half of its room.
+    /// A worker has half of its capacity.
     SmallWorker,
-    /// Another version of the configuration.
+    /// A new version of the configuration is written.
     Configuration,
 }
 
-/// All of them.
+/// All kinds of faults.
 pub const KINDS: [Kind; 16] = [
     Kind::StopBox,
     Kind::KillBox,
@@ -67,13 +67,13 @@
 ];
 
 impl Kind {
-    /// Returns true for what ends or pauses boxes.
+    /// Returns true for faults that stop, kill or pause boxes.
     pub fn hits_boxes(self) -> bool {
         let boxes = [Self::StopBox, Self::KillBox, Self::FreezeBox, Self::KillAll];
         boxes.contains(&self)
     }
 
-    /// Returns true for what is done to a worker.
+    /// Returns true for faults of a worker.
     pub fn hits_worker(self) -> bool {
         let workers = [
             Self::RestartWorker,
@@ -85,50 +85,52 @@
     }
 }
 
-/// Whom a fault hits.
+/// The process that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Target {
-    /// The box that is the owner then.
+    /// The box that is the owner when the fault begins; worker 0 for a fault of a worker.
     Owner,
-    /// The box or worker of this number, counted on from the first again.
+    /// The box or worker of this index modulo their number.
     Number(usize),
 }
 
-/// One fault.
+/// A fault of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// Milliseconds from the beginning.
+    /// Time at which the fault begins, in ms from the start of the run.
     pub at: u64,
-    /// Milliseconds until it is undone.
+    /// Duration in ms.
     pub span: u64,
-    /// What is done.
+    /// Kind of the fault.
     pub kind: Kind,
-    /// To whom.
+    /// Affected process.
     pub target: Target,
 }
 
-/// A run.
+/// The plan of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Seed that it was drawn from.
+    /// Seed that the plan was generated from.
     pub seed: u64,
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Milliseconds for which jobs come.
+    /// Time in ms in which callers submit jobs.
     pub span: u64,
-    /// In the order of their times; they overlap.
+    /// Faults in the order of their times; they may overlap.
     pub faults: Vec<Fault>,
 }
 
 impl Plan {
-    /// Draws so many faults a minute.
-    pub fn draw(seed: u64, boxes: usize, workers: usize, span: u64, rate: u64) -> Self {
+    /// Generates a plan of `span` ms with `rate` faults per minute.
+    pub fn generate(seed: u64, boxes: usize, workers: usize, span: u64, rate: u64) -> Self {
         let mut random = Random::new(seed);
         let count = rate * span / 60_000;
-        let mut faults: Vec<Fault> = (0..count).map(|_| fault(&mut random, span)).collect();
+        let mut faults: Vec<Fault> = (0..count)
+            .map(|_| random_fault(&mut random, span))
+            .collect();
         faults.sort_by_key(|fault| fault.at);
         Self {
             seed,
@@ -140,8 +142,8 @@
     }
 }
 
-fn fault(random: &mut Random, span: u64) -> Fault {
-    let at = QUIET + random.below(span.saturating_sub(QUIET).max(1));
+fn random_fault(random: &mut Random, span: u64) -> Fault {
+    let at = FIRST_FAULT + random.below(span.saturating_sub(FIRST_FAULT).max(1));
     let kind = KINDS[random.below(KINDS.len() as u64) as usize];
     let target = match random.chance(0.4) {
         true => Target::Owner,
@@ -149,7 +151,7 @@
     };
     Fault {
         at,
-        span: SPANS.0 + random.below(SPANS.1 - SPANS.0),
+        span: DURATIONS.0 + random.below(DURATIONS.1 - DURATIONS.0),
         kind,
         target,
     }
--- a/tools/soak/src/platform.rs
+++ b/tools/soak/src/platform.rs
@@ -1,5 +1,5 @@
-//! Boxes as processes, and stand-ins of what they meet; the tests of processes have them too,
-//! and use what a soak does not.
+//! Boxes as processes, with stand-ins for the store and the workers. The modules are shared with
+//! the tests of the platform, which also use parts that a soak run does not.
 
 #[allow(dead_code)]
 #[path = "../../../tests/platform/deployment.rs"]
--- a/tools/soak/src/run.rs
+++ b/tools/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a deployment under the faults of a plan, with callers, checked from outside.
+//! Runs a plan: a deployment under faults, with callers, checked from outside.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,119 +10,120 @@
 use willowpoint::utils::signals;
 
 use crate::callers::{self, Answer, Boxes};
-use crate::checks::{self, Broken, Findings};
+use crate::checks::{self, Findings, Violation};
 use crate::faults::Faults;
-use crate::jobs::{Jobs, Told};
+use crate::jobs::{Jobs, SubmitStatus};
 use crate::plan::{Kind, Plan};
 use crate::platform::deployment::Deployment;
 use crate::platform::support::{binary, eventually};
 
-/// Callers that hand in jobs.
+/// Number of callers that submit jobs.
 const CALLERS: usize = 4;
-/// How long a task runs.
-const SPAN: Duration = Duration::from_millis(300);
-/// Tasks that last.
-const LASTING: u32 = 4;
-/// Time between two looks at what must hold.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time in which all jobs have to end once nothing is wrong any more: a lease that an
-/// earlier owner gave and may still extend, and the work left.
-const CALM: Duration = Duration::from_secs(60);
+/// Duration of a task.
+const TASK_DURATION: Duration = Duration::from_millis(300);
+/// Number of tasks of the lasting job.
+const LASTING_TASKS: u32 = 4;
+/// Pause between two checks of the guarantees.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time in which all jobs must end after the last fault. It covers the remainder of a lease that
+/// a previous owner granted and may still extend, and the remaining work.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a run came to.
+/// The outcome of a run.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Broken promises.
-    pub broken: Vec<Broken>,
-    /// Jobs asked for, taken, denied, ended as completed.
+    /// Violations of guarantees.
+    pub violations: Vec<Violation>,
+    /// Numbers of jobs submitted, accepted, refused, completed.
     pub jobs: [usize; 4],
-    /// Faults brought about.
+    /// Number of faults injected, by kind.
     pub faults: BTreeMap<Kind, u32>,
-    /// What the boxes wrote, where a promise was broken.
+    /// Log files of the boxes, kept only when a guarantee was violated.
     pub logs: Vec<PathBuf>,
-    /// True when it was ended before its time.
-    pub cut_short: bool,
+    /// True when a signal ended the run early.
+    pub interrupted: bool,
 }
 
-/// Plays a plan.
-pub fn play(plan: &Plan) -> Outcome {
-    let mut deployment = Deployment::start(plan.boxes, plan.workers, SPAN);
+/// Runs a plan to its end, or until a signal asks the process to stop.
+pub fn run_plan(plan: &Plan) -> Outcome {
+    let mut deployment = Deployment::start(plan.boxes, plan.workers, TASK_DURATION);
     let (jobs, findings) = (Jobs::default(), Findings::default());
     let boxes = Boxes {
         addresses: deployment.addresses(),
         stop: Arc::new(AtomicBool::new(false)),
         record: deployment.shared_record(),
     };
-    let submit = |n| callers::submit(n, plan.seed, boxes.clone(), jobs.clone());
+    let submit = |n| callers::spawn_submitter(n, plan.seed, boxes.clone(), jobs.clone());
     let mut threads: Vec<_> = (0..CALLERS).map(submit).collect();
-    threads.push(callers::follow(
+    threads.push(callers::spawn_poller(
         boxes.clone(),
         jobs.clone(),
         findings.clone(),
     ));
-    let lasting = callers::lasting(&boxes, &jobs, LASTING);
+    let lasting = callers::submit_lasting(&boxes, &jobs, LASTING_TASKS);
     let mut faults = Faults::new(plan);
-    let begun = Instant::now();
-    let now = || begun.elapsed().as_millis() as u64;
-    while (now() < plan.span || !faults.over()) && !signals::stop_requested() {
+    let started = Instant::now();
+    let now = || started.elapsed().as_millis() as u64;
+    while (now() < plan.span || !faults.finished()) && !signals::stop_requested() {
         faults.step(&mut deployment, now());
-        look(&deployment, &jobs, &findings);
-        std::thread::sleep(LOOK);
+        check_now(&deployment, &jobs, &findings);
+        std::thread::sleep(CHECK_INTERVAL);
     }
-    faults.stop(&mut deployment);
+    faults.end_all(&mut deployment);
     boxes.stop.store(true, Ordering::Relaxed);
-    let cut_short = signals::stop_requested();
-    if !cut_short {
-        settle(&deployment, &boxes, &jobs, &findings);
-        // Where they do not, the checks that follow tell it.
-        let _ = eventually(|| checks::running(&deployment.record(), lasting) == LASTING);
+    let interrupted = signals::stop_requested();
+    if !interrupted {
+        await_recovery(&deployment, &boxes, &jobs, &findings);
+        // A timeout is ignored: the checks below report lasting tasks that do not run.
+        let _ =
+            eventually(|| checks::count_running(&deployment.record(), lasting) == LASTING_TASKS);
     }
-    findings.give_up();
+    findings.stop_waiting();
     for thread in threads {
-        thread.join().expect("a caller ends");
+        thread.join().expect("a caller thread panicked");
     }
-    if !cut_short {
+    if !interrupted {
         let (all, record) = (jobs.all(), deployment.record());
-        checks::during(&all, &record, &findings);
-        checks::after(&all, &record, &findings);
+        checks::check_always(&all, &record, &findings);
+        checks::check_at_end(&all, &record, &findings);
     }
-    outcome(deployment, &jobs, &findings, faults, cut_short)
+    outcome(deployment, &jobs, &findings, faults, interrupted)
 }
 
-/// Checks what must hold at each moment.
-fn look(deployment: &Deployment, jobs: &Jobs, findings: &Findings) {
+/// Checks the guarantees that must hold at any time.
+fn check_now(deployment: &Deployment, jobs: &Jobs, findings: &Findings) {
     let record = deployment.record();
-    checks::during(&jobs.all(), &record, findings);
+    checks::check_always(&jobs.all(), &record, findings);
 }
 
-/// Waits until all jobs that were taken have ended and each box takes one more.
-fn settle(deployment: &Deployment, boxes: &Boxes, jobs: &Jobs, findings: &Findings) {
-    let end = Instant::now() + CALM;
-    let mut left: Vec<usize> = (0..boxes.addresses.len()).collect();
-    while Instant::now() < end && (!left.is_empty() || !jobs.open().is_empty()) {
-        left.retain(|number| !takes(*number, boxes, jobs));
-        look(deployment, jobs, findings);
-        std::thread::sleep(LOOK);
+/// Waits until all accepted jobs have ended and each box has accepted one more.
+fn await_recovery(deployment: &Deployment, boxes: &Boxes, jobs: &Jobs, findings: &Findings) {
+    let end = Instant::now() + RECOVERY_TIMEOUT;
+    let mut pending: Vec<usize> = (0..boxes.addresses.len()).collect();
+    while Instant::now() < end && (!pending.is_empty() || !jobs.open().is_empty()) {
+        pending.retain(|index| !accepts_job(*index, boxes, jobs));
+        check_now(deployment, jobs, findings);
+        std::thread::sleep(CHECK_INTERVAL);
     }
-    for number in left {
-        findings.tell("", format!("box {number} takes no job once all is well"));
+    for index in pending {
+        findings.report("", format!("box {index} takes no job once all is well"));
     }
 }
 
-/// Returns true when a box takes a job.
-fn takes(number: usize, boxes: &Boxes, jobs: &Jobs) -> bool {
-    let id = format!("ffff{number:012x}");
+/// Submits a job to a box; returns true when the box accepts it.
+fn accepts_job(index: usize, boxes: &Boxes, jobs: &Jobs) -> bool {
+    let id = format!("ffff{index:012x}");
     if !jobs.all().contains_key(&id) {
-        jobs.ask(&id, 1);
+        jobs.insert(&id, 1);
     }
-    let taken = matches!(
-        boxes.call(number, "POST", &id, &callers::job(1)),
+    let accepted = matches!(
+        boxes.call(index, "POST", &id, &callers::two_step_job(1)),
         Answer::Status(200, _)
     );
-    if taken {
-        jobs.note(&id, |job| job.told = Told::Taken);
+    if accepted {
+        jobs.update(&id, |job| job.status = SubmitStatus::Accepted);
     }
-    taken
+    accepted
 }
 
 fn outcome(
@@ -130,34 +131,42 @@
     jobs: &Jobs,
     findings: &Findings,
     faults: Faults,
-    cut_short: bool,
+    interrupted: bool,
 ) -> Outcome {
-    let broken = findings.all();
-    let logs = match broken.is_empty() {
+    let violations = findings.all();
+    let logs = match violations.is_empty() {
         true => Vec::new(),
         false => deployment.keep_output(),
     };
     let all = jobs.all();
-    let told = |told| all.values().filter(|job| job.told == told).count();
-    let completed = all.values().filter(|job| job.ended == "completed").count();
+    let count = |status| all.values().filter(|job| job.status == status).count();
+    let completed = all
+        .values()
+        .filter(|job| job.final_state == "completed")
+        .count();
     Outcome {
-        broken,
-        jobs: [all.len(), told(Told::Taken), told(Told::Denied), completed],
+        violations,
+        jobs: [
+            all.len(),
+            count(SubmitStatus::Accepted),
+            count(SubmitStatus::Refused),
+            completed,
+        ],
         faults: faults.counts,
         logs,
-        cut_short,
+        interrupted,
     }
 }
 
-/// Returns the course of a job by what the boxes wrote.
-pub fn history(id: &str, logs: &[PathBuf]) -> String {
-    let told = Command::new(binary())
+/// Returns the history of a job as `willowpoint explain` derives it from the boxes' logs.
+pub fn explain(id: &str, logs: &[PathBuf]) -> String {
+    let output = Command::new(binary())
         .arg("explain")
         .arg(id)
         .args(logs)
         .output();
-    match told {
-        Ok(told) => String::from_utf8_lossy(&told.stdout).into_owned(),
+    match output {
+        Ok(output) => String::from_utf8_lossy(&output.stdout).into_owned(),
         Err(e) => format!("no history: {e}"),
     }
 }
