--- a/src/config.rs
+++ b/src/config.rs
@@ -19,13 +19,13 @@
 use crate::utils::clock::Millis;
 
 /// Key of the head row.
-pub const HEAD: &str = "config/head";
+pub const HEAD_KEY: &str = "config/head";
 /// Prefix of the rows of entries.
-pub const ENTRY: &str = "config/entry/";
+pub const ENTRY_PREFIX: &str = "config/entry/";
 /// Prefix of the rows of changes.
-pub const CHANGE: &str = "config/change/";
+pub const CHANGE_PREFIX: &str = "config/change/";
 /// Prefix of the rows that hold the version that a change with a given id resulted in.
-pub const ID: &str = "config/id/";
+pub const ID_PREFIX: &str = "config/id/";
 /// Number of latest changes whose rows are kept, so that boxes can apply them one by one.
 pub const MAX_CHANGES: u64 = 4_096;
 
@@ -73,5 +73,5 @@
 
 /// Returns the key of the row of the change that resulted in a version.
 pub fn change_key(version: u64) -> Name {
-    format!("{CHANGE}{version:012}").into()
+    format!("{CHANGE_PREFIX}{version:012}").into()
 }
--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use super::{ChangeRow, ENTRY, Edit, EntryRow, HEAD, Head, ID, MAX_CHANGES, change_key};
+use super::{
+    ChangeRow, ENTRY_PREFIX, Edit, EntryRow, HEAD_KEY, Head, ID_PREFIX, MAX_CHANGES, change_key,
+};
 use crate::lease::WriteOutcome;
 use crate::table::{Call, Expect, Op, Outcome, Row, decode};
 use crate::utils::Name;
@@ -98,13 +100,13 @@
             true => Phase::Resolving,
             false => Phase::Reading,
         };
-        let mut keys: Vec<Name> = vec![HEAD.into(), self.id_key()];
+        let mut keys: Vec<Name> = vec![HEAD_KEY.into(), self.id_key()];
         keys.extend(self.row.edits.iter().map(|e| entry_key(&e.key)));
         Step::Call(Call::Read(keys))
     }
 
     fn id_key(&self) -> Name {
-        format!("{ID}{}", self.row.id).into()
+        format!("{ID_PREFIX}{}", self.row.id).into()
     }
 
     /// Processes the outcome of the last call, and returns the next step.
@@ -148,7 +150,7 @@
                 false => Step::Refused(Refusal::Busy),
             };
         }
-        self.commit(rows.get(HEAD))
+        self.commit(rows.get(HEAD_KEY))
     }
 
     fn conflict(&self, key: Name, version: u64) -> Step {
@@ -166,7 +168,7 @@
         self.phase = Phase::Writing;
         let next = Head { version };
         let mut ops = vec![
-            Op::put(HEAD, Expect::Version(expect), &next),
+            Op::put(HEAD_KEY, Expect::Version(expect), &next),
             Op::put(self.id_key(), Expect::Absent, &next),
             Op::put(change_key(version), Expect::Absent, &self.row),
         ];
@@ -203,5 +205,5 @@
 }
 
 fn entry_key(key: &str) -> Name {
-    format!("{ENTRY}{key}").into()
+    format!("{ENTRY_PREFIX}{key}").into()
 }
--- a/src/demo/deployment.rs
+++ b/src/demo/deployment.rs
@@ -88,8 +88,8 @@
             generation: 0,
         };
         for index in 0..size.boxes {
-            let running = deployment.start_box(index)?;
-            deployment.boxes.push(running);
+            let running_box = deployment.start_box(index)?;
+            deployment.boxes.push(running_box);
         }
         Ok(deployment)
     }
@@ -98,8 +98,10 @@
         self.generation += 1;
         let settings = box_settings(index, self.halls, self.generation, self.platform)?;
         let stop_flag = StopFlag::default();
-        let (own, off) = (settings.clone(), stop_flag.clone());
-        let thread = spawn_thread("entry", move || block_on(entry::run(own, off))?)?;
+        let (thread_settings, thread_flag) = (settings.clone(), stop_flag.clone());
+        let thread = spawn_thread("entry", move || {
+            block_on(entry::run(thread_settings, thread_flag))?
+        })?;
         Ok(RunningBox {
             settings,
             stop_flag,
@@ -115,7 +117,7 @@
 
     /// Returns the addresses of all boxes for callers.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
-        self.boxes.iter().map(|m| m.settings.web).collect()
+        self.boxes.iter().map(|b| b.settings.web).collect()
     }
 
     /// Returns the address of a box for operators.
@@ -126,8 +128,8 @@
     /// Waits for at most `limit` milliseconds until every box is ready.
     pub async fn wait_ready(&self, limit: u64) -> eyre::Result<()> {
         let end = clock::now() + limit;
-        for running in &self.boxes {
-            wait_until_ready(&running.settings, end).await?;
+        for running_box in &self.boxes {
+            wait_until_ready(&running_box.settings, end).await?;
         }
         Ok(())
     }
@@ -158,12 +160,12 @@
         let reply = channel.call(CALL_TIMEOUT, call).await;
         let version = reply.wrap_err("cannot create the service")?.version;
         let end = clock::now() + CALL_TIMEOUT;
-        for running in &self.boxes {
-            while status(&running.settings).await?.config < version {
+        for running_box in &self.boxes {
+            while status(&running_box.settings).await?.config < version {
                 if clock::now() >= end {
                     return Err(eyre::eyre!(
                         "{} did not apply the configuration in time",
-                        running.settings.name
+                        running_box.settings.name
                     ));
                 }
                 monoio::time::sleep(POLL_INTERVAL).await;
@@ -176,8 +178,8 @@
     pub async fn wait_owner(&self) -> eyre::Result<usize> {
         let end = clock::now() + CALL_TIMEOUT * 4;
         loop {
-            for (index, running) in self.boxes.iter().enumerate() {
-                let channel = Channel::new(running.settings.rpc);
+            for (index, running_box) in self.boxes.iter().enumerate() {
+                let channel = Channel::new(running_box.settings.rpc);
                 let request = proto::ListWorkersRequest { local: true };
                 let call = |c| async move { OperatorClient::new(c).list_workers(request).await };
                 let reply = channel.call(CALL_TIMEOUT, call).await?;
@@ -197,22 +199,22 @@
 
     /// Starts a new box, waits until it is ready, and then begins a planned stop of an old one.
     pub async fn replace(&mut self, index: usize, limit: u64) -> eyre::Result<()> {
-        let fresh = self.start_box(index)?;
-        wait_until_ready(&fresh.settings, clock::now() + limit).await?;
-        let old = std::mem::replace(&mut self.boxes[index], fresh);
-        super::request_stop(&old.stop_flag);
+        let new_box = self.start_box(index)?;
+        wait_until_ready(&new_box.settings, clock::now() + limit).await?;
+        let old_box = std::mem::replace(&mut self.boxes[index], new_box);
+        super::request_stop(&old_box.stop_flag);
         // The thread ends by itself once the requests in progress have ended.
-        drop(old.thread);
+        drop(old_box.thread);
         Ok(())
     }
 
     /// Begins a planned stop of all boxes, and waits for its end.
     pub fn stop(self) {
-        for running in &self.boxes {
-            super::request_stop(&running.stop_flag);
+        for running_box in &self.boxes {
+            super::request_stop(&running_box.stop_flag);
         }
-        for running in self.boxes {
-            let _ = running.thread.join();
+        for running_box in self.boxes {
+            let _ = running_box.thread.join();
         }
     }
 }
--- a/src/engine/config_sync.rs
+++ b/src/engine/config_sync.rs
@@ -24,7 +24,7 @@
             self.polled_at = Some(now.millis);
             self.call_table(
                 Purpose::ReadHead,
-                Call::Read(vec![config::HEAD.into()]),
+                Call::Read(vec![config::HEAD_KEY.into()]),
                 out,
             );
         }
@@ -45,7 +45,7 @@
             return self.read_changes(from, version, out);
         }
         if !self.config.known() || version > self.config.version() + MAX_CHANGES {
-            let call = Call::Scan(config::ENTRY.into());
+            let call = Call::Scan(config::ENTRY_PREFIX.into());
             return self.call_table(Purpose::ReadEntries(version), call, out);
         }
         self.read_changes(self.config.version(), version, out);
@@ -80,7 +80,7 @@
         };
         let mut entries: BTreeMap<Name, EntryRow> = BTreeMap::new();
         for row in rows {
-            let key = row.key.strip_prefix(config::ENTRY);
+            let key = row.key.strip_prefix(config::ENTRY_PREFIX);
             if let Some((key, entry)) = key.zip(decode(row)) {
                 entries.insert(key.into(), entry);
             }
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -126,7 +126,7 @@
 
 /// Returns the reply to a request with invalid headers, which names them and asks for no retry.
 fn invalid_reply(errors: &[request::HeaderError]) -> (Reply, AnswerLabels) {
-    metrics::get().malformed.inc();
+    metrics::get().malformed_messages.inc();
     let mut text = String::from("not run: invalid\n");
     for error in errors {
         text.push_str(&format!("{}: {}\n", error.header, error.problem));
--- a/src/entry/driver.rs
+++ b/src/entry/driver.rs
@@ -307,7 +307,7 @@
             } => {
                 if let Some(pending) = self.pending.get(&ticket) {
                     let request = pending.request.clone();
-                    crate::metrics::get().forwards.inc();
+                    crate::metrics::get().forwarded_requests.inc();
                     let target = peers::ForwardTarget {
                         cell,
                         dedup_shard,
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -31,18 +31,20 @@
     let times = || {
         all.iter()
             .filter(|(mentioned, _)| *mentioned)
-            .map(|(_, m)| m.time)
+            .map(|(_, event)| event.time)
     };
     let (Some(first), Some(last)) = (times().min(), times().max()) else {
         return Vec::new();
     };
-    let within = |m: &LoggedEvent| (first..=last).contains(&m.time) && concerns_every_job(&m.event);
+    let within = |event: &LoggedEvent| {
+        (first..=last).contains(&event.time) && concerns_every_job(&event.event)
+    };
     let mut events: Vec<LoggedEvent> = all
         .into_iter()
-        .filter(|(mentioned, m)| *mentioned || within(m))
-        .map(|(_, m)| m)
+        .filter(|(mentioned, event)| *mentioned || within(event))
+        .map(|(_, event)| event)
         .collect();
-    events.sort_by_key(|m| m.time);
+    events.sort_by_key(|event| event.time);
     events
 }
 
@@ -83,12 +85,12 @@
     }
     let words: Vec<&str> = line.split_ascii_whitespace().collect();
     // A test bench may prepend its own time and the name of the box.
-    let place = words
+    let time_index = words
         .iter()
         .position(|w| w.len() >= 13 && w.parse::<Millis>().is_ok())?;
-    let time = words[place].parse().ok()?;
-    let node = words.get(place + 2)?.to_string();
-    parse_message(time, node, &words.get(place + 4..)?.join(" "))
+    let time = words[time_index].parse().ok()?;
+    let node = words.get(time_index + 2)?.to_string();
+    parse_message(time, node, &words.get(time_index + 4..)?.join(" "))
 }
 
 /// The needed fields of a log line in JSON format.
--- a/src/logs/sink.rs
+++ b/src/logs/sink.rs
@@ -31,9 +31,9 @@
     pending_since: Millis,
     /// Longest time that a line may wait, in milliseconds; 0 without batching.
     batch_delay: Millis,
-    /// Start of the present window, in milliseconds.
+    /// Start of the current window, in milliseconds.
     window_start: Millis,
-    /// Lines in the present window, including dropped ones.
+    /// Lines in the current window, including dropped ones.
     window_lines: u32,
     /// Lines dropped since this was last logged.
     dropped: u64,
@@ -94,7 +94,7 @@
         count == 1 && poll.revents & libc::POLLOUT != 0
     }
 
-    /// Counts a line. Returns false if it is one too many in the present window.
+    /// Counts a line. Returns false if it is one too many in the current window.
     fn is_within_rate(&mut self) -> bool {
         let now = clock::now();
         if now >= self.window_start + WINDOW {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -70,13 +70,13 @@
     /// Time from a caller's request to its answer, in seconds.
     pub request_seconds: Histogram,
     /// Requests forwarded to other boxes.
-    pub forwards: Counter,
+    pub forwarded_requests: Counter,
     /// Rows read from the table that did not decode.
-    pub rows_undecoded: Counter,
+    pub undecoded_rows: Counter,
     /// Messages that were malformed or too large.
-    pub malformed: Counter,
+    pub malformed_messages: Counter,
     /// Cells that this box owns.
-    pub cells: Gauge<i64, AtomicI64>,
+    pub owned_cells: Gauge<i64, AtomicI64>,
     /// Current version of the configuration.
     pub config_version: Gauge<i64, AtomicI64>,
     /// Time from a commit to its reply, in seconds.
@@ -132,7 +132,7 @@
     pub unanswered_calls: Family<ProtocolLabel, Counter>,
     /// Time for which the machine was suspended, in milliseconds.
     pub suspended_time: Counter,
-    /// Longest present breach of a latency target, in milliseconds.
+    /// Longest ongoing breach of a latency target, in milliseconds.
     pub longest_breach: Gauge<i64, AtomicI64>,
     /// Durations of ended breaches of latency targets, in seconds, by image.
     pub breach_seconds: Family<ImageLabel, Histogram>,
@@ -161,7 +161,7 @@
 
 /// Counts a row of the table that did not decode.
 pub fn count_undecoded_row() {
-    METRICS.rows_undecoded.inc();
+    METRICS.undecoded_rows.inc();
 }
 
 /// Counts a call on an open connection that was not answered in time.
@@ -203,10 +203,10 @@
             registry: Registry::default(),
             answers: Family::default(),
             request_seconds: Histogram::new(registration::REQUEST_BUCKETS),
-            forwards: Counter::default(),
-            rows_undecoded: Counter::default(),
-            malformed: Counter::default(),
-            cells: Gauge::default(),
+            forwarded_requests: Counter::default(),
+            undecoded_rows: Counter::default(),
+            malformed_messages: Counter::default(),
+            owned_cells: Gauge::default(),
             config_version: Gauge::default(),
             commit_seconds: Histogram::new(registration::COMMIT_BUCKETS),
             first_start_seconds: Histogram::new(registration::FIRST_START_BUCKETS),
@@ -249,7 +249,7 @@
         };
         registration::register_owner(&mut registry, &metrics);
         registration::register_histograms(&mut registry, &metrics);
-        registration::register_engine(&mut registry, &metrics);
+        registration::register_entry_daemon(&mut registry, &metrics);
         Self {
             registry,
             ..metrics
--- a/src/metrics/registration.rs
+++ b/src/metrics/registration.rs
@@ -97,7 +97,7 @@
     registry.register("tasks_waiting", "Tasks waiting", m.waiting_tasks.clone());
     registry.register(
         "over_target_ms",
-        "Longest present breach",
+        "Longest ongoing breach",
         m.longest_breach.clone(),
     );
     registry.register("jobs", "Jobs held by the owner", m.jobs.clone());
@@ -116,7 +116,7 @@
     registry.register(
         "rows_undecoded",
         "Rows that did not decode",
-        m.rows_undecoded.clone(),
+        m.undecoded_rows.clone(),
     );
 }
 
@@ -165,16 +165,20 @@
 }
 
 /// Registers the metrics that are mostly those of the `entry` daemon.
-pub(super) fn register_engine(registry: &mut Registry, m: &Metrics) {
+pub(super) fn register_entry_daemon(registry: &mut Registry, m: &Metrics) {
     registry.register("table_calls", "Calls to the table", m.table_calls.clone());
     registry.register("answers", "Answers to callers", m.answers.clone());
     registry.register(
         "forwards",
         "Requests forwarded to other boxes",
-        m.forwards.clone(),
+        m.forwarded_requests.clone(),
     );
-    registry.register("malformed", "Malformed messages", m.malformed.clone());
-    registry.register("cells", "Cells owned", m.cells.clone());
+    registry.register(
+        "malformed",
+        "Malformed messages",
+        m.malformed_messages.clone(),
+    );
+    registry.register("cells", "Cells owned", m.owned_cells.clone());
     registry.register(
         "tasks_evicted",
         "Tasks evicted by present owners",
--- a/src/operator/commands.rs
+++ b/src/operator/commands.rs
@@ -17,13 +17,13 @@
 /// Runs an operator's command. Returns the text to print and the exit code.
 pub async fn run(command: &Command) -> (String, u8) {
     let printed = match command {
-        Command::Service { target, action } => service(target, action).await,
-        Command::Job { target, action } => job(target, action).await,
-        Command::Config { target, action } => config(target, action).await,
-        Command::Box { target, action } => boxes(target, action).await,
-        Command::Worker { target, action } => worker(target, action).await,
-        Command::Task { target, action } => task(target, action).await,
-        Command::Status { target } => status(target).await,
+        Command::Service { target, action } => run_service(target, action).await,
+        Command::Job { target, action } => run_job(target, action).await,
+        Command::Config { target, action } => run_config(target, action).await,
+        Command::Box { target, action } => run_box(target, action).await,
+        Command::Worker { target, action } => run_worker(target, action).await,
+        Command::Task { target, action } => run_task(target, action).await,
+        Command::Status { target } => run_status(target).await,
         _ => Err(CallError::NotSent("not an operator's command".into())),
     };
     match printed {
@@ -89,12 +89,12 @@
     }};
 }
 
-fn pretty(value: &Value) -> String {
+fn pretty_json(value: &Value) -> String {
     format!("{value:#}\n")
 }
 
 /// Sends a change of the configuration. Without an id, makes one from the time and the process id.
-async fn change(
+async fn apply_change(
     target: &Target,
     changes: Vec<proto::EntryChange>,
     id: Option<String>,
@@ -109,12 +109,12 @@
     let reply = call!(target, change, request)?;
     let version = reply.version;
     Ok(match target.json {
-        true => pretty(&json!({ "version": version })),
+        true => pretty_json(&json!({ "version": version })),
         false => format!("accepted as version {version}\n"),
     })
 }
 
-fn entry(key: String, value: Option<String>, expect: Option<u64>) -> proto::EntryChange {
+fn entry_change(key: String, value: Option<String>, expect: Option<u64>) -> proto::EntryChange {
     proto::EntryChange {
         key,
         remove: value.is_none(),
@@ -129,27 +129,27 @@
         "cores": spec.cores,
         "memory": spec.memory,
     });
-    entry(
+    entry_change(
         format!("service/{}", spec.name),
         Some(value.to_string()),
         expect,
     )
 }
 
-async fn service(target: &Target, action: &args::Service) -> CommandResult {
+async fn run_service(target: &Target, action: &args::Service) -> CommandResult {
     match action {
         args::Service::Create(spec) => {
-            change(target, vec![service_entry(spec, Some(0))], None).await
+            apply_change(target, vec![service_entry(spec, Some(0))], None).await
         }
         args::Service::Update { spec, expect } => {
             let key = format!("service/{}", spec.name);
             let expect = existing_version(target, &key, *expect).await?;
-            change(target, vec![service_entry(spec, Some(expect))], None).await
+            apply_change(target, vec![service_entry(spec, Some(expect))], None).await
         }
         args::Service::Remove { name, expect } => {
             let key = format!("service/{name}");
             let expect = existing_version(target, &key, *expect).await?;
-            change(target, vec![entry(key, None, Some(expect))], None).await
+            apply_change(target, vec![entry_change(key, None, Some(expect))], None).await
         }
         args::Service::List => list_services(target).await,
     }
@@ -187,16 +187,16 @@
                         "memory": s.memory, "version": version })
             })
             .collect();
-        return Ok(pretty(&json!(list)));
+        return Ok(pretty_json(&json!(list)));
     }
     let mut table = Table::new(&["name", "team", "cores/1000", "memory MiB", "version"]);
     for (name, s, version) in parsed {
-        table.row(&[&name, &s.team, &s.cores, &s.memory, &version]);
+        table.add_row(&[&name, &s.team, &s.cores, &s.memory, &version]);
     }
     Ok(table.to_string())
 }
 
-async fn job(target: &Target, action: &args::Job) -> CommandResult {
+async fn run_job(target: &Target, action: &args::Job) -> CommandResult {
     match action {
         args::Job::Submit {
             team,
@@ -262,7 +262,7 @@
 fn format_jobs(target: &Target, replies: &[proto::JobReply]) -> String {
     if target.json {
         let list: Vec<Value> = replies.iter().map(job_json).collect();
-        return pretty(&json!(list));
+        return pretty_json(&json!(list));
     }
     let mut table = Table::new(&[
         "id",
@@ -277,7 +277,7 @@
     ]);
     for r in replies {
         let spec = r.spec.clone().unwrap_or_default();
-        table.row(&[
+        table.add_row(&[
             &spec.id,
             &spec.team,
             &spec.kind,
@@ -301,7 +301,7 @@
     })
 }
 
-async fn config(target: &Target, action: &args::Config) -> CommandResult {
+async fn run_config(target: &Target, action: &args::Config) -> CommandResult {
     match action {
         args::Config::Apply {
             set,
@@ -315,11 +315,13 @@
                     let reason = format!("--set {text}: not of the form KIND/NAME=JSON");
                     return Err(CallError::Refused(tonic::Code::InvalidArgument, reason));
                 };
-                changes.push(entry(key.into(), Some(value.into()), *expect));
+                changes.push(entry_change(key.into(), Some(value.into()), *expect));
             }
-            let removed = remove.iter().map(|key| entry(key.clone(), None, *expect));
+            let removed = remove
+                .iter()
+                .map(|key| entry_change(key.clone(), None, *expect));
             changes.extend(removed);
-            change(target, changes, id.clone()).await
+            apply_change(target, changes, id.clone()).await
         }
         args::Config::Show => show_config(target).await,
         args::Config::Versions { limit } => list_versions(target, *limit).await,
@@ -335,11 +337,11 @@
             .map(|e| json!({ "key": e.key, "value": e.value, "version": e.version }))
             .collect();
         let value = json!({ "version": shown.version, "entries": entries });
-        return Ok(pretty(&value));
+        return Ok(pretty_json(&value));
     }
     let mut table = Table::new(&["key", "version", "value"]);
     for e in &shown.entries {
-        table.row(&[&e.key, &e.version, &e.value]);
+        table.add_row(&[&e.key, &e.version, &e.value]);
     }
     Ok(format!("version {}\n{table}", shown.version))
 }
@@ -355,17 +357,17 @@
                         "when": v.when, "keys": v.keys })
             })
             .collect();
-        return Ok(pretty(&json!(list)));
+        return Ok(pretty_json(&json!(list)));
     }
     let mut table = Table::new(&["version", "author", "when (unix ms)", "id", "keys"]);
     for v in &reply.versions {
         let keys = v.keys.join(",");
-        table.row(&[&v.version, &v.author, &v.when, &v.id, &keys]);
+        table.add_row(&[&v.version, &v.author, &v.when, &v.id, &keys]);
     }
     Ok(table.to_string())
 }
 
-async fn boxes(target: &Target, action: &args::Boxes) -> CommandResult {
+async fn run_box(target: &Target, action: &args::Boxes) -> CommandResult {
     let args::Boxes::List = action;
     let reply = call!(target, list_boxes, proto::ListBoxesRequest {})?;
     if target.json {
@@ -377,24 +379,24 @@
                         "cells": b.cells, "stopping": b.stopping })
             })
             .collect();
-        return Ok(pretty(&json!(list)));
+        return Ok(pretty_json(&json!(list)));
     }
     let mut table = Table::new(&["id", "rpc", "hall", "cells"]);
     for b in &reply.boxes {
-        table.row(&[&b.id, &b.address, &b.hall, &b.cells]);
+        table.add_row(&[&b.id, &b.address, &b.hall, &b.cells]);
     }
     Ok(table.to_string())
 }
 
-async fn worker(target: &Target, action: &args::Worker) -> CommandResult {
+async fn run_worker(target: &Target, action: &args::Worker) -> CommandResult {
     match action {
         args::Worker::Drain { name } => {
-            let drain = entry(format!("drain/{name}"), Some("true".into()), None);
-            change(target, vec![drain], None).await
+            let drain = entry_change(format!("drain/{name}"), Some("true".into()), None);
+            apply_change(target, vec![drain], None).await
         }
         args::Worker::Restore { name } => {
-            let restore = entry(format!("drain/{name}"), None, None);
-            change(target, vec![restore], None).await
+            let restore = entry_change(format!("drain/{name}"), None, None);
+            apply_change(target, vec![restore], None).await
         }
         args::Worker::List => list_workers(target).await,
     }
@@ -416,7 +418,7 @@
                         "owner": w.owner })
             })
             .collect();
-        return Ok(pretty(
+        return Ok(pretty_json(
             &json!({ "workers": list, "missing": reply.missing }),
         ));
     }
@@ -431,7 +433,7 @@
         "owner",
     ]);
     for w in &reply.workers {
-        table.row(&[
+        table.add_row(&[
             &w.name, &w.cell, &w.state, &w.busy, &w.slots, &w.free, &w.runs, &w.owner,
         ]);
     }
@@ -446,7 +448,7 @@
     }
 }
 
-async fn task(target: &Target, action: &args::Task) -> CommandResult {
+async fn run_task(target: &Target, action: &args::Task) -> CommandResult {
     let args::Task::List { job } = action;
     let request = proto::ListTasksRequest {
         job: job.clone(),
@@ -462,11 +464,13 @@
                         "progress": t.progress, "evictions": t.evictions })
             })
             .collect();
-        return Ok(pretty(&json!({ "tasks": list, "missing": reply.missing })));
+        return Ok(pretty_json(
+            &json!({ "tasks": list, "missing": reply.missing }),
+        ));
     }
     let mut table = Table::new(&["job", "task", "state", "worker", "progress ms", "evictions"]);
     for t in &reply.tasks {
-        table.row(&[
+        table.add_row(&[
             &t.job,
             &t.task,
             &t.state,
@@ -478,23 +482,23 @@
     Ok(format!("{table}{}", missing_note(&reply.missing)))
 }
 
-async fn status(target: &Target) -> CommandResult {
+async fn run_status(target: &Target) -> CommandResult {
     let s = call!(target, status, proto::StatusRequest {})?;
     if target.json {
         let value = json!({ "id": s.id, "hall": s.hall, "ready": s.ready, "config": s.config,
                             "cells": s.cells, "boxes": s.boxes, "lease": s.lease,
                             "store_ms": s.store, "violations": s.violations });
-        return Ok(pretty(&value));
+        return Ok(pretty_json(&value));
     }
     let mut table = Table::new(&["what", "value"]);
-    table.row(&[&"box", &s.id]);
-    table.row(&[&"hall", &s.hall]);
-    table.row(&[&"ready", &s.ready]);
-    table.row(&[&"lease held", &s.lease]);
-    table.row(&[&"cells owned", &s.cells]);
-    table.row(&[&"boxes known", &s.boxes]);
-    table.row(&[&"configuration", &s.config]);
-    table.row(&[&"table answered, ms ago", &s.store]);
-    table.row(&[&"invariants violated", &s.violations]);
+    table.add_row(&[&"box", &s.id]);
+    table.add_row(&[&"hall", &s.hall]);
+    table.add_row(&[&"ready", &s.ready]);
+    table.add_row(&[&"lease held", &s.lease]);
+    table.add_row(&[&"cells owned", &s.cells]);
+    table.add_row(&[&"boxes known", &s.boxes]);
+    table.add_row(&[&"configuration", &s.config]);
+    table.add_row(&[&"table answered, ms ago", &s.store]);
+    table.add_row(&[&"invariants violated", &s.violations]);
     Ok(table.to_string())
 }
--- a/src/operator/print.rs
+++ b/src/operator/print.rs
@@ -15,7 +15,7 @@
     }
 
     /// Adds a row.
-    pub fn row(&mut self, cells: &[&dyn std::fmt::Display]) {
+    pub fn add_row(&mut self, cells: &[&dyn std::fmt::Display]) {
         self.rows
             .push(cells.iter().map(|c| c.to_string()).collect());
     }
--- a/src/utils/drain.rs
+++ b/src/utils/drain.rs
@@ -14,32 +14,32 @@
 #[derive(Clone)]
 pub struct Drain {
     begun: Option<Shared<oneshot::Receiver<()>>>,
-    _hold: Option<mpsc::UnboundedSender<Infallible>>,
+    _guard: Option<mpsc::UnboundedSender<Infallible>>,
 }
 
 /// The side that starts the shutdown of the tasks that hold a [`Drain`].
 pub struct DrainTrigger {
     begin: oneshot::Sender<()>,
-    holds: mpsc::UnboundedReceiver<Infallible>,
+    guards: mpsc::UnboundedReceiver<Infallible>,
 }
 
 impl Drain {
     /// Creates a drain and the trigger that begins it.
     pub fn new() -> (DrainTrigger, Self) {
         let (begin, begun) = oneshot::channel();
-        let (hold, holds) = mpsc::unbounded();
+        let (guard, guards) = mpsc::unbounded();
         let drain = Self {
             begun: Some(begun.shared()),
-            _hold: Some(hold),
+            _guard: Some(guard),
         };
-        (DrainTrigger { begin, holds }, drain)
+        (DrainTrigger { begin, guards }, drain)
     }
 
     /// Creates a drain that never begins, for servers that run until the process ends.
     pub fn never() -> Self {
         Self {
             begun: None,
-            _hold: None,
+            _guard: None,
         }
     }
 
@@ -63,7 +63,7 @@
     /// if that takes more than `limit` milliseconds.
     pub async fn finish(mut self, limit: Millis) -> bool {
         drop(self.begin);
-        let ended = self.holds.next();
+        let ended = self.guards.next();
         timeout(Duration::from_millis(limit), ended).await.is_ok()
     }
 }
--- a/src/utils/listen.rs
+++ b/src/utils/listen.rs
@@ -32,7 +32,7 @@
     loop {
         match TcpListener::bind(address) {
             Err(e) if e.kind() == ErrorKind::AddrInUse && attempt < BIND_ATTEMPTS => {
-                log::warn!(target: "listen", "{address} is in use, try {attempt} of {BIND_ATTEMPTS}");
+                log::warn!(target: "listen", "{address} is in use, attempt {attempt} of {BIND_ATTEMPTS}");
                 std::thread::sleep(BIND_RETRY_DELAY);
                 attempt += 1;
             }
--- a/src/utils/peak.rs
+++ b/src/utils/peak.rs
@@ -9,9 +9,9 @@
 /// The highest value of the last 5 to 10 s, and the highest of all.
 #[derive(Default)]
 pub struct RecentPeak {
-    /// Start of the present window.
+    /// Start of the current window.
     since: Millis,
-    /// Highest value in the present window.
+    /// Highest value in the current window.
     current: u64,
     /// Highest value in the window before.
     previous: u64,
--- a/src/utils/suspension.rs
+++ b/src/utils/suspension.rs
@@ -13,7 +13,7 @@
 }
 
 impl SuspensionDetector {
-    /// Creates a detector that starts with the present offset of the clocks.
+    /// Creates a detector that starts with the current offset of the clocks.
     pub fn new() -> Self {
         Self::from_clocks(clock::now(), clock::monotonic())
     }
--- a/src/utils/tests.rs
+++ b/src/utils/tests.rs
@@ -118,7 +118,7 @@
     stream.write_all(b"?").is_ok() && stream.read_exact(&mut answer).is_ok()
 }
 
-async fn answer(mut stream: monoio::net::TcpStream, _hold: Drain) {
+async fn answer(mut stream: monoio::net::TcpStream, _drain: Drain) {
     let (read, byte) = stream.read(vec![0; 1]).await;
     if read.is_ok_and(|count| count == 1) {
         let _ = stream.write_all(byte).await;
--- a/tools/trial/src/world/load.rs
+++ b/tools/trial/src/world/load.rs
@@ -150,7 +150,9 @@
     /// Lets two operators change the same entry.
     pub fn race(&mut self, fault: Fault) {
         let key: Name = format!("service/s{}", fault.b % 3).into();
-        let rows = self.table.read(&[format!("{}{key}", config::ENTRY).into()]);
+        let rows = self
+            .table
+            .read(&[format!("{}{key}", config::ENTRY_PREFIX).into()]);
         let entry = rows.first().and_then(decode::<config::EntryRow>);
         let expect = entry.map_or(0, |e| e.version);
         for side in 0..2 {
@@ -371,7 +373,7 @@
     }
 
     fn finish_config(&mut self) {
-        let rows = self.table.read(&[config::HEAD.into()]);
+        let rows = self.table.read(&[config::HEAD_KEY.into()]);
         let head = rows
             .first()
             .and_then(decode::<Head>)
