--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -75,7 +75,7 @@
     monoio::spawn(feeds::follow_config(shared.clone()));
     monoio::spawn(owner_task::run(shared.clone(), messages));
     monoio::spawn(follower::run(shared.clone(), checks));
-    let mut suspension = SuspensionDetector::new();
+    let mut suspension = SuspensionDetector::start();
     let mut ready = false;
     while !signals::stop_requested() {
         report_suspension(&mut suspension, &shared);
--- a/src/utils/suspension.rs
+++ b/src/utils/suspension.rs
@@ -14,7 +14,7 @@
 
 impl SuspensionDetector {
     /// Creates a detector that starts with the current offset of the clocks.
-    pub fn new() -> Self {
+    pub fn start() -> Self {
         Self::from_clocks(clock::now(), clock::monotonic())
     }
 
