--- a/tools/trial/src/world.rs
+++ b/tools/trial/src/world.rs
@@ -1,9 +1,9 @@
 //! Boxes, platform and workers of one run, under one clock.
 
-mod boxes;
-mod ends;
+mod actions;
 mod faults;
 mod load;
+mod messages;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -23,9 +23,9 @@
 use crate::counts::Counts;
 use crate::schedule::{BOXES, STEP, Schedule, WORKERS};
 use crate::truth::{Truth, Violation};
-use ends::{Payload, Request};
 use faults::{Cut, Trouble};
 use load::Operation;
+use messages::{Payload, Request};
 
 /// Steps without faults at the end, in which all must become whole.
 const CALM: u64 = 800;
--- a/tools/trial/src/world/boxes.rs
+++ b/tools/trial/src/world/actions.rs
@@ -9,7 +9,7 @@
 use willowpoint::table::{Call as TableCall, Outcome};
 use willowpoint::utils::Name;
 
-use super::ends::{PATIENCE, Payload, Request};
+use super::messages::{PATIENCE, Payload, Request};
 use super::{Asker, End, PORTS, TASK, World};
 
 /// Milliseconds that a greeting may take.
