--- a/tools/soak/src/plan.rs
+++ b/tools/soak/src/plan.rs
@@ -20,7 +20,7 @@
     FreezeBox,
     /// All boxes are killed at once, as by a power failure, then restarted.
     KillAll,
-    /// The connections between the store and one box are cut.
+    /// The connections of one box to the store are blocked.
     CutBox,
     /// The store neither executes nor answers calls.
     StoreSilent,
@@ -30,9 +30,9 @@
     StoreMute,
     /// The store delays each reply.
     StoreSlow,
-    /// The store drops its history of changes.
+    /// The store forgets its history of changes, so feeds must read the tables again.
     StoreForgets,
-    /// Open connections to the store stay open but carry nothing more.
+    /// Open connections to the store are blocked for good; new ones work.
     SilentConnections,
     /// A worker restarts under the same id.
     RestartWorker,
--- a/tools/trial/src/counts.rs
+++ b/tools/trial/src/counts.rs
@@ -1,4 +1,4 @@
-//! What a run did and checked.
+//! Counts of the faults, checks and events of a run.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     pub faults: BTreeMap<Kind, u64>,
     /// Checks made from outside the program, by rule.
     pub checks: BTreeMap<&'static str, u64>,
-    /// Other events worth knowing.
+    /// Other events, by the name under which they are printed.
     pub events: BTreeMap<&'static str, u64>,
 }
 
@@ -29,7 +29,7 @@
 
     /// Counts a check of a rule.
     pub fn check(&mut self, rule: Rule) {
-        *self.checks.entry(word(rule)).or_default() += 1;
+        *self.checks.entry(rule_name(rule)).or_default() += 1;
     }
 
     /// Adds the counts of another run.
@@ -46,8 +46,8 @@
     }
 }
 
-/// Returns the word for a rule.
-pub fn word(rule: Rule) -> &'static str {
+/// Returns the printed name of a rule.
+pub fn rule_name(rule: Rule) -> &'static str {
     match rule {
         Rule::Room => "room",
         Rule::Place => "place",
--- a/tools/trial/src/main.rs
+++ b/tools/trial/src/main.rs
@@ -1,9 +1,9 @@
-//! Long randomised runs of the decisions.
+//! Randomised simulation of several engines, the platform and workers.
 //!
-//! Several engines, a platform and workers are driven through generated
-//! schedules of delays, losses, freezes, crashes and operators' changes. The
-//! engines are the very code of the daemon; only the sockets are replaced. A
-//! run that injected none of a kind of fault, or never checked a rule, fails.
+//! Each run follows a generated schedule of delays, losses, freezes, crashes and operators'
+//! changes in virtual time. The engines are the daemon's own code; only the sockets are replaced.
+//! The program fails if a rule is violated, or if some kind of fault was never injected or some
+//! rule never checked.
 
 mod counts;
 mod schedule;
@@ -24,13 +24,13 @@
 use truth::Violation;
 use willowpoint::invariant::{RULES, panic_on_violation};
 
-/// Drives the decisions of several boxes through random faults.
+/// Simulates several boxes under random faults and checks the rules that they must keep.
 ///
 /// Example: cargo run --release -p willowpoint-trial -- --seeds 10000 --steps 600
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// Number of schedules
+    /// Number of schedules, one for each seed
     #[bpaf(argument("N"), fallback(200), display_fallback)]
     seeds: u64,
     /// First seed
@@ -39,14 +39,14 @@
     /// Steps of 50 ms under faults in each schedule
     #[bpaf(argument("N"), fallback(600), display_fallback)]
     steps: u64,
-    /// Threads
+    /// Number of threads
     #[bpaf(argument("N"), fallback(6), display_fallback)]
     threads: usize,
     /// Shrink the first failing schedule and print it
     shrink: bool,
 }
 
-/// What many runs came to.
+/// Outcome of all runs.
 #[derive(Debug, Default)]
 struct Report {
     counts: Counts,
@@ -62,9 +62,9 @@
     if options.shrink
         && let Some((seed, _)) = report.failed.first()
     {
-        shrink(Schedule::of(*seed, options.steps));
+        shrink(Schedule::from_seed(*seed, options.steps));
     }
-    let missing = missing(&report.counts);
+    let missing = coverage_gaps(&report.counts);
     missing.iter().for_each(|m| println!("FAILED: {m}"));
     match report.failed.is_empty() && missing.is_empty() {
         true => ExitCode::SUCCESS,
@@ -84,7 +84,7 @@
                     if seed >= end {
                         return;
                     }
-                    let (counts, violation) = run_one(&Schedule::of(seed, options.steps));
+                    let (counts, violation) = run_one(&Schedule::from_seed(seed, options.steps));
                     let mut report = report.lock().unwrap_or_else(|e| e.into_inner());
                     report.counts.add(&counts);
                     report.failed.extend(violation.map(|v| (seed, v)));
@@ -97,7 +97,7 @@
     report
 }
 
-/// Runs one schedule; a panic of the program under test is a violation too.
+/// Runs one schedule. A panic of the program under test counts as a violation.
 fn run_one(schedule: &Schedule) -> (Counts, Option<Violation>) {
     let result = std::panic::catch_unwind(|| world::run(schedule));
     result.unwrap_or_else(|panic| {
@@ -132,7 +132,7 @@
     println!("\nchecks made inside the program");
     for rule in RULES {
         let count = willowpoint::invariant::checks(rule);
-        println!("  {:14} {count:>10}", counts::word(rule));
+        println!("  {:14} {count:>10}", counts::rule_name(rule));
     }
     println!("\nevents");
     for (name, count) in &report.counts.events {
@@ -145,8 +145,9 @@
     }
 }
 
-/// Returns what a run of this size should have done and did not.
-fn missing(counts: &Counts) -> Vec<String> {
+/// Returns a message for each kind of fault that was never injected and each rule that was never
+/// checked.
+fn coverage_gaps(counts: &Counts) -> Vec<String> {
     let mut missing = Vec::new();
     for kind in KINDS {
         if !counts.faults.contains_key(&kind) {
@@ -154,7 +155,7 @@
         }
     }
     for rule in RULES {
-        if !counts.checks.contains_key(counts::word(rule)) {
+        if !counts.checks.contains_key(counts::rule_name(rule)) {
             missing.push(format!("rule {rule:?} was never checked"));
         }
         if willowpoint::invariant::checks(rule) == 0 {
@@ -166,6 +167,7 @@
     missing
 }
 
+/// Prints the smallest schedule, derived from a failing one, that still violates a rule.
 fn shrink(mut failing: Schedule) {
     loop {
         let smaller = failing.shrink().find(|s| run_one(s).1.is_some());
--- a/tools/trial/src/schedule.rs
+++ b/tools/trial/src/schedule.rs
@@ -2,23 +2,23 @@
 
 use quickcheck::{Arbitrary, Gen};
 
-/// Boxes of a run.
+/// Number of boxes in a run.
 pub const BOXES: usize = 4;
-/// Workers of a run.
+/// Number of workers in a run.
 pub const WORKERS: usize = 6;
-/// Milliseconds of one step.
+/// Duration of one step in ms.
 pub const STEP: u64 = 50;
-/// Longest fault in steps.
-const LONGEST: u64 = 120;
+/// Longest duration of a fault in steps.
+const MAX_DURATION: u64 = 120;
 
 /// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// A box stands still, and its time goes on.
+    /// A box is paused while its clocks go on.
     Freeze,
-    /// A box dies, and another takes its place and address at once.
+    /// A box crashes and is restarted at the same address at once.
     Kill,
-    /// A box stops as planned, and another takes its place.
+    /// A box performs a planned stop and is then restarted.
     Stop,
     /// Messages from one box to another are lost.
     CutOneWay,
@@ -28,25 +28,25 @@
     CutStore,
     /// A box is cut off from a worker.
     CutWorker,
-    /// What a worker answers to a box is lost.
+    /// Answers of a worker to a box are lost.
     CutAnswers,
-    /// The platform answers nothing.
+    /// The platform does not answer.
     StoreDown,
     /// The platform answers late.
     StoreSlow,
-    /// Commits take effect and their answers are lost.
+    /// Commits take effect, but their answers are lost.
     LoseAnswers,
-    /// Commits take effect long after they were sent.
+    /// Commits reach the platform long after they were sent.
     LateWrites,
-    /// The list of workers is old.
+    /// The platform returns an outdated list of workers.
     Lag,
-    /// All messages take long.
+    /// All messages are delayed.
     SlowLinks,
-    /// A worker stands still, and its time goes on.
+    /// A worker is paused while its clocks go on.
     FreezeWorker,
-    /// A worker leaves, and comes back.
+    /// A worker leaves, or one that left comes back.
     Leave,
-    /// A worker starts again under its name and address, and knows nothing of before.
+    /// A worker restarts under the same name and address and has lost its state.
     RestartWorker,
     /// A worker fails every task.
     FailTasks,
@@ -54,11 +54,11 @@
     CancelWave,
     /// A job is submitted.
     Submit,
-    /// A job is submitted that no worker could ever run.
+    /// A job that no worker could ever run is submitted.
     SubmitNever,
     /// An urgent job is submitted.
     SubmitUrgent,
-    /// Two operators change the same entry.
+    /// Two operators change the same configuration entry.
     Race,
 }
 
@@ -89,37 +89,38 @@
     Kind::Race,
 ];
 
-/// One fault.
+/// A fault of a schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// Step at which it begins.
+    /// Step at which the fault begins.
     pub step: u64,
-    /// What it is.
+    /// Kind of the fault.
     pub kind: Kind,
-    /// Box that is concerned.
+    /// Index of the affected box; for jobs, selects the team.
     pub a: usize,
-    /// Other box or worker that is concerned.
+    /// Number that selects the other affected box or the worker, modulo their count; for jobs,
+    /// selects the kind and the size.
     pub b: usize,
-    /// Steps that it lasts.
+    /// Duration in steps; for jobs, determines the work.
     pub span: u64,
 }
 
-/// A whole run.
+/// The schedule of a run.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// Seed of delays, losses and load.
+    /// Seed of delays, losses and load during the run.
     pub seed: u64,
-    /// Steps under faults.
+    /// Number of steps with faults.
     pub steps: u64,
-    /// True when the workers fence.
+    /// True when the workers reject calls with an older epoch.
     pub fence: bool,
-    /// The faults.
+    /// Faults in no particular order.
     pub faults: Vec<Fault>,
 }
 
 impl Schedule {
-    /// Returns the schedule of a seed.
-    pub fn of(seed: u64, steps: u64) -> Self {
+    /// Generates the schedule of a seed.
+    pub fn from_seed(seed: u64, steps: u64) -> Self {
         let mut source = Gen::from_size_and_seed(steps as usize, seed);
         Self::arbitrary(&mut source)
     }
@@ -128,10 +129,10 @@
 impl Arbitrary for Schedule {
     fn arbitrary(source: &mut Gen) -> Self {
         let steps = source.size() as u64;
-        // From few faults to many at once.
-        let density = [60, 25, 10, 5][usize::arbitrary(source) % 4];
-        let count = steps / density;
-        let faults = (0..count).map(|_| fault(source, steps)).collect();
+        // Steps per fault, from few faults to many at once.
+        let interval = [60, 25, 10, 5][usize::arbitrary(source) % 4];
+        let count = steps / interval;
+        let faults = (0..count).map(|_| random_fault(source, steps)).collect();
         Self {
             seed: u64::arbitrary(source),
             steps,
@@ -155,8 +156,8 @@
     }
 }
 
-fn fault(source: &mut Gen, steps: u64) -> Fault {
-    // Work must be there to be disturbed.
+fn random_fault(source: &mut Gen, steps: u64) -> Fault {
+    // Submits, freezes and kills are more frequent, so that faults meet work in progress.
     let kinds = [
         &KINDS[..],
         &[Kind::Submit, Kind::Submit, Kind::Freeze, Kind::Kill],
@@ -168,6 +169,6 @@
         kind,
         a: usize::arbitrary(source) % BOXES,
         b: usize::arbitrary(source),
-        span: 1 + u64::arbitrary(source) % LONGEST,
+        span: 1 + u64::arbitrary(source) % MAX_DURATION,
     }
 }
--- a/tools/trial/src/world.rs
+++ b/tools/trial/src/world.rs
@@ -1,4 +1,4 @@
-//! Boxes, platform and workers of one run, under one clock.
+//! The simulated world of one run: boxes, platform and workers in virtual time.
 
 mod actions;
 mod faults;
@@ -23,137 +23,146 @@
 use crate::counts::Counts;
 use crate::schedule::{BOXES, STEP, Schedule, WORKERS};
 use crate::truth::{Truth, Violation};
-use faults::{Cut, Trouble};
+use faults::{Cut, Disturbances};
 use load::Operation;
 use messages::{Payload, Request};
 
-/// Steps without faults at the end, in which all must become whole.
-const CALM: u64 = 800;
-/// Wall clock at the start, in milliseconds.
-const EPOCH: u64 = 1_700_000_000_000;
+/// Steps without faults at the end, in which owners, configuration and jobs must recover.
+const RECOVERY_STEPS: u64 = 800;
+/// Wall clock time at the start of a run in ms.
+const START_TIME: u64 = 1_700_000_000_000;
 /// Racks of the workers.
 const RACKS: [&str; 3] = ["h0/r0", "h0/r1", "h1/r0"];
-/// Milliseconds of the task lease.
-const TASK: u64 = 1_500;
+/// Duration of a task's lease in ms.
+const TASK_LEASE: u64 = 1_500;
 
-/// One end of a message.
+/// Sender or receiver of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// A box.
+pub enum Party {
+    /// The box of this index.
     Box(usize),
     /// The platform.
     Store,
-    /// A worker.
+    /// The worker of this index.
     Worker(usize),
 }
 
-/// A process of an entry box.
+/// A process of a box.
 struct Node {
     engine: Engine,
     boot: u64,
-    frozen: u64,
-    /// Start of its steady clock.
+    frozen_until: u64,
+    /// Steady clock at the start of the run in ms.
     offset: u64,
-    /// Thousandths by which its steady clock runs fast.
+    /// Rate error of the steady clock in thousandths; positive when it runs fast.
     drift: i64,
-    /// Milliseconds by which its wall clock is wrong.
+    /// Error of the wall clock in ms.
     skew: i64,
+    /// Number of the last ticket issued.
     tickets: u64,
 }
 
-/// A worker and what disturbs it.
+/// A stand-in worker and its faults.
 struct Host {
     worker: Worker,
-    frozen: u64,
+    frozen_until: u64,
+    /// Error of the wall clock in ms.
     skew: i64,
-    left: Option<u64>,
+    /// Time at which the worker began to leave.
+    left_at: Option<u64>,
 }
 
-/// A call that waits for its reply.
+/// A call whose reply is awaited.
 struct Call {
     node: usize,
     boot: u64,
+    /// Event for the caller when no reply arrives in time.
     lost: Event,
 }
 
-/// A request that waits at a box for its outcome.
-struct Parked {
-    from: Asker,
+/// A request in progress at a box.
+struct PendingRequest {
+    origin: Origin,
     attempt: usize,
+    /// The attempt that an endpoint answered.
     answer: Option<usize>,
 }
 
-/// Who waits for a request's outcome.
+/// Where a request came from and its outcome goes to.
 #[derive(Clone, Copy)]
-pub enum Asker {
+pub enum Origin {
     /// A caller.
     Caller,
     /// Another box.
     Peer {
-        /// Number of its call.
+        /// Number of the peer's call.
         call: u64,
-        /// Number of the request there.
+        /// Ticket of the request at the peer.
         ticket: u64,
     },
 }
 
-/// Something that happens at a time.
+/// A scheduled delivery.
 enum Delivery {
-    /// An event of the box itself.
-    Local {
+    /// An event for a box, dropped if the box has restarted since.
+    Event {
         node: usize,
         boot: u64,
         event: Event,
     },
-    /// A message that needs a reply.
-    Ask {
+    /// A message from a box that expects a reply.
+    Message {
         call: u64,
         from: usize,
-        to: End,
+        to: Party,
         sent: u64,
         payload: Box<Payload>,
     },
-    /// A reply; it may carry the answer to an attempt.
+    /// A reply; `answer` is the receiver's ticket and the attempt that an endpoint answered.
     Reply {
         call: u64,
-        from: End,
+        from: Party,
         event: Event,
         answer: Option<(u64, usize)>,
     },
-    /// The time of a call is over.
+    /// The timeout of a call.
     Timeout(u64),
-    /// An endpoint has run a request.
+    /// An endpoint finishes a request.
     Finish {
         worker: usize,
         epoch: u64,
         request: Request,
         call: u64,
     },
-    /// A caller sends a request once more, or gives up waiting for an attempt.
+    /// A caller sends a request again.
     Resend { request: usize },
-    /// A caller waits no longer.
+    /// A caller stops waiting for an attempt.
     GiveUp { attempt: usize },
-    /// An operator's call comes to the platform.
-    Operate { operation: usize },
+    /// An operator's call reaches the platform.
+    OperatorCall { operation: usize },
 }
 
-/// All of one run.
+/// The state of one run.
 pub struct World {
     schedule: Schedule,
     random: Random,
     now: u64,
+    /// Last number given to a delivery or a call.
     sequence: u64,
+    /// Time and number of the scheduled deliveries, earliest first.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     deliveries: BTreeMap<u64, Delivery>,
     nodes: Vec<Node>,
     hosts: Vec<Host>,
     table: Table,
     cuts: Vec<Cut>,
-    trouble: Trouble,
+    disturbances: Disturbances,
     calls: BTreeMap<u64, Call>,
-    parked: BTreeMap<(usize, u64, u64), Parked>,
+    /// Requests in progress, by box, boot and ticket.
+    pending: BTreeMap<(usize, u64, u64), PendingRequest>,
     operations: Vec<Operation>,
     jobs: Vec<Name>,
+    /// Boot number of the box started last.
     boots: u64,
     truth: Truth,
 }
@@ -161,13 +170,13 @@
 /// Runs a schedule to its end or to the first violation.
 pub fn run(schedule: &Schedule) -> (Counts, Option<Violation>) {
     let mut world = World::new(schedule.clone());
-    world.prepare();
-    for step in 0..schedule.steps + CALM {
+    world.write_config();
+    for step in 0..schedule.steps + RECOVERY_STEPS {
         if step < schedule.steps {
-            world.inject(step);
-            world.callers();
+            world.begin_faults(step);
+            world.issue_request();
         } else if step == schedule.steps {
-            world.heal();
+            world.end_faults();
         }
         world.step();
         if world.truth.violation.is_some() {
@@ -175,7 +184,7 @@
         }
     }
     if world.truth.violation.is_none() {
-        world.finish();
+        world.check_final_state();
     }
     (world.truth.counts, world.truth.violation)
 }
@@ -184,10 +193,10 @@
     SocketAddr::from(([127, 0, 0, 1], base + index as u16))
 }
 
-/// First ports of boxes, endpoints and controls.
+/// First ports of boxes, of workers' endpoints and of workers' RPC listeners.
 const PORTS: (u16, u16, u16) = (1_000, 2_000, 3_000);
 
-fn place(index: usize, leaving: bool) -> ListedWorker {
+fn listed_worker(index: usize, leaving: bool) -> ListedWorker {
     ListedWorker {
         name: format!("w{index}").into(),
         cell: RACKS[index % RACKS.len()].into(),
@@ -197,7 +206,7 @@
     }
 }
 
-fn setup(index: usize, boot: u64) -> EngineSettings {
+fn engine_settings(index: usize, boot: u64) -> EngineSettings {
     EngineSettings {
         name: format!("b{index}").into(),
         boot,
@@ -214,7 +223,7 @@
             poll: 250,
             worker_poll: 200,
             journal: 100,
-            task_lease: TASK,
+            task_lease: TASK_LEASE,
             stop_timeout: 8_000,
         },
         policy: Policy {
@@ -242,32 +251,33 @@
             hosts: Vec::new(),
             table: Table::default(),
             cuts: Vec::new(),
-            trouble: Trouble::default(),
+            disturbances: Disturbances::default(),
             calls: BTreeMap::new(),
-            parked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             operations: Vec::new(),
             jobs: Vec::new(),
             boots: 0,
             truth: Truth::default(),
         };
         for index in 0..BOXES {
-            let node = world.boot(index);
+            let node = world.new_node(index);
             world.nodes.push(node);
         }
         for _ in 0..WORKERS {
-            let host = world.host();
+            let host = world.new_host();
             world.hosts.push(host);
         }
         world
     }
 
-    fn boot(&mut self, index: usize) -> Node {
-        // A box that starts again within its process counts on from here.
+    fn new_node(&mut self, index: usize) -> Node {
+        // Leaves numbers between two boots: an engine that rejoins within its process increments
+        // its own.
         self.boots += 100;
         Node {
-            engine: Engine::new(setup(index, self.boots)),
+            engine: Engine::new(engine_settings(index, self.boots)),
             boot: self.boots,
-            frozen: 0,
+            frozen_until: 0,
             offset: 10_000 + self.random.below(1_000_000),
             drift: self.random.below(5) as i64 - 2,
             skew: self.random.below(401) as i64 - 200,
@@ -275,7 +285,7 @@
         }
     }
 
-    fn host(&mut self) -> Host {
+    fn new_host(&mut self) -> Host {
         let mut worker = Worker::new(Shape {
             slots: 3,
             connections: 64,
@@ -286,13 +296,13 @@
         worker.faults.fencing = self.schedule.fence;
         Host {
             worker,
-            frozen: 0,
+            frozen_until: 0,
             skew: self.random.below(201) as i64 - 100,
-            left: None,
+            left_at: None,
         }
     }
 
-    /// Returns the clocks of a box.
+    /// Returns the time by the clocks of a box.
     fn clock(&self, node: usize) -> Now {
         let Node {
             offset,
@@ -300,17 +310,17 @@
             skew,
             ..
         } = self.nodes[node];
-        let ran = self.now as i64 + self.now as i64 * drift / 1_000;
-        let millis = offset + ran as u64;
+        let elapsed = self.now as i64 + self.now as i64 * drift / 1_000;
+        let millis = offset + elapsed as u64;
         Now {
             millis,
             micros: millis * 1_000,
-            wall: (EPOCH + self.now).saturating_add_signed(skew),
+            wall: (START_TIME + self.now).saturating_add_signed(skew),
         }
     }
 
-    fn wall_of(&self, worker: usize) -> u64 {
-        (EPOCH + self.now).saturating_add_signed(self.hosts[worker].skew)
+    fn worker_wall(&self, worker: usize) -> u64 {
+        (START_TIME + self.now).saturating_add_signed(self.hosts[worker].skew)
     }
 
     fn push(&mut self, at: u64, delivery: Delivery) {
@@ -319,7 +329,7 @@
         self.deliveries.insert(self.sequence, delivery);
     }
 
-    /// Lets one step of time pass.
+    /// Advances time by one step: delivers what is due, ticks the boxes and checks the rules.
     fn step(&mut self) {
         let end = self.now + STEP;
         while let Some(Reverse((at, sequence))) = self.queue.peek().copied() {
@@ -339,32 +349,32 @@
         self.now = end;
         self.truth.now = end;
         for node in 0..BOXES {
-            if self.nodes[node].frozen <= self.now {
-                self.feed(node, Event::Tick);
+            if self.nodes[node].frozen_until <= self.now {
+                self.handle_event(node, Event::Tick);
             }
         }
-        self.watch();
+        self.check_rules();
     }
 
     fn deliver(&mut self, delivery: Delivery) {
         match delivery {
-            Delivery::Local { node, boot, event } => self.local(node, boot, event),
-            Delivery::Ask {
+            Delivery::Event { node, boot, event } => self.deliver_event(node, boot, event),
+            Delivery::Message {
                 call,
                 from,
                 to,
                 sent,
                 payload,
-            } => self.arrive(call, from, to, sent, payload),
+            } => self.deliver_message(call, from, to, sent, payload),
             Delivery::Reply {
                 call,
                 from,
                 event,
                 answer,
-            } => self.reply_arrives(call, from, event, answer),
+            } => self.deliver_reply(call, from, event, answer),
             Delivery::Timeout(call) => {
                 if let Some(call) = self.calls.remove(&call) {
-                    self.local(call.node, call.boot, call.lost);
+                    self.deliver_event(call.node, call.boot, call.lost);
                 }
             }
             Delivery::Finish {
@@ -375,47 +385,53 @@
             } => self.finish_request(worker, epoch, request, call),
             Delivery::Resend { request } => self.send_request(request),
             Delivery::GiveUp { attempt } => self.give_up(attempt),
-            Delivery::Operate { operation } => self.operate(operation),
+            Delivery::OperatorCall { operation } => self.execute_operator_call(operation),
         }
     }
 
-    /// Brings an event to a box, later when it is frozen.
-    fn local(&mut self, node: usize, boot: u64, event: Event) {
+    /// Delivers an event to a box, after the freeze if the box is frozen.
+    fn deliver_event(&mut self, node: usize, boot: u64, event: Event) {
         let Node {
-            boot: present,
-            frozen,
+            boot: current,
+            frozen_until,
             ..
         } = self.nodes[node];
-        if boot != present {
+        if boot != current {
             return;
         }
-        match frozen > self.now {
-            true => self.push(frozen, Delivery::Local { node, boot, event }),
-            false => self.feed(node, event),
+        match frozen_until > self.now {
+            true => self.push(frozen_until, Delivery::Event { node, boot, event }),
+            false => self.handle_event(node, event),
         }
     }
 
-    fn reply_arrives(&mut self, call: u64, from: End, event: Event, answer: Option<(u64, usize)>) {
+    fn deliver_reply(
+        &mut self,
+        call: u64,
+        from: Party,
+        event: Event,
+        answer: Option<(u64, usize)>,
+    ) {
         let Some(node) = self.calls.get(&call).map(|c| c.node) else {
             return;
         };
-        if self.is_cut(from, End::Box(node)) {
+        if self.is_cut(from, Party::Box(node)) {
             return;
         }
-        let Some(waiting) = self.calls.remove(&call) else {
+        let Some(awaited) = self.calls.remove(&call) else {
             return;
         };
         if let Some((ticket, attempt)) = answer
-            && let Some(parked) = self.parked.get_mut(&(node, waiting.boot, ticket))
+            && let Some(pending) = self.pending.get_mut(&(node, awaited.boot, ticket))
         {
-            parked.answer = Some(attempt);
+            pending.answer = Some(attempt);
         }
-        self.local(node, waiting.boot, event);
+        self.deliver_event(node, awaited.boot, event);
     }
 
-    /// Checks what must hold at any time.
-    fn watch(&mut self) {
-        self.watch_owners();
+    /// Checks the rules that must hold at any time.
+    fn check_rules(&mut self) {
+        self.check_owners();
         for index in 0..BOXES {
             let engine = &self.nodes[index].engine;
             let (id, version) = (engine.id().clone(), engine.config_version());
@@ -427,17 +443,21 @@
         for index in 0..WORKERS {
             let overloads = self.hosts[index].worker.counts.capacity_refusals;
             self.truth.check(overloads == 0, Rule::Room, || {
-                format!("w{index} was given more than its room")
+                format!("w{index} was given more work than its capacity")
             });
         }
     }
 
-    fn watch_owners(&mut self) {
+    fn check_owners(&mut self) {
         let mut owners: BTreeMap<Name, Vec<Name>> = BTreeMap::new();
         for node in 0..BOXES {
             let now = self.clock(node).millis;
-            let Node { engine, frozen, .. } = &self.nodes[node];
-            if *frozen > self.now || !engine.may_act(now) {
+            let Node {
+                engine,
+                frozen_until,
+                ..
+            } = &self.nodes[node];
+            if *frozen_until > self.now || !engine.may_act(now) {
                 continue;
             }
             if engine.acts_on_promises(now) {
--- a/tools/trial/src/world/actions.rs
+++ b/tools/trial/src/world/actions.rs
@@ -1,4 +1,4 @@
-//! What the engines ask for, carried out as the daemon's tasks do.
+//! Executes the actions of the engines in the way of the daemon's tasks.
 
 use std::net::SocketAddr;
 
@@ -9,24 +9,24 @@
 use willowpoint::table::{Call as TableCall, Outcome};
 use willowpoint::utils::Name;
 
-use super::messages::{PATIENCE, Payload, Request};
-use super::{Asker, End, PORTS, TASK, World};
+use super::messages::{CALL_TIMEOUT, Payload, Request};
+use super::{Origin, PORTS, Party, TASK_LEASE, World};
 
-/// Milliseconds that a greeting may take.
-const GREETING: u64 = 200;
+/// Timeout of a greeting in ms.
+const GREETING_TIMEOUT: u64 = 200;
 
 impl World {
-    /// Brings an event to a box and carries out what it asks for.
-    pub fn feed(&mut self, node: usize, event: Event) {
+    /// Passes an event to the engine of a box and executes the resulting actions.
+    pub fn handle_event(&mut self, node: usize, event: Event) {
         let now = self.clock(node);
         let actions = self.nodes[node].engine.step(now, event);
         for action in actions {
-            self.carry_out(node, action);
+            self.execute(node, action);
         }
     }
 
-    /// Carries out one action of a box.
-    pub fn carry_out(&mut self, node: usize, action: Action) {
+    /// Executes an action of a box.
+    pub fn execute(&mut self, node: usize, action: Action) {
         match action {
             Action::Send {
                 ticket,
@@ -34,7 +34,7 @@
                 http,
                 time_left,
                 ..
-            } => self.send(node, ticket, epoch, http, time_left),
+            } => self.send_request_to_worker(node, ticket, epoch, http, time_left),
             Action::Forward {
                 ticket,
                 to,
@@ -44,7 +44,7 @@
                 epoch,
             } => {
                 let retries = meta.retries;
-                let unsent = |reason| Event::ForwardEnded {
+                let not_sent = |reason| Event::ForwardEnded {
                     ticket,
                     outcome: ForwardOutcome::NotRun {
                         reason,
@@ -53,10 +53,10 @@
                     },
                 };
                 let admitted = dedup_shard.is_some() && cell.is_some();
-                if admitted && !self.acts(node) {
-                    return self.feed(node, unsent(Reason::Lapsed));
+                if admitted && !self.may_act(node) {
+                    return self.handle_event(node, not_sent(Reason::Lapsed));
                 }
-                let Some(attempt) = self.attempt(node, ticket) else {
+                let Some(attempt) = self.attempt_of(node, ticket) else {
                     return;
                 };
                 let lost = Event::ForwardEnded {
@@ -71,29 +71,29 @@
                     epoch,
                     request: Request { ticket, attempt },
                 };
-                let unsent = unsent(Reason::Unreachable);
-                self.ask(
+                let not_sent = not_sent(Reason::Unreachable);
+                self.send_message(
                     node,
-                    End::Box(index(to, PORTS.0)),
+                    Party::Box(index_of(to, PORTS.0)),
                     limit,
                     payload,
                     lost,
-                    unsent,
+                    not_sent,
                 );
             }
             Action::Finish {
                 ticket,
                 verdict,
                 retries,
-            } => self.conclude(node, ticket, verdict, retries),
-            Action::CallTable { op, call } => self.call_store(node, op, call),
+            } => self.report_outcome(node, ticket, verdict, retries),
+            Action::CallTable { op, call } => self.call_table(node, op, call),
             Action::ListWorkers => {
                 let event = Event::WorkersListed(None);
-                self.ask(
+                self.send_message(
                     node,
-                    End::Store,
-                    PATIENCE,
-                    Payload::List,
+                    Party::Store,
+                    CALL_TIMEOUT,
+                    Payload::ListWorkers,
                     event.clone(),
                     event,
                 );
@@ -109,16 +109,23 @@
                     sent: greeting.sent,
                     reply: None,
                 };
-                let end = End::Box(index(rpc, PORTS.0));
+                let party = Party::Box(index_of(rpc, PORTS.0));
                 let payload = Payload::Greet { to, greeting };
-                self.ask(node, end, GREETING, payload, event.clone(), event);
+                self.send_message(node, party, GREETING_TIMEOUT, payload, event.clone(), event);
             }
             Action::FetchSnapshot(rpc) => {
                 let event = Event::SnapshotEnded(None);
-                let end = End::Box(index(rpc, PORTS.0));
-                self.ask(node, end, PATIENCE, Payload::Snapshot, event.clone(), event);
+                let party = Party::Box(index_of(rpc, PORTS.0));
+                self.send_message(
+                    node,
+                    party,
+                    CALL_TIMEOUT,
+                    Payload::Snapshot,
+                    event.clone(),
+                    event,
+                );
             }
-            Action::Exit { .. } => self.exit(node),
+            Action::Exit { .. } => self.finish_stop(node),
             Action::AnswerGreeting { .. }
             | Action::Hint { .. }
             | Action::AnswerQuery { .. }
@@ -126,28 +133,36 @@
         }
     }
 
-    fn acts(&self, node: usize) -> bool {
+    fn may_act(&self, node: usize) -> bool {
         let now = self.clock(node).millis;
         self.nodes[node].engine.may_act(now)
     }
 
-    fn attempt(&self, node: usize, ticket: u64) -> Option<usize> {
+    /// Returns the attempt that a ticket of a box belongs to.
+    fn attempt_of(&self, node: usize, ticket: u64) -> Option<usize> {
         let key = (node, self.nodes[node].boot, ticket);
-        self.parked.get(&key).map(|p| p.attempt)
+        self.pending.get(&key).map(|p| p.attempt)
     }
 
-    fn send(&mut self, node: usize, ticket: u64, epoch: u64, http: SocketAddr, time_left: u64) {
+    fn send_request_to_worker(
+        &mut self,
+        node: usize,
+        ticket: u64,
+        epoch: u64,
+        http: SocketAddr,
+        time_left: u64,
+    ) {
         let event = |outcome| Event::SendEnded { ticket, outcome };
-        if !self.acts(node) {
-            return self.feed(node, event(SendOutcome::LeaseLapsed));
+        if !self.may_act(node) {
+            return self.handle_event(node, event(SendOutcome::LeaseLapsed));
         }
-        let Some(attempt) = self.attempt(node, ticket) else {
+        let Some(attempt) = self.attempt_of(node, ticket) else {
             return;
         };
         let now = self.clock(node);
         let until = self.nodes[node].engine.send_until();
         let wait = time_left.min(until.saturating_sub(now.millis));
-        let payload = Payload::Begin {
+        let payload = Payload::EndpointRequest {
             epoch,
             not_after: now.wall + wait,
             request: Request { ticket, attempt },
@@ -156,10 +171,10 @@
         let lost = event(SendOutcome::Unknown {
             until: now.millis + time_left * 2,
         });
-        let end = End::Worker(index(http, PORTS.1));
-        self.ask(
+        let party = Party::Worker(index_of(http, PORTS.1));
+        self.send_message(
             node,
-            end,
+            party,
             time_left.max(1),
             payload,
             lost,
@@ -167,23 +182,23 @@
         );
     }
 
-    fn call_store(&mut self, node: usize, op: u64, call: TableCall) {
+    fn call_table(&mut self, node: usize, op: u64, call: TableCall) {
         let sent = self.clock(node).millis;
         let event = |outcome| Event::TableCallEnded { op, sent, outcome };
-        let (lost, unsent) = match call {
+        let (lost, not_sent) = match call {
             TableCall::Commit(_) => (
                 event(Outcome::Written(WriteOutcome::Unknown)),
                 event(Outcome::Written(WriteOutcome::NotSent)),
             ),
             _ => (event(Outcome::Failed), event(Outcome::Failed)),
         };
-        let payload = Payload::Store { op, sent, call };
-        self.ask(node, End::Store, PATIENCE, payload, lost, unsent);
+        let payload = Payload::TableCall { op, sent, call };
+        self.send_message(node, Party::Store, CALL_TIMEOUT, payload, lost, not_sent);
     }
 
     fn call_worker(&mut self, node: usize, cell: Name, epoch: u64, action: CellAction) {
         let now = self.clock(node);
-        let (worker, lost, unsent) = match &action {
+        let (worker, lost, not_sent) = match &action {
             CellAction::Poll {
                 worker,
                 round,
@@ -236,32 +251,41 @@
             worker: worker.clone(),
             outcome,
         };
-        let (lost, unsent) = (event(lost), event(unsent));
-        if !self.acts(node) {
-            return self.feed(node, unsent);
+        let (lost, not_sent) = (event(lost), event(not_sent));
+        if !self.may_act(node) {
+            return self.handle_event(node, not_sent);
         }
         let number: usize = worker.trim_start_matches('w').parse().unwrap_or(0);
         let until = self.nodes[node].engine.send_until();
-        let payload = Payload::Worker {
+        let payload = Payload::WorkerCall {
             cell,
             epoch,
-            not_after: now.wall + until.saturating_sub(now.millis).min(TASK),
+            not_after: now.wall + until.saturating_sub(now.millis).min(TASK_LEASE),
             sent: now.millis,
             action,
         };
-        self.ask(node, End::Worker(number), PATIENCE, payload, lost, unsent);
+        self.send_message(
+            node,
+            Party::Worker(number),
+            CALL_TIMEOUT,
+            payload,
+            lost,
+            not_sent,
+        );
     }
 
-    fn conclude(&mut self, node: usize, ticket: u64, verdict: Verdict, retries: u32) {
+    /// Reports the outcome of a request to the caller or the peer that it came from.
+    fn report_outcome(&mut self, node: usize, ticket: u64, verdict: Verdict, retries: u32) {
         let key = (node, self.nodes[node].boot, ticket);
-        let Some(parked) = self.parked.remove(&key) else {
-            self.truth
-                .check(false, Rule::Answer, || format!("{ticket} has two outcomes"));
+        let Some(pending) = self.pending.remove(&key) else {
+            self.truth.check(false, Rule::Answer, || {
+                format!("ticket {ticket} has two outcomes")
+            });
             return;
         };
-        match parked.from {
-            Asker::Caller => self.tell_caller(parked.attempt, verdict, parked.answer),
-            Asker::Peer { call, ticket } => {
+        match pending.origin {
+            Origin::Caller => self.answer_caller(pending.attempt, verdict, pending.answer),
+            Origin::Peer { call, ticket } => {
                 let outcome = match verdict {
                     Verdict::Answer => ForwardOutcome::Answered,
                     Verdict::NotRun {
@@ -274,34 +298,35 @@
                     },
                     Verdict::Unknown { .. } => ForwardOutcome::Unknown,
                 };
-                self.tell_peer(node, call, ticket, outcome, parked.answer);
+                self.reply_to_peer(node, call, ticket, outcome, pending.answer);
             }
         }
     }
 
-    /// Ends a planned stop: nothing may be in progress, or it took too long.
-    fn exit(&mut self, node: usize) {
+    /// Ends a planned stop and counts whether it completed or timed out with requests in progress.
+    fn finish_stop(&mut self, node: usize) {
         let boot = self.nodes[node].boot;
-        let waiting = self
-            .parked
+        let in_progress = self
+            .pending
             .keys()
             .filter(|k| (k.0, k.1) == (node, boot))
             .count();
-        match waiting {
+        match in_progress {
             0 => self.truth.counts.event("planned stops completed"),
             _ => self.truth.counts.event("planned stops cut short"),
         }
-        self.replace(node);
+        self.restart_node(node);
     }
 
-    /// Puts a new process in the place of a box.
-    pub fn replace(&mut self, node: usize) {
+    /// Replaces the process of a box by a new one.
+    pub fn restart_node(&mut self, node: usize) {
         let boot = self.nodes[node].boot;
-        self.parked.retain(|k, _| (k.0, k.1) != (node, boot));
-        self.nodes[node] = self.boot(node);
+        self.pending.retain(|k, _| (k.0, k.1) != (node, boot));
+        self.nodes[node] = self.new_node(node);
     }
 }
 
-fn index(address: SocketAddr, base: u16) -> usize {
+/// Returns the index of the box or worker at an address.
+fn index_of(address: SocketAddr, base: u16) -> usize {
     usize::from(address.port() - base)
 }
--- a/tools/trial/src/world/faults.rs
+++ b/tools/trial/src/world/faults.rs
@@ -1,44 +1,44 @@
-//! Faults and what they do to messages.
+//! Injects faults and applies them to messages.
 
 use willowpoint::cell::ListedWorker;
 use willowpoint::engine::Event;
 use willowpoint::standin::worker::state::Worker;
 
-use super::{End, World, place};
+use super::{Party, World, listed_worker};
 use crate::schedule::{BOXES, Fault, Kind, STEP, WORKERS};
 
-/// Longest delay of a message on slow links, within the leases' margin.
-const SLOW: u64 = 250;
+/// Largest extra delay on slow links in ms; below the margin of the leases.
+const MAX_SLOW_DELAY: u64 = 250;
 
-/// Messages from one end to another are lost until a time.
+/// Loss of all messages in one direction until a time.
 pub struct Cut {
-    from: End,
-    to: End,
+    from: Party,
+    to: Party,
     until: u64,
 }
 
-/// Until when the platform and the links are disturbed.
+/// End times of the disturbances of the platform and the links.
 #[derive(Default)]
-pub struct Trouble {
-    /// The platform answers nothing.
+pub struct Disturbances {
+    /// The platform does not answer.
     pub store_down: u64,
     /// The platform answers late.
     pub store_slow: u64,
     /// Answers to commits are lost.
-    pub lose: u64,
-    /// Commits come late.
-    pub late: u64,
-    /// The list of workers is old.
-    pub lag: u64,
-    /// The list as it was when it began to lag.
-    pub old: Vec<ListedWorker>,
-    /// Links are slow.
-    pub links: u64,
+    pub lost_answers: u64,
+    /// Messages to and from the platform, commits among them, may be delayed by seconds.
+    pub late_writes: u64,
+    /// The platform returns `old_list` as the list of workers.
+    pub stale_list: u64,
+    /// List of workers at the time when it became stale.
+    pub old_list: Vec<ListedWorker>,
+    /// All messages are delayed.
+    pub slow_links: u64,
 }
 
 impl World {
     /// Begins the faults of a step.
-    pub fn inject(&mut self, step: u64) {
+    pub fn begin_faults(&mut self, step: u64) {
         let due: Vec<Fault> = self
             .schedule
             .faults
@@ -53,61 +53,61 @@
         }
     }
 
-    /// Begins a fault; false when it does not apply now.
+    /// Begins a fault; returns false when the fault is not possible now.
     fn begin_fault(&mut self, fault: Fault) -> bool {
         let until = self.now + fault.span * STEP;
         let (a, other, worker) = (fault.a, fault.b % BOXES, fault.b % WORKERS);
         match fault.kind {
-            Kind::Freeze => self.nodes[a].frozen = self.nodes[a].frozen.max(until),
-            Kind::Kill => self.replace(a),
-            Kind::Stop => self.local(a, self.nodes[a].boot, Event::Stop),
-            Kind::CutOneWay => self.cut(End::Box(a), End::Box(other), until),
+            Kind::Freeze => self.nodes[a].frozen_until = self.nodes[a].frozen_until.max(until),
+            Kind::Kill => self.restart_node(a),
+            Kind::Stop => self.deliver_event(a, self.nodes[a].boot, Event::Stop),
+            Kind::CutOneWay => self.cut(Party::Box(a), Party::Box(other), until),
             Kind::CutBoth => {
-                self.cut(End::Box(a), End::Box(other), until);
-                self.cut(End::Box(other), End::Box(a), until);
+                self.cut(Party::Box(a), Party::Box(other), until);
+                self.cut(Party::Box(other), Party::Box(a), until);
             }
             Kind::CutStore => {
-                self.cut(End::Box(a), End::Store, until);
-                self.cut(End::Store, End::Box(a), until);
+                self.cut(Party::Box(a), Party::Store, until);
+                self.cut(Party::Store, Party::Box(a), until);
             }
             Kind::CutWorker => {
-                self.cut(End::Box(a), End::Worker(worker), until);
-                self.cut(End::Worker(worker), End::Box(a), until);
+                self.cut(Party::Box(a), Party::Worker(worker), until);
+                self.cut(Party::Worker(worker), Party::Box(a), until);
             }
-            Kind::CutAnswers => self.cut(End::Worker(worker), End::Box(a), until),
-            Kind::StoreDown => self.trouble.store_down = until,
-            Kind::StoreSlow => self.trouble.store_slow = until,
-            Kind::LoseAnswers => self.trouble.lose = until,
-            Kind::LateWrites => self.trouble.late = until,
+            Kind::CutAnswers => self.cut(Party::Worker(worker), Party::Box(a), until),
+            Kind::StoreDown => self.disturbances.store_down = until,
+            Kind::StoreSlow => self.disturbances.store_slow = until,
+            Kind::LoseAnswers => self.disturbances.lost_answers = until,
+            Kind::LateWrites => self.disturbances.late_writes = until,
             Kind::Lag => {
-                self.trouble.old = self.places();
-                self.trouble.lag = until;
+                self.disturbances.old_list = self.listed_workers();
+                self.disturbances.stale_list = until;
             }
-            Kind::SlowLinks => self.trouble.links = until,
+            Kind::SlowLinks => self.disturbances.slow_links = until,
             Kind::FreezeWorker => {
                 let host = &mut self.hosts[worker];
-                host.frozen = host.frozen.max(until);
+                host.frozen_until = host.frozen_until.max(until);
             }
-            Kind::Leave => return self.leave(worker, fault.span),
+            Kind::Leave => return self.set_leaving(worker, fault.span),
             Kind::RestartWorker => self.restart_worker(worker),
             Kind::FailTasks => {
                 self.hosts[worker].worker.faults.fail_runs = !fault.span.is_multiple_of(4)
             }
-            Kind::CancelWave => return self.cancel_all(),
-            Kind::Submit => return self.submit(fault, false),
-            Kind::SubmitUrgent => return self.submit(fault, true),
-            Kind::SubmitNever => return self.submit_never(),
-            Kind::Race => self.race(fault),
+            Kind::CancelWave => return self.cancel_all_jobs(),
+            Kind::Submit => return self.submit_job(fault, false),
+            Kind::SubmitUrgent => return self.submit_job(fault, true),
+            Kind::SubmitNever => return self.submit_oversized_job(),
+            Kind::Race => self.begin_race(fault),
         }
         true
     }
 
-    fn leave(&mut self, worker: usize, span: u64) -> bool {
+    fn set_leaving(&mut self, worker: usize, span: u64) -> bool {
         let host = &mut self.hosts[worker];
-        // Every third time it comes back.
-        let back = span.is_multiple_of(3);
-        host.left = (!back).then_some(self.now);
-        host.worker.leaving = !back;
+        // About every third time the worker comes back.
+        let returns = span.is_multiple_of(3);
+        host.left_at = (!returns).then_some(self.now);
+        host.worker.leaving = !returns;
         true
     }
 
@@ -119,35 +119,36 @@
         host.worker = next;
     }
 
-    fn cut(&mut self, from: End, to: End, until: u64) {
+    fn cut(&mut self, from: Party, to: Party, until: u64) {
         self.cuts.push(Cut { from, to, until });
     }
 
-    /// Returns true when messages from one end to another are lost now.
-    pub fn is_cut(&self, from: End, to: End) -> bool {
+    /// Returns true when messages from one party to another are lost now.
+    pub fn is_cut(&self, from: Party, to: Party) -> bool {
         let now = self.now;
-        let hits = |c: &Cut| c.until > now && c.from == from && c.to == to;
-        self.cuts.iter().any(hits)
+        let matches = |c: &Cut| c.until > now && c.from == from && c.to == to;
+        self.cuts.iter().any(matches)
     }
 
-    /// Returns the delay of a message to or from an end.
-    pub fn delay(&mut self, end: End) -> u64 {
+    /// Returns a random delay in ms for a message to or from a party.
+    pub fn delay(&mut self, party: Party) -> u64 {
         let mut delay = 1 + self.random.below(8);
-        if self.trouble.links > self.now {
-            delay += self.random.below(SLOW);
+        if self.disturbances.slow_links > self.now {
+            delay += self.random.below(MAX_SLOW_DELAY);
         }
-        match end {
-            End::Store => {
-                if self.trouble.store_slow > self.now {
+        match party {
+            Party::Store => {
+                if self.disturbances.store_slow > self.now {
                     delay += self.random.below(600);
                 }
-                if self.trouble.late > self.now && self.random.chance(0.3) {
+                if self.disturbances.late_writes > self.now && self.random.chance(0.3) {
                     self.truth.counts.event("late messages of the platform");
                     delay += 500 + self.random.below(3_000);
                 }
             }
-            // Only workers that fence stand a send that comes later than the margin.
-            End::Worker(_) if self.schedule.fence && self.random.chance(0.01) => {
+            // A call that arrives later than the margin is safe only at workers that reject older
+            // epochs.
+            Party::Worker(_) if self.schedule.fence && self.random.chance(0.01) => {
                 self.truth.counts.event("late messages of workers");
                 delay += self.random.below(4_000);
             }
@@ -156,21 +157,21 @@
         delay
     }
 
-    /// Returns the list of workers as the platform tells it now.
-    pub fn places(&self) -> Vec<ListedWorker> {
-        if self.trouble.lag > self.now {
-            return self.trouble.old.clone();
+    /// Returns the list of workers as the platform returns it now.
+    pub fn listed_workers(&self) -> Vec<ListedWorker> {
+        if self.disturbances.stale_list > self.now {
+            return self.disturbances.old_list.clone();
         }
-        let left = |i: usize| self.hosts[i].left.is_some();
-        (0..WORKERS).map(|i| place(i, left(i))).collect()
+        let leaving = |i: usize| self.hosts[i].left_at.is_some();
+        (0..WORKERS).map(|i| listed_worker(i, leaving(i))).collect()
     }
 
-    /// Ends all faults but the freezes, which end by themselves.
-    pub fn heal(&mut self) {
+    /// Ends all faults except freezes, which end by themselves.
+    pub fn end_faults(&mut self) {
         self.cuts.clear();
-        self.trouble = Trouble::default();
+        self.disturbances = Disturbances::default();
         for host in &mut self.hosts {
-            host.left = None;
+            host.left_at = None;
             host.worker.leaving = false;
             host.worker.faults.fail_runs = false;
         }
--- a/tools/trial/src/world/load.rs
+++ b/tools/trial/src/world/load.rs
@@ -12,30 +12,31 @@
 use willowpoint::table::{Call, Expect, Op, Outcome, decode};
 use willowpoint::utils::Name;
 
-use super::{Asker, Delivery, EPOCH, World};
+use super::{Delivery, Origin, START_TIME, World};
 use crate::schedule::{BOXES, Fault};
 use crate::truth::{Attempt, Request};
 
-/// Milliseconds until a request's answer is worthless.
+/// Time allowed for a request in ms.
 const DEADLINE: u64 = 1_500;
-/// Sends of one request at most.
-const SENDS: u32 = 4;
-/// Probability that a caller issues a request in one step.
-const RATE: f64 = 0.6;
-/// Jobs of one run at most.
-const JOBS: usize = 30;
+/// Maximum number of attempts of a request.
+const MAX_ATTEMPTS: u32 = 4;
+/// Probability that a caller issues a request in a step.
+const REQUEST_PROBABILITY: f64 = 0.6;
+/// Maximum number of jobs in a run.
+const MAX_JOBS: usize = 30;
 
 /// An operator's change in progress.
 pub struct Operation {
     transaction: ConfigTransaction,
     id: Name,
     call: Option<Call>,
-    box_used: usize,
+    /// Index of the box through which the change is made.
+    node: usize,
 }
 
 impl World {
-    /// Writes the configuration that the run begins with.
-    pub fn prepare(&mut self) {
+    /// Writes the initial configuration to the table.
+    pub fn write_config(&mut self) {
         let edit = |name: &str| Edit {
             key: format!("service/{name}").into(),
             value: Some(r#"{"team":"t","cores":500}"#.into()),
@@ -45,7 +46,7 @@
             version: 0,
             id: "first".into(),
             author: "run".into(),
-            when: EPOCH,
+            when: START_TIME,
             edits: vec![edit("s0"), edit("s1"), edit("s2")],
         };
         let (mut transaction, mut step) = ConfigTransaction::new(row);
@@ -54,34 +55,34 @@
         }
     }
 
-    /// Lets callers issue requests.
-    pub fn callers(&mut self) {
-        if !self.random.chance(RATE) {
+    /// Issues a new request in some of the steps.
+    pub fn issue_request(&mut self) {
+        if !self.random.chance(REQUEST_PROBABILITY) {
             return;
         }
         let number = self.truth.requests.len();
         let skew = self.random.below(401);
         self.truth.requests.push(Request {
             id: format!("q{number}").into(),
-            issued: EPOCH + self.now + skew - 200,
+            issued: START_TIME + self.now + skew - 200,
             repeatable: self.random.chance(0.4),
-            ran: 0,
-            sends: 0,
+            runs: 0,
+            attempts: 0,
         });
         self.send_request(number);
     }
 
-    /// Sends a request through any box.
+    /// Sends a request to a random box.
     pub fn send_request(&mut self, number: usize) {
         let attempt = self.truth.attempts.len();
         self.truth.attempts.push(Attempt {
             request: number,
-            ran: 0,
-            denied: false,
-            told: false,
+            runs: 0,
+            reported_not_run: false,
+            answered: false,
         });
         let request = &mut self.truth.requests[number];
-        request.sends += 1;
+        request.attempts += 1;
         let class = match number % 4 {
             0 => Class::Batch,
             _ => Class::Critical,
@@ -94,8 +95,8 @@
             repeatable: request.repeatable,
             time_left: DEADLINE,
             issued: request.issued,
-            // Some callers do not tell.
-            sole_until: match request.sends == 1 && !number.is_multiple_of(3) {
+            // Only some callers state until when this is the only attempt.
+            sole_until: match request.attempts == 1 && !number.is_multiple_of(3) {
                 true => request.issued + DEADLINE,
                 false => 0,
             },
@@ -103,52 +104,54 @@
         };
         let node = self.random.below(BOXES as u64) as usize;
         let boot = self.nodes[node].boot;
-        let ticket = self.park(node, Asker::Caller, attempt);
-        self.local(node, boot, Event::Request { ticket, meta });
+        let ticket = self.add_pending(node, Origin::Caller, attempt);
+        self.deliver_event(node, boot, Event::Request { ticket, meta });
         let wait = DEADLINE + 500;
         self.push(self.now + wait, Delivery::GiveUp { attempt });
     }
 
-    /// Tells a caller what came of its attempt.
-    pub fn tell_caller(&mut self, attempt: usize, verdict: Verdict, answer: Option<usize>) {
+    /// Answers a caller's attempt.
+    pub fn answer_caller(&mut self, attempt: usize, verdict: Verdict, answer: Option<usize>) {
         match verdict {
             Verdict::Answer => {
                 self.truth.counts.event("callers answered");
                 self.truth.check(answer.is_some(), Rule::Answer, || {
-                    format!("attempt {attempt} is answered without an answer")
+                    format!(
+                        "attempt {attempt} is reported as answered, but no endpoint answered it"
+                    )
                 });
             }
             Verdict::NotRun { .. } => {
                 self.truth.counts.event("callers told not run");
-                self.truth.deny(attempt);
+                self.truth.record_not_run(attempt);
             }
             Verdict::Unknown { .. } => self.truth.counts.event("callers told unknown"),
         }
-        self.truth.answer(attempt, answer);
+        self.truth.record_answer(attempt, answer);
         if verdict != Verdict::Answer {
-            self.send_again(attempt);
+            self.maybe_resend(attempt);
         }
     }
 
-    /// Lets a caller that had no answer wait no longer.
+    /// Ends a caller's wait for an attempt that was not answered.
     pub fn give_up(&mut self, attempt: usize) {
-        if !self.truth.attempts[attempt].told {
+        if !self.truth.attempts[attempt].answered {
             self.truth.counts.event("callers left without an answer");
-            self.send_again(attempt);
+            self.maybe_resend(attempt);
         }
     }
 
-    fn send_again(&mut self, attempt: usize) {
+    fn maybe_resend(&mut self, attempt: usize) {
         let number = self.truth.attempts[attempt].request;
-        let sends = self.truth.requests[number].sends;
-        if sends < SENDS && self.random.chance(0.7) {
+        let attempts = self.truth.requests[number].attempts;
+        if attempts < MAX_ATTEMPTS && self.random.chance(0.7) {
             let at = self.now + self.random.below(400);
             self.push(at, Delivery::Resend { request: number });
         }
     }
 
-    /// Lets two operators change the same entry.
-    pub fn race(&mut self, fault: Fault) {
+    /// Begins two operators' changes of the same entry, both based on the same version.
+    pub fn begin_race(&mut self, fault: Fault) {
         let key: Name = format!("service/s{}", fault.b % 3).into();
         let rows = self
             .table
@@ -163,7 +166,7 @@
                 version: 0,
                 id: id.clone(),
                 author: "run".into(),
-                when: EPOCH + self.now,
+                when: START_TIME + self.now,
                 edits: vec![Edit {
                     key: key.clone(),
                     value: Some(value.into()),
@@ -175,20 +178,21 @@
                 transaction,
                 id,
                 call: None,
-                box_used: (fault.a + side) % BOXES,
+                node: (fault.a + side) % BOXES,
             };
             self.operations.push(operation);
-            self.advance(number, step);
+            self.continue_change(number, step);
         }
     }
 
-    fn advance(&mut self, number: usize, step: Step) {
+    /// Takes the next step of an operator's change.
+    fn continue_change(&mut self, number: usize, step: Step) {
         let id = self.operations[number].id.clone();
         match step {
             Step::Call(call) => {
                 self.operations[number].call = Some(call);
-                let at = self.now + self.delay(super::End::Store);
-                self.push(at, Delivery::Operate { operation: number });
+                let at = self.now + self.delay(super::Party::Store);
+                self.push(at, Delivery::OperatorCall { operation: number });
             }
             Step::Accepted(version) => {
                 self.truth.counts.event("changes accepted");
@@ -202,16 +206,16 @@
         }
     }
 
-    /// Makes the next call of an operator's change.
-    pub fn operate(&mut self, number: usize) {
+    /// Executes the next call of an operator's change at the platform.
+    pub fn execute_operator_call(&mut self, number: usize) {
         let Some(call) = self.operations[number].call.take() else {
             return;
         };
         let is_commit = matches!(call, Call::Commit(_));
-        let node = self.operations[number].box_used;
-        let away = self.is_cut(super::End::Box(node), super::End::Store);
-        let down = self.trouble.store_down > self.now || away;
-        let lost = self.trouble.lose > self.now && self.random.chance(0.5);
+        let node = self.operations[number].node;
+        let cut_off = self.is_cut(super::Party::Box(node), super::Party::Store);
+        let down = self.disturbances.store_down > self.now || cut_off;
+        let lost = self.disturbances.lost_answers > self.now && self.random.chance(0.5);
         let outcome = match (down, is_commit) {
             (true, true) => Outcome::Written(WriteOutcome::Unknown),
             (true, false) => Outcome::Failed,
@@ -224,9 +228,10 @@
             }
         };
         let step = self.operations[number].transaction.advance(outcome);
-        self.advance(number, step);
+        self.continue_change(number, step);
     }
 
+    /// Returns the candidate cells for jobs as some box knows them.
     fn candidate_cells(&mut self) -> Vec<CandidateCell> {
         for node in 0..BOXES {
             let now = self.clock(node);
@@ -250,10 +255,10 @@
         Vec::new()
     }
 
-    /// Submits a job; false when that is not possible now.
-    pub fn submit(&mut self, fault: Fault, urgent: bool) -> bool {
+    /// Submits a job; returns false when that is not possible now.
+    pub fn submit_job(&mut self, fault: Fault, urgent: bool) -> bool {
         let candidates = self.candidate_cells();
-        if candidates.is_empty() || self.jobs.len() >= JOBS {
+        if candidates.is_empty() || self.jobs.len() >= MAX_JOBS {
             return false;
         }
         let spec = Spec {
@@ -269,7 +274,7 @@
             work: 200 + fault.span * 20,
             urgent,
         };
-        let Ok((row, shards)) = job::spread(&spec, &candidates, EPOCH + self.now) else {
+        let Ok((row, shards)) = job::spread(&spec, &candidates, START_TIME + self.now) else {
             return false;
         };
         let mut ops = vec![Op::put(job::key(&spec.id), Expect::Absent, &row)];
@@ -285,12 +290,12 @@
             .filter_map(|k| job::shard_cell(k))
             .map(Name::from)
             .collect();
-        self.hint(cells, Vec::new());
+        self.send_hints(cells, Vec::new());
         true
     }
 
-    /// Tells boxes of new job shards or cancelled jobs; some are not reached.
-    fn hint(&mut self, cells: Vec<Name>, cancelled: Vec<Name>) {
+    /// Notifies the boxes of new job shards or cancelled jobs; about one in five notices is lost.
+    fn send_hints(&mut self, cells: Vec<Name>, cancelled: Vec<Name>) {
         for node in 0..BOXES {
             if self.random.chance(0.2) {
                 continue;
@@ -300,12 +305,12 @@
                 cancelled: cancelled.clone(),
             };
             let boot = self.nodes[node].boot;
-            self.local(node, boot, event);
+            self.deliver_event(node, boot, event);
         }
     }
 
-    /// Submits a job that can never run, which must be refused.
-    pub fn submit_never(&mut self) -> bool {
+    /// Submits a job that needs more cores than any worker has and checks that it is refused.
+    pub fn submit_oversized_job(&mut self) -> bool {
         let candidates = self.candidate_cells();
         let known = candidates
             .iter()
@@ -326,15 +331,15 @@
             work: 1,
             urgent: false,
         };
-        let refused = job::spread(&spec, &candidates, EPOCH).is_err();
+        let refused = job::spread(&spec, &candidates, START_TIME).is_err();
         self.truth.check(refused, Rule::Room, || {
-            "a job that can't run is accepted".into()
+            "a job larger than any worker is accepted".into()
         });
         true
     }
 
     /// Cancels every job at once.
-    pub fn cancel_all(&mut self) -> bool {
+    pub fn cancel_all_jobs(&mut self) -> bool {
         let jobs = self.jobs.clone();
         for id in &jobs {
             let key: Name = job::key(id).into();
@@ -344,18 +349,18 @@
                 let _ = self.table.commit(&[Op::put(key, Expect::Present, &row)]);
             }
         }
-        self.hint(Vec::new(), jobs.clone());
+        self.send_hints(Vec::new(), jobs.clone());
         !jobs.is_empty()
     }
 
-    /// Checks that all became whole after the calm.
-    pub fn finish(&mut self) {
-        self.finish_owners();
-        self.finish_config();
-        self.finish_jobs();
+    /// Checks that owners, configuration and jobs have recovered from the faults.
+    pub fn check_final_state(&mut self) {
+        self.check_final_owners();
+        self.check_final_config();
+        self.check_final_jobs();
     }
 
-    fn finish_owners(&mut self) {
+    fn check_final_owners(&mut self) {
         let cells: Vec<Name> = super::RACKS.iter().map(|c| Name::from(*c)).collect();
         for cell in cells {
             let mut owners = 0;
@@ -372,7 +377,7 @@
         }
     }
 
-    fn finish_config(&mut self) {
+    fn check_final_config(&mut self) {
         let rows = self.table.read(&[config::HEAD_KEY.into()]);
         let head = rows
             .first()
@@ -383,35 +388,36 @@
             .collect();
         let all = versions.iter().all(|v| *v == head);
         self.truth.check(all, Rule::Config, || {
-            format!("the head is {head}, in force are {versions:?}")
+            format!("the head has version {head}, but the boxes have {versions:?}")
         });
         let keys: Vec<Name> = (1..=head).map(config::change_key).collect();
         let rows = self.table.read(&keys);
         let changes = rows.iter().filter_map(decode::<ChangeRow>);
-        let made: BTreeMap<Name, u64> = changes.map(|c| (c.id, c.version)).collect();
+        let recorded: BTreeMap<Name, u64> = changes.map(|c| (c.id, c.version)).collect();
         let accepted = self.truth.accepted.clone();
         for (id, version) in accepted {
-            let kept = made.get(&id) == Some(&version);
+            let kept = recorded.get(&id) == Some(&version);
             self.truth.check(kept, Rule::Config, || {
-                format!("{id} was accepted and is not there")
+                format!("{id} was reported as accepted, but is not recorded")
             });
         }
         let refused = self.truth.refused.clone();
         for id in refused {
-            let absent = !made.contains_key(&id);
+            let absent = !recorded.contains_key(&id);
             self.truth.check(absent, Rule::Config, || {
-                format!("{id} was refused and is there")
+                format!("{id} was reported as refused, but is recorded")
             });
         }
     }
 
-    fn finish_jobs(&mut self) {
+    fn check_final_jobs(&mut self) {
         let jobs = self.jobs.clone();
         for id in jobs {
             let rows = self.table.read(&[job::key(&id).into()]);
             let Some(row) = rows.first().and_then(decode::<JobRow>) else {
-                self.truth
-                    .check(false, Rule::Resume, || format!("{id} is lost"));
+                self.truth.check(false, Rule::Resume, || {
+                    format!("the row of {id} is missing")
+                });
                 continue;
             };
             let rows = self.table.read(&row.shards);
--- a/tools/trial/src/world/messages.rs
+++ b/tools/trial/src/world/messages.rs
@@ -12,37 +12,37 @@
 use willowpoint::table::{Call as TableCall, Outcome, decode};
 use willowpoint::utils::Name;
 
-use super::{Asker, Call, Delivery, End, Parked, RACKS, TASK, World};
+use super::{Call, Delivery, Origin, Party, PendingRequest, RACKS, TASK_LEASE, World};
 
-/// Milliseconds that calls to the platform and to workers may take.
-pub const PATIENCE: u64 = 450;
-/// Milliseconds after which a leaving worker must get nothing new.
-const LEAVING: u64 = 4_000;
+/// Timeout of calls to the platform and to workers in ms.
+pub const CALL_TIMEOUT: u64 = 450;
+/// Time in ms after which a leaving worker must not receive new work.
+const LEAVING_GRACE: u64 = 4_000;
 
 /// A request on its way to an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Number of the request at the sending box.
+    /// Ticket of the request at the sending box.
     pub ticket: u64,
     /// The caller's attempt.
     pub attempt: usize,
 }
 
-/// What a message asks for.
+/// Content of a message.
 pub enum Payload {
     /// A call to the table.
-    Store { op: u64, sent: u64, call: TableCall },
-    /// The list of workers.
-    List,
+    TableCall { op: u64, sent: u64, call: TableCall },
+    /// A query for the list of workers.
+    ListWorkers,
     /// A request to an endpoint.
-    Begin {
+    EndpointRequest {
         epoch: u64,
         not_after: u64,
         request: Request,
         service: Name,
     },
-    /// A call to a worker's control.
-    Worker {
+    /// An RPC call to a worker.
+    WorkerCall {
         cell: Name,
         epoch: u64,
         not_after: u64,
@@ -51,7 +51,7 @@
     },
     /// A greeting.
     Greet { to: Name, greeting: Greeting },
-    /// A request handed to another box.
+    /// A request forwarded to another box.
     Forward {
         meta: Meta,
         cell: Option<Name>,
@@ -59,31 +59,31 @@
         epoch: u64,
         request: Request,
     },
-    /// A question for the whole configuration.
+    /// A query for the whole configuration.
     Snapshot,
 }
 
 impl World {
-    /// Sends a message; `lost` is the event when no reply comes in time, and
-    /// `unsent` the one when no connection can be made.
-    pub fn ask(
+    /// Sends a message from a box. The box receives `lost` if no reply arrives within `limit` ms, or
+    /// `not_sent` if no connection can be made.
+    pub fn send_message(
         &mut self,
         node: usize,
-        to: End,
+        to: Party,
         limit: u64,
         payload: Payload,
         lost: Event,
-        unsent: Event,
+        not_sent: Event,
     ) {
         let boot = self.nodes[node].boot;
-        if self.is_cut(End::Box(node), to) && self.random.chance(0.5) {
+        if self.is_cut(Party::Box(node), to) && self.random.chance(0.5) {
             let at = self.now + self.random.below(limit.max(1));
             return self.push(
                 at,
-                Delivery::Local {
+                Delivery::Event {
                     node,
                     boot,
-                    event: unsent,
+                    event: not_sent,
                 },
             );
         }
@@ -94,7 +94,7 @@
         let at = self.now + self.delay(to);
         self.push(
             at,
-            Delivery::Ask {
+            Delivery::Message {
                 call,
                 from: node,
                 to,
@@ -104,7 +104,7 @@
         );
     }
 
-    fn reply(&mut self, call: u64, from: End, event: Event, answer: Option<(u64, usize)>) {
+    fn send_reply(&mut self, call: u64, from: Party, event: Event, answer: Option<(u64, usize)>) {
         let at = self.now + self.delay(from);
         self.push(
             at,
@@ -117,20 +117,27 @@
         );
     }
 
-    /// Takes in a message at its end.
-    pub fn arrive(&mut self, call: u64, from: usize, to: End, sent: u64, payload: Box<Payload>) {
-        if self.is_cut(End::Box(from), to) {
+    /// Delivers a message to its receiver, after the freeze if the receiver is frozen.
+    pub fn deliver_message(
+        &mut self,
+        call: u64,
+        from: usize,
+        to: Party,
+        sent: u64,
+        payload: Box<Payload>,
+    ) {
+        if self.is_cut(Party::Box(from), to) {
             return;
         }
-        let frozen = match to {
-            End::Box(node) => self.nodes[node].frozen,
-            End::Worker(worker) => self.hosts[worker].frozen,
-            End::Store => 0,
+        let frozen_until = match to {
+            Party::Box(node) => self.nodes[node].frozen_until,
+            Party::Worker(worker) => self.hosts[worker].frozen_until,
+            Party::Store => 0,
         };
-        if frozen > self.now {
+        if frozen_until > self.now {
             return self.push(
-                frozen,
-                Delivery::Ask {
+                frozen_until,
+                Delivery::Message {
                     call,
                     from,
                     to,
@@ -140,44 +147,46 @@
             );
         }
         match (*payload, to) {
-            (Payload::Store { op, sent, call: c }, _) => self.store(call, op, sent, &c),
-            (Payload::List, _) => self.list(call),
+            (Payload::TableCall { op, sent, call: c }, _) => {
+                self.handle_table_call(call, op, sent, &c)
+            }
+            (Payload::ListWorkers, _) => self.handle_list_workers(call),
             (
-                Payload::Begin {
+                Payload::EndpointRequest {
                     epoch,
                     not_after,
                     request,
                     service,
                 },
-                End::Worker(worker),
+                Party::Worker(worker),
             ) => {
-                self.watch_leaving(worker, sent);
-                self.begin(call, worker, epoch, not_after, request, service);
+                self.check_leaving(worker, sent);
+                self.begin_request(call, worker, epoch, not_after, request, service);
             }
             (
-                Payload::Worker {
+                Payload::WorkerCall {
                     cell,
                     epoch,
                     not_after,
                     sent: stamp,
                     action,
                 },
-                End::Worker(worker),
+                Party::Worker(worker),
             ) => {
                 if matches!(action, CellAction::Start { .. }) {
-                    self.watch_leaving(worker, sent);
+                    self.check_leaving(worker, sent);
                 }
-                let outcome = self.control(worker, epoch, not_after, stamp, &action);
+                let outcome = self.handle_worker_call(worker, epoch, not_after, stamp, &action);
                 let event = Event::WorkerCallEnded {
                     cell,
                     epoch,
                     worker: format!("w{worker}").into(),
                     outcome,
                 };
-                self.reply(call, to, event, None);
+                self.send_reply(call, to, event, None);
             }
-            (Payload::Greet { to: id, greeting }, End::Box(node)) => {
-                self.greet(call, node, id, greeting);
+            (Payload::Greet { to: id, greeting }, Party::Box(node)) => {
+                self.handle_greeting(call, node, id, greeting);
             }
             (
                 Payload::Forward {
@@ -187,14 +196,14 @@
                     epoch,
                     request,
                 },
-                End::Box(node),
+                Party::Box(node),
             ) => {
-                let asker = Asker::Peer {
+                let origin = Origin::Peer {
                     call,
                     ticket: request.ticket,
                 };
-                let ticket = self.park(node, asker, request.attempt);
-                self.feed(
+                let ticket = self.add_pending(node, origin, request.attempt);
+                self.handle_event(
                     node,
                     Event::Forwarded {
                         ticket,
@@ -205,73 +214,79 @@
                     },
                 );
             }
-            (Payload::Snapshot, End::Box(node)) => {
+            (Payload::Snapshot, Party::Box(node)) => {
                 let config = self.nodes[node].engine.config().clone();
-                self.reply(call, to, Event::SnapshotEnded(Some(config)), None);
+                self.send_reply(call, to, Event::SnapshotEnded(Some(config)), None);
             }
             _ => {}
         }
     }
 
-    /// Gives a request a number at a box.
-    pub fn park(&mut self, node: usize, from: Asker, attempt: usize) -> u64 {
+    /// Adds a request in progress at a box and returns its ticket.
+    pub fn add_pending(&mut self, node: usize, origin: Origin, attempt: usize) -> u64 {
         let entry = &mut self.nodes[node];
         entry.tickets += 1;
         let key = (node, entry.boot, entry.tickets);
-        let parked = Parked {
-            from,
+        let pending = PendingRequest {
+            origin,
             attempt,
             answer: None,
         };
-        self.parked.insert(key, parked);
+        self.pending.insert(key, pending);
         key.2
     }
 
-    fn store(&mut self, call: u64, op: u64, sent: u64, table_call: &TableCall) {
+    fn handle_table_call(&mut self, call: u64, op: u64, sent: u64, table_call: &TableCall) {
         let is_commit = matches!(table_call, TableCall::Commit(_));
-        if self.trouble.store_down > self.now {
+        if self.disturbances.store_down > self.now {
             let outcome = match is_commit {
                 true => Outcome::Written(WriteOutcome::Unknown),
                 false => Outcome::Failed,
             };
-            return self.reply(
+            return self.send_reply(
                 call,
-                End::Store,
+                Party::Store,
                 Event::TableCallEnded { op, sent, outcome },
                 None,
             );
         }
         let outcome = self.table.call(table_call);
-        let lost = is_commit && self.trouble.lose > self.now && self.random.chance(0.5);
+        let lost =
+            is_commit && self.disturbances.lost_answers > self.now && self.random.chance(0.5);
         if lost {
             self.truth.counts.event("answers lost after the write");
             return;
         }
-        self.reply(
+        self.send_reply(
             call,
-            End::Store,
+            Party::Store,
             Event::TableCallEnded { op, sent, outcome },
             None,
         );
     }
 
-    fn list(&mut self, call: u64) {
-        if self.trouble.store_down > self.now {
-            return self.reply(call, End::Store, Event::WorkersListed(None), None);
+    fn handle_list_workers(&mut self, call: u64) {
+        if self.disturbances.store_down > self.now {
+            return self.send_reply(call, Party::Store, Event::WorkersListed(None), None);
         }
-        let places = self.places();
-        self.reply(call, End::Store, Event::WorkersListed(Some(places)), None);
+        let workers = self.listed_workers();
+        self.send_reply(
+            call,
+            Party::Store,
+            Event::WorkersListed(Some(workers)),
+            None,
+        );
     }
 
-    fn watch_leaving(&mut self, worker: usize, sent: u64) {
-        let left = self.hosts[worker].left;
-        let late = left.is_some_and(|at| sent > at + LEAVING);
+    fn check_leaving(&mut self, worker: usize, sent: u64) {
+        let left_at = self.hosts[worker].left_at;
+        let late = left_at.is_some_and(|at| sent > at + LEAVING_GRACE);
         self.truth.check(!late, Rule::Leaving, || {
-            format!("w{worker} gets new work sent at {sent}, leaving since {left:?}")
+            format!("w{worker} receives work sent at {sent} ms, but is leaving since {left_at:?}")
         });
     }
 
-    fn begin(
+    fn begin_request(
         &mut self,
         call: u64,
         worker: usize,
@@ -280,7 +295,7 @@
         request: Request,
         service: Name,
     ) {
-        let wall = self.wall_of(worker);
+        let wall = self.worker_wall(worker);
         let active = ActiveRequest {
             ticket: request.ticket,
             epoch,
@@ -296,13 +311,13 @@
                 ticket,
                 outcome: SendOutcome::NotRun,
             };
-            return self.reply(call, End::Worker(worker), event, None);
+            return self.send_reply(call, Party::Worker(worker), event, None);
         }
         self.truth.counts.event("requests run");
-        self.truth.ran(request.attempt);
-        let took = 20 + self.random.below(200);
+        self.truth.record_run(request.attempt);
+        let duration = 20 + self.random.below(200);
         self.push(
-            self.now + took,
+            self.now + duration,
             Delivery::Finish {
                 worker,
                 epoch,
@@ -312,12 +327,12 @@
         );
     }
 
-    /// Takes in that an endpoint has run a request.
+    /// Ends a request at its endpoint, after the freeze if the worker is frozen.
     pub fn finish_request(&mut self, worker: usize, epoch: u64, request: Request, call: u64) {
-        let frozen = self.hosts[worker].frozen;
-        if frozen > self.now {
+        let frozen_until = self.hosts[worker].frozen_until;
+        if frozen_until > self.now {
             return self.push(
-                frozen,
+                frozen_until,
                 Delivery::Finish {
                     worker,
                     epoch,
@@ -332,10 +347,10 @@
             ticket,
             outcome: SendOutcome::Answered,
         };
-        self.reply(call, End::Worker(worker), event, Some((ticket, attempt)));
+        self.send_reply(call, Party::Worker(worker), event, Some((ticket, attempt)));
     }
 
-    fn control(
+    fn handle_worker_call(
         &mut self,
         worker: usize,
         epoch: u64,
@@ -343,7 +358,7 @@
         sent: u64,
         action: &CellAction,
     ) -> WorkerCallOutcome {
-        let (now, wall) = (self.now, self.wall_of(worker));
+        let (now, wall) = (self.now, self.worker_wall(worker));
         match action {
             CellAction::Poll {
                 acks, renew, round, ..
@@ -351,7 +366,7 @@
                 let sync = SyncRequest {
                     epoch,
                     round: *round,
-                    lease: if *renew { TASK } else { 0 },
+                    lease: if *renew { TASK_LEASE } else { 0 },
                     not_after,
                     acks: acks.clone(),
                 };
@@ -376,7 +391,7 @@
                 }
             }
             CellAction::Start { run, work, .. } => {
-                let called = self.start(worker, epoch, not_after, run, *work);
+                let called = self.start_run(worker, epoch, not_after, run, *work);
                 WorkerCallOutcome::Started(run.id, called)
             }
             CellAction::Stop {
@@ -399,7 +414,7 @@
         }
     }
 
-    fn start(
+    fn start_run(
         &mut self,
         worker: usize,
         epoch: u64,
@@ -407,7 +422,7 @@
         run: &Run,
         work: u64,
     ) -> CallOutcome {
-        let wall = self.wall_of(worker);
+        let wall = self.worker_wall(worker);
         let before = self.hosts[worker].worker.counts.starts;
         let worker_run = WorkerRun {
             id: run.id,
@@ -425,36 +440,36 @@
         let start = Start {
             epoch,
             round: run.poll_round,
-            lease: TASK,
+            lease: TASK_LEASE,
             not_after,
             run: worker_run,
         };
         let result = self.hosts[worker].worker.start(self.now, wall, start);
         if self.hosts[worker].worker.counts.starts > before {
             self.truth.counts.event("runs started");
-            self.watch_start(worker, run);
+            self.check_start(worker, run);
         }
         result.map_or(CallOutcome::Refused, |()| CallOutcome::Done(0))
     }
 
-    /// Checks a run that has just started against all workers and the table.
-    fn watch_start(&mut self, worker: usize, run: &Run) {
-        let mut twins: Vec<(usize, RunId)> = Vec::new();
+    /// Checks a started run against the runs of all workers and against the table.
+    fn check_start(&mut self, worker: usize, run: &Run) {
+        let mut copies: Vec<(usize, RunId)> = Vec::new();
         for (index, host) in self.hosts.iter_mut().enumerate() {
-            // A frozen worker's tasks stand still with it.
+            // Ends the tasks that are done by now, so that only those still running are counted.
             host.worker.advance(self.now);
             let same =
                 host.worker.runs.values().filter(|t| {
                     t.state == RunState::Running && t.job == run.job && t.task == run.task
                 });
-            twins.extend(same.map(|t| (index, t.id)));
+            copies.extend(same.map(|t| (index, t.id)));
         }
-        self.truth.check(twins.len() <= 1, Rule::Place, || {
-            format!("{} {} runs at {twins:?}", run.job, run.task)
+        self.truth.check(copies.len() <= 1, Rule::Place, || {
+            format!("{} {} runs at {copies:?}", run.job, run.task)
         });
         let rack = worker % RACKS.len();
-        let known = self.truth.started.insert((rack, run.id), worker);
-        self.truth.check(known.is_none(), Rule::Resume, || {
+        let earlier = self.truth.started.insert((rack, run.id), worker);
+        self.truth.check(earlier.is_none(), Rule::Resume, || {
             format!("run {:x} starts twice", run.id)
         });
         let (rows, _) = self.table.scan("lot/", "", usize::MAX);
@@ -468,13 +483,13 @@
             .is_some_and(|t| t.phase == Phase::Open && run.saved == t.saved);
         self.truth.check(fits, Rule::Resume, || {
             format!(
-                "{} {} starts from {} and is recorded as {row:?}",
+                "{} {} starts from {}, but is recorded as {row:?}",
                 run.job, run.task, run.saved
             )
         });
     }
 
-    fn greet(&mut self, call: u64, node: usize, to: Name, greeting: Greeting) {
+    fn handle_greeting(&mut self, call: u64, node: usize, to: Name, greeting: Greeting) {
         let entry = &mut self.nodes[node];
         entry.tickets += 1;
         let ticket = entry.tickets;
@@ -493,15 +508,15 @@
                     sent,
                     reply,
                 };
-                self.reply(call, End::Box(node), event, None);
+                self.send_reply(call, Party::Box(node), event, None);
             } else {
-                self.carry_out(node, action);
+                self.execute(node, action);
             }
         }
     }
 
-    /// Tells who waits for a request what came of it.
-    pub fn tell_peer(
+    /// Replies to a peer with the outcome of a request that it forwarded.
+    pub fn reply_to_peer(
         &mut self,
         node: usize,
         call: u64,
@@ -511,6 +526,6 @@
     ) {
         let event = Event::ForwardEnded { ticket, outcome };
         let answer = answer.map(|attempt| (ticket, attempt));
-        self.reply(call, End::Box(node), event, answer);
+        self.send_reply(call, Party::Box(node), event, answer);
     }
 }
