--- a/tools/trial/src/schedule.rs
+++ b/tools/trial/src/schedule.rs
@@ -112,7 +112,7 @@
     pub seed: u64,
     /// Number of steps with faults.
     pub steps: u64,
-    /// True when the workers reject calls with an older epoch.
+    /// True when the workers reject calls with an outdated epoch, round or time.
     pub fence: bool,
     /// Faults in no particular order.
     pub faults: Vec<Fault>,
--- a/tools/trial/src/world/faults.rs
+++ b/tools/trial/src/world/faults.rs
@@ -146,8 +146,7 @@
                     delay += 500 + self.random.below(3_000);
                 }
             }
-            // A call that arrives later than the margin is safe only at workers that reject older
-            // epochs.
+            // A call delayed beyond the margin is safe only at workers that reject outdated calls.
             Party::Worker(_) if self.schedule.fence && self.random.chance(0.01) => {
                 self.truth.counts.event("late messages of workers");
                 delay += self.random.below(4_000);
--- a/tools/trial/src/world/load.rs
+++ b/tools/trial/src/world/load.rs
@@ -95,7 +95,7 @@
             repeatable: request.repeatable,
             time_left: DEADLINE,
             issued: request.issued,
-            // Only some callers state until when this is the only attempt.
+            // Only some callers promise not to resend before the deadline.
             sole_until: match request.attempts == 1 && !number.is_multiple_of(3) {
                 true => request.issued + DEADLINE,
                 false => 0,
--- a/tools/trial/src/world/messages.rs
+++ b/tools/trial/src/world/messages.rs
@@ -64,8 +64,8 @@
 }
 
 impl World {
-    /// Sends a message from a box. The box receives `lost` if no reply arrives within `limit` ms, or
-    /// `not_sent` if no connection can be made.
+    /// Sends a message from a box. The box receives `lost` if no reply arrives within `limit` ms,
+    /// or `not_sent` if no connection can be made.
     pub fn send_message(
         &mut self,
         node: usize,
@@ -456,7 +456,8 @@
     fn check_start(&mut self, worker: usize, run: &Run) {
         let mut copies: Vec<(usize, RunId)> = Vec::new();
         for (index, host) in self.hosts.iter_mut().enumerate() {
-            // Ends the tasks that are done by now, so that only those still running are counted.
+            // The tasks of a frozen worker stand still during the freeze; advancing the worker ends those
+            // whose lease has lapsed, so that they are not counted as running.
             host.worker.advance(self.now);
             let same =
                 host.worker.runs.values().filter(|t| {
