--- a/tests/processes/main.rs
+++ b/tests/processes/main.rs
@@ -1,8 +1,8 @@
 //! The parts as separate processes: killed, frozen, stopped and replaced.
 
+mod deployment;
 #[path = "../support/diagnostics.rs"]
 mod diagnostics;
-mod parts;
 #[path = "../support/proxy.rs"]
 mod proxy;
 #[path = "../support/mod.rs"]
@@ -10,7 +10,7 @@
 
 use std::time::{Duration, Instant};
 
-use parts::{Deployment, Told};
+use deployment::{Deployment, Told};
 
 /// Requests sent through each box in turn.
 const REQUESTS: usize = 60;
@@ -196,6 +196,6 @@
     };
     let codes = [change("1000").code, change("2000").code];
     assert_eq!(codes, [0, 2]);
-    let unreached = parts::command_at("127.0.0.1:1", &["status"]);
+    let unreached = deployment::command_at("127.0.0.1:1", &["status"]);
     assert_eq!(unreached.code, 3, "{}", unreached.text);
 }
