--- a/tests/processes/deployment.rs
+++ b/tests/processes/deployment.rs
@@ -24,14 +24,14 @@
 use willowpoint::proto::worker_faults_client::WorkerFaultsClient;
 use willowpoint::rpc::client::Channel;
 
-/// What a caller was told.
+/// The outcome of a request as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// The endpoint's whole answer.
+pub enum Outcome {
+    /// The endpoint's whole answer body.
     Answer(String),
-    /// It was not run.
+    /// The request was not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
     /// The connection was refused.
     Refused,
@@ -39,17 +39,20 @@
     Lost,
 }
 
-/// What a command printed, and its exit code.
-pub struct Printed {
+/// The exit code of a command and what it printed.
+pub struct CommandOutput {
     pub code: i32,
     pub text: String,
 }
 
-/// A worker's own record.
-pub struct Counts {
-    pub doubled: u64,
+/// Counts kept by a worker.
+pub struct WorkerCounts {
+    /// Tasks that the worker started while another run of the same task was active.
+    pub duplicate_runs: u64,
+    /// Work that the worker was given beyond its capacity.
     pub overloads: u64,
-    pub ids: HashMap<String, u32>,
+    /// Number of runs of each request, by request id.
+    pub runs_by_id: HashMap<String, u32>,
 }
 
 struct Worker {
@@ -58,7 +61,7 @@
     alive: bool,
 }
 
-struct Node {
+struct BoxProcess {
     web: SocketAddr,
     rpc: SocketAddr,
     admin: SocketAddr,
@@ -66,38 +69,40 @@
     child: Child,
 }
 
-/// Running processes, ended with this value.
+/// A running deployment. Its processes are killed when it is dropped.
 pub struct Deployment {
     platform: SocketAddr,
-    /// Between the first box and the platform.
+    /// Address of the proxy between the first box and the platform.
     proxy: SocketAddr,
-    /// True while the proxy passes no answers on.
-    deaf: Arc<AtomicBool>,
-    process: Child,
+    /// True while the proxy holds back the platform's answers.
+    answers_blocked: Arc<AtomicBool>,
+    platform_process: Child,
     workers: Vec<Worker>,
-    nodes: Vec<Node>,
+    boxes: Vec<BoxProcess>,
     folder: PathBuf,
 }
 
-/// A request of which only a part is sent.
-pub struct Half {
+/// A request of which only the first half was sent.
+pub struct PartialRequest {
     stream: TcpStream,
     rest: String,
 }
 
-/// Callers that send requests on a thread of their own.
+/// Callers that send requests on a separate thread.
 pub struct Callers {
-    thread: JoinHandle<Vec<Told>>,
+    thread: JoinHandle<Vec<Outcome>>,
 }
 
 impl Callers {
-    pub fn join(self) -> Vec<Told> {
-        self.thread.join().expect("callers end")
+    /// Waits for all requests and returns their outcomes.
+    pub fn join(self) -> Vec<Outcome> {
+        self.thread.join().expect("the callers' thread panicked")
     }
 }
 
-pub fn command_at(address: &str, arguments: &[&str]) -> Printed {
-    // The address comes after the command's first word.
+/// Runs an operator's command against the box at an address.
+pub fn command_at(address: &str, arguments: &[&str]) -> CommandOutput {
+    // Options go after the command's first word.
     let mut all = vec![arguments[0], "--at", address, "--json"];
     all.extend(&arguments[1..]);
     let output = Command::new(binary())
@@ -106,31 +111,32 @@
         .expect("the command runs");
     let text = String::from_utf8_lossy(&output.stdout).to_string();
     let errors = String::from_utf8_lossy(&output.stderr).to_string();
-    Printed {
+    CommandOutput {
         code: output.status.code().unwrap_or(-1),
         text: text + &errors,
     }
 }
 
 impl Deployment {
+    /// Starts a platform, workers and boxes, and waits until the boxes are ready.
     pub fn start(boxes: usize, workers: usize) -> Self {
         let platform = free_address();
         let name = format!("willowpoint-{}-{}", std::process::id(), platform.port());
         let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the folder can be created");
         let line = format!("stand-in platform --rpc {platform}");
-        let process = spawn(&split_arguments(&line), &folder.join("platform.log"));
-        let deaf: Arc<AtomicBool> = Arc::default();
-        let held = deaf.clone();
+        let platform_process = spawn(&split_arguments(&line), &folder.join("platform.log"));
+        let answers_blocked: Arc<AtomicBool> = Arc::default();
+        let blocked = answers_blocked.clone();
         let mut deployment = Self {
             platform,
-            proxy: proxy::start(platform, move |way, _| {
-                way == Direction::ToClient && held.load(Ordering::Relaxed)
+            proxy: proxy::start(platform, move |direction, _| {
+                direction == Direction::ToClient && blocked.load(Ordering::Relaxed)
             }),
-            deaf,
-            process,
+            answers_blocked,
+            platform_process,
             workers: Vec::new(),
-            nodes: Vec::new(),
+            boxes: Vec::new(),
             folder,
         };
         for index in 0..workers {
@@ -140,7 +146,7 @@
             deployment.start_box(index);
         }
         for index in 0..boxes {
-            deployment.wait_ready(index);
+            deployment.wait_until_ready(index);
         }
         deployment
     }
@@ -159,11 +165,11 @@
         self.workers.push(Worker { rpc, child, alive });
     }
 
-    /// Starts a box, at the addresses of the one before it if there was one.
+    /// Starts a box, at its previous addresses if it ran before.
     pub fn start_box(&mut self, index: usize) {
-        let known = self.nodes.get(index).map(|n| (n.web, n.rpc, n.admin));
+        let previous = self.boxes.get(index).map(|b| (b.web, b.rpc, b.admin));
         let (web, rpc, admin) =
-            known.unwrap_or_else(|| (free_address(), free_address(), free_address()));
+            previous.unwrap_or_else(|| (free_address(), free_address(), free_address()));
         let settings = self.folder.join(format!("e{index}.toml"));
         let platform = match index {
             0 => self.proxy,
@@ -180,21 +186,22 @@
         std::fs::write(&settings, text).expect("settings are written");
         let line = format!("entry --config {}", settings.display());
         let child = spawn(&split_arguments(&line), &settings.with_extension("log"));
-        let node = Node {
+        let process = BoxProcess {
             web,
             rpc,
             admin,
             settings,
             child,
         };
-        match index < self.nodes.len() {
-            true => self.nodes[index] = node,
-            false => self.nodes.push(node),
+        match index < self.boxes.len() {
+            true => self.boxes[index] = process,
+            false => self.boxes.push(process),
         }
     }
 
-    pub fn wait_ready(&self, index: usize) {
-        let node = &self.nodes[index];
+    /// Waits until a box reports that it is ready.
+    pub fn wait_until_ready(&self, index: usize) {
+        let node = &self.boxes[index];
         let mut observations = Observations::new();
         let ready = eventually(|| {
             let answer = observations.observe(|| {
@@ -208,81 +215,83 @@
         assert!(
             ready,
             "timed out waiting for: readiness of e{index}; {observations}; {}",
-            self.sight(index)
+            self.diagnostics(index)
         );
         assert!(node.settings.exists());
     }
 
-    /// Tells what a box and what it depends on are doing, and what they wrote.
-    fn sight(&self, index: usize) -> String {
-        let node = &self.nodes[index];
-        let reached = |address: SocketAddr| TcpStream::connect(address).map(drop);
-        let text = |path: PathBuf| std::fs::read_to_string(path);
+    /// Returns the state and the logs of a box and of the processes that it depends on.
+    fn diagnostics(&self, index: usize) -> String {
+        let node = &self.boxes[index];
+        let connect = |address: SocketAddr| TcpStream::connect(address).map(drop);
+        let read = |path: PathBuf| std::fs::read_to_string(path);
         format!(
             "the box: {}; its log: {:?}; platform: {}, reached {:?}, by the proxy {:?}; \
              its log: {:?}",
             process_state(&node.child),
-            text(node.settings.with_extension("log")),
-            process_state(&self.process),
-            reached(self.platform),
-            reached(self.proxy),
-            text(self.folder.join("platform.log")),
+            read(node.settings.with_extension("log")),
+            process_state(&self.platform_process),
+            connect(self.platform),
+            connect(self.proxy),
+            read(self.folder.join("platform.log")),
         )
     }
 
+    /// Creates a service and waits until every box knows it.
     pub fn create_service(&self) {
-        self.operate(&["service", "create", "stock", "--team", "pharmacy"]);
-        // In force at every box.
-        for node in &self.nodes {
+        self.run_command(&["service", "create", "stock", "--team", "pharmacy"]);
+        for node in &self.boxes {
             wait_for("the service", || {
-                let shown = command_at(&node.rpc.to_string(), &["service", "list"]);
-                shown.text.contains("stock")
+                let output = command_at(&node.rpc.to_string(), &["service", "list"]);
+                output.text.contains("stock")
             });
         }
     }
 
-    /// Runs an operator's command at the first box that is reached.
-    pub fn command(&self, arguments: &[&str]) -> Printed {
+    /// Runs an operator's command at the first box that can be reached.
+    pub fn command(&self, arguments: &[&str]) -> CommandOutput {
         let mut last = None;
-        for node in &self.nodes {
-            let printed = command_at(&node.rpc.to_string(), arguments);
-            if printed.code != 3 {
-                return printed;
+        for node in &self.boxes {
+            let output = command_at(&node.rpc.to_string(), arguments);
+            if output.code != 3 {
+                return output;
             }
-            last = Some(printed);
+            last = Some(output);
         }
-        last.expect("a box")
+        last.expect("the deployment has boxes")
     }
 
-    pub fn operate(&self, arguments: &[&str]) -> String {
-        let printed = self.command(arguments);
-        assert_eq!(printed.code, 0, "{arguments:?}: {}", printed.text);
-        printed.text
+    /// Runs an operator's command that must succeed and returns what it printed.
+    pub fn run_command(&self, arguments: &[&str]) -> String {
+        let output = self.command(arguments);
+        assert_eq!(output.code, 0, "{arguments:?}: {}", output.text);
+        output.text
     }
 
-    /// Submits a job of `tasks` tasks of `cores` thousandths and `work` milliseconds.
-    pub fn submit(&self, id: &str, tasks: u32, cores: u32, work: u64) {
+    /// Submits a job of `tasks` tasks, each with `cores` thousandths of a core and `work`
+    /// milliseconds of work.
+    pub fn submit_job(&self, id: &str, tasks: u32, cores: u32, work: u64) {
         let (tasks, cores, work) = (tasks.to_string(), cores.to_string(), work.to_string());
         let mut words = vec!["job", "submit", id, "--team", "ledger", "--kind", "settle"];
         words.extend(["--tasks", &tasks, "--cores", &cores, "--work-ms", &work]);
-        self.operate(&words);
+        self.run_command(&words);
     }
 
-    /// Returns how often the living workers ran a task beside itself, and were
-    /// given more than their room, by their own records.
-    pub fn broken(&self) -> (u64, u64) {
+    /// Returns how often live workers counted duplicate runs of a task and work beyond their
+    /// capacity.
+    pub fn rule_violations(&self) -> (u64, u64) {
         let counts = self.worker_counts();
-        let doubled = counts.iter().map(|c| c.doubled).sum();
+        let duplicate_runs = counts.iter().map(|c| c.duplicate_runs).sum();
         let overloads = counts.iter().map(|c| c.overloads).sum();
-        (doubled, overloads)
+        (duplicate_runs, overloads)
     }
 
-    /// Waits until a job is in a state and returns what is shown of it.
-    pub fn wait_job(&self, id: &str, state: &str) -> serde_json::Value {
+    /// Waits until a job is in a state and returns the job as `job show` prints it.
+    pub fn wait_for_job(&self, id: &str, state: &str) -> serde_json::Value {
         let mut shown = serde_json::Value::Null;
         wait_for(&format!("job {id} to be {state}"), || {
-            let printed = self.command(&["job", "show", id]);
-            let list = serde_json::from_str::<Vec<serde_json::Value>>(&printed.text);
+            let output = self.command(&["job", "show", id]);
+            let list = serde_json::from_str::<Vec<serde_json::Value>>(&output.text);
             let job = list.ok().and_then(|mut l| l.pop());
             shown = job.unwrap_or(serde_json::Value::Null);
             shown["state"] == state
@@ -290,33 +299,39 @@
         shown
     }
 
-    pub fn request(&self, index: usize, id: &str, repeatable: bool) -> Told {
-        request(self.nodes[index].web, id, repeatable)
+    /// Sends a request to a box and returns its outcome.
+    pub fn request(&self, index: usize, id: &str, repeatable: bool) -> Outcome {
+        send(self.boxes[index].web, id, repeatable)
     }
 
-    /// Lets callers send requests through all boxes in turn, trying the next
-    /// box when one refuses the connection, as a balancer does.
-    pub fn callers(&self, count: usize) -> Callers {
-        let boxes: Vec<SocketAddr> = self.nodes.iter().map(|n| n.web).collect();
+    /// Spawns callers that send requests through all boxes in turn and try the next box when one
+    /// refuses the connection, as a load balancer does.
+    pub fn spawn_callers(&self, count: usize) -> Callers {
+        let boxes: Vec<SocketAddr> = self.boxes.iter().map(|b| b.web).collect();
         let thread = std::thread::spawn(move || {
-            let one = |number: usize| {
+            let send_one = |number: usize| {
                 let id = format!("caller{number}");
-                let at = |turn: usize| boxes[(number + turn) % boxes.len()];
-                let mut told = (0..boxes.len()).map(|turn| request(at(turn), &id, true));
+                let address = |attempt: usize| boxes[(number + attempt) % boxes.len()];
+                let mut outcomes =
+                    (0..boxes.len()).map(|attempt| send(address(attempt), &id, true));
                 std::thread::sleep(POLL_INTERVAL);
-                told.find(|t| *t != Told::Refused).unwrap_or(Told::Refused)
+                outcomes
+                    .find(|o| *o != Outcome::Refused)
+                    .unwrap_or(Outcome::Refused)
             };
-            (0..count).map(one).collect()
+            (0..count).map(send_one).collect()
         });
         Callers { thread }
     }
 
+    /// Kills a box.
     pub fn kill(&mut self, index: usize) {
-        let child = &mut self.nodes[index].child;
+        let child = &mut self.boxes[index].child;
         child.kill().expect("killed");
         child.wait().expect("ended");
     }
 
+    /// Kills a worker.
     pub fn kill_worker(&mut self, index: usize) {
         let worker = &mut self.workers[index];
         worker.child.kill().expect("killed");
@@ -325,50 +340,52 @@
     }
 
     fn signal(&self, index: usize, signal: libc::c_int) {
-        let id = self.nodes[index].child.id() as libc::pid_t;
+        let id = self.boxes[index].child.id() as libc::pid_t;
         // SAFETY: the child was started here and has not been waited for.
         assert_eq!(unsafe { libc::kill(id, signal) }, 0);
     }
 
+    /// Pauses a box by SIGSTOP.
     pub fn freeze(&self, index: usize) {
         self.signal(index, libc::SIGSTOP);
     }
 
-    pub fn thaw(&self, index: usize) {
+    /// Resumes a frozen box.
+    pub fn unfreeze(&self, index: usize) {
         self.signal(index, libc::SIGCONT);
     }
 
-    /// Stops a box as planned and returns its exit code.
+    /// Performs a planned stop of a box and returns its exit code.
     pub fn stop(&mut self, index: usize) -> Option<i32> {
-        self.terminate(index);
-        self.wait_end(index)
+        self.begin_stop(index);
+        self.wait_for_exit(index)
     }
 
-    /// Begins a planned stop.
-    pub fn terminate(&self, index: usize) {
+    /// Begins a planned stop of a box by SIGTERM.
+    pub fn begin_stop(&self, index: usize) {
         self.signal(index, libc::SIGTERM);
     }
 
-    /// Waits until callers can't connect to a box any more.
-    pub fn wait_closed(&self, index: usize) {
-        let web = self.nodes[index].web;
+    /// Waits until a box accepts no connections from callers any more.
+    pub fn wait_for_closed_listener(&self, index: usize) {
+        let web = self.boxes[index].web;
         wait_for("closed listeners", || TcpStream::connect(web).is_err());
     }
 
-    /// Sends the first part of a request to a box.
-    pub fn half_request(&self, index: usize) -> Half {
-        let text = message("half", true);
+    /// Sends the first half of a request to a box.
+    pub fn begin_request(&self, index: usize) -> PartialRequest {
+        let text = request_text("half", true);
         let (first, rest) = text.split_at(text.len() / 2);
-        let mut stream = TcpStream::connect(self.nodes[index].web).expect("connected");
+        let mut stream = TcpStream::connect(self.boxes[index].web).expect("connected");
         stream.write_all(first.as_bytes()).expect("sent");
         let rest = rest.to_string();
-        Half { stream, rest }
+        PartialRequest { stream, rest }
     }
 
-    /// Waits for the end of a box and returns its exit code.
-    pub fn wait_end(&mut self, index: usize) -> Option<i32> {
+    /// Waits until a box exits and returns its exit code.
+    pub fn wait_for_exit(&mut self, index: usize) -> Option<i32> {
         let mut code = None;
-        let child = &mut self.nodes[index].child;
+        let child = &mut self.boxes[index].child;
         wait_for("the planned stop", || {
             let status = child.try_wait().expect("status");
             code = status.and_then(|s| s.code());
@@ -377,26 +394,28 @@
         code
     }
 
-    /// Waits until the other boxes own all workers that answer.
-    pub fn wait_cells_without(&self, index: usize) {
-        let other = (index + 1) % self.nodes.len();
-        let address = self.nodes[other].rpc.to_string();
-        let wanted = self.workers.len();
+    /// Waits until the box after `index` lists all workers as open, so that the cells of box `index`
+    /// have new owners.
+    pub fn wait_for_successors(&self, index: usize) {
+        let other = (index + 1) % self.boxes.len();
+        let address = self.boxes[other].rpc.to_string();
+        let expected = self.workers.len();
         wait_for("the successors", || {
-            let shown = command_at(&address, &["worker", "list"]);
-            let value: serde_json::Value = serde_json::from_str(&shown.text).unwrap_or_default();
+            let output = command_at(&address, &["worker", "list"]);
+            let value: serde_json::Value = serde_json::from_str(&output.text).unwrap_or_default();
             let workers = value["workers"].as_array().cloned().unwrap_or_default();
             let open = workers.iter().filter(|w| w["state"] == "open");
-            open.count() == wanted
+            open.count() == expected
         });
     }
 
-    /// Holds up all answers of the platform to the first box, or lets them go on.
-    pub fn cut_answers(&self, cut: bool) {
-        self.deaf.store(cut, Ordering::Relaxed);
+    /// Blocks or unblocks all answers of the platform to the first box.
+    pub fn block_answers(&self, blocked: bool) {
+        self.answers_blocked.store(blocked, Ordering::Relaxed);
     }
 
-    pub fn platform_down(&self, millis: u64) {
+    /// Makes the platform unavailable for some milliseconds.
+    pub fn suspend_platform(&self, millis: u64) {
         let platform = self.platform;
         let fault = proto::PlatformFault {
             down_ms: millis,
@@ -408,11 +427,11 @@
             channel.call(5_000, set).await
         };
         block_on(call)
-            .expect("a runtime")
+            .expect("the runtime starts")
             .expect("the fault is set");
     }
 
-    /// Returns the epochs of all cells by the platform's table.
+    /// Returns the keys of all cells with their epochs, from the platform's table.
     pub fn cell_epochs(&self) -> Vec<(String, u64)> {
         let platform = self.platform;
         let call = async move {
@@ -425,7 +444,7 @@
             Channel::new(platform).call(5_000, scan).await
         };
         let reply = block_on(call)
-            .expect("a runtime")
+            .expect("the runtime starts")
             .expect("the table answers");
         let epoch = |row: proto::Row| {
             let value: claim::CellRow = serde_json::from_slice(&row.value).expect("a cell's row");
@@ -434,34 +453,34 @@
         reply.rows.into_iter().map(epoch).collect()
     }
 
-    /// Returns the own records of the workers that are alive.
-    pub fn worker_counts(&self) -> Vec<Counts> {
+    /// Returns the counts of the live workers.
+    pub fn worker_counts(&self) -> Vec<WorkerCounts> {
         let alive = self.workers.iter().filter(|w| w.alive);
-        alive.map(|w| counts(w.rpc)).collect()
+        alive.map(|w| read_counts(w.rpc)).collect()
     }
 }
 
-fn counts(rpc: SocketAddr) -> Counts {
+fn read_counts(rpc: SocketAddr) -> WorkerCounts {
     let call = async move {
         let request = proto::WorkerCountRequest {};
         let count = |c| async move { WorkerFaultsClient::new(c).count(request).await };
         Channel::new(rpc).call(5_000, count).await
     };
     let reply = block_on(call)
-        .expect("a runtime")
+        .expect("the runtime starts")
         .expect("the worker answers");
-    Counts {
-        doubled: reply.doubled,
+    WorkerCounts {
+        duplicate_runs: reply.doubled,
         overloads: reply.overloads,
-        ids: reply.ids.into_iter().map(|i| (i.id, i.count)).collect(),
+        runs_by_id: reply.ids.into_iter().map(|i| (i.id, i.count)).collect(),
     }
 }
 
 impl Drop for Deployment {
     fn drop(&mut self) {
-        let nodes = self.nodes.iter_mut().map(|n| &mut n.child);
+        let boxes = self.boxes.iter_mut().map(|b| &mut b.child);
         let workers = self.workers.iter_mut().map(|w| &mut w.child);
-        for child in nodes.chain(workers).chain([&mut self.process]) {
+        for child in boxes.chain(workers).chain([&mut self.platform_process]) {
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -469,29 +488,33 @@
     }
 }
 
-impl Half {
-    /// Sends the rest and returns what the caller is told.
-    pub fn finish(self) -> Told {
-        told(complete_request(self.stream, &self.rest))
+impl PartialRequest {
+    /// Sends the rest of the request and returns its outcome.
+    pub fn finish(self) -> Outcome {
+        parse_outcome(complete_request(self.stream, &self.rest))
     }
 }
 
-fn request(address: SocketAddr, id: &str, repeatable: bool) -> Told {
-    let began = Instant::now();
-    let result = send_request(address, &message(id, repeatable));
-    let seen = format!("{result:?}");
-    let told = told(result);
-    if matches!(told, Told::Lost | Told::Unknown) {
-        // Shown with a test that fails.
-        println!("{id} at {address} after {:?}: {seen}", began.elapsed());
+fn send(address: SocketAddr, id: &str, repeatable: bool) -> Outcome {
+    let started = Instant::now();
+    let result = send_request(address, &request_text(id, repeatable));
+    let received = format!("{result:?}");
+    let outcome = parse_outcome(result);
+    if matches!(outcome, Outcome::Lost | Outcome::Unknown) {
+        // The test harness shows the output of failed tests only.
+        println!(
+            "{id} at {address} after {:?}: {received}",
+            started.elapsed()
+        );
     }
-    told
+    outcome
 }
 
-fn message(id: &str, repeatable: bool) -> String {
+/// Returns the text of an HTTP request.
+fn request_text(id: &str, repeatable: bool) -> String {
     let issued = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .expect("a clock");
+        .expect("the clock is after 1970");
     let body = format!("body of {id}");
     format!(
         "POST /x HTTP/1.1\r\nhost: x\r\nconnection: close\r\nwillowpoint-service: stock\r\n\
@@ -503,16 +526,17 @@
     )
 }
 
-fn told(result: std::io::Result<String>) -> Told {
+/// Derives the outcome of a request from the received answer.
+fn parse_outcome(result: std::io::Result<String>) -> Outcome {
     let text = match result {
         Ok(text) if !text.is_empty() => text,
-        Err(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => return Told::Refused,
-        _ => return Told::Lost,
+        Err(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => return Outcome::Refused,
+        _ => return Outcome::Lost,
     };
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
     match () {
-        () if head.contains("willowpoint-verdict: answer") => Told::Answer(body.into()),
-        () if head.contains("willowpoint-verdict: not-run") => Told::NotRun,
-        () => Told::Unknown,
+        () if head.contains("willowpoint-verdict: answer") => Outcome::Answer(body.into()),
+        () if head.contains("willowpoint-verdict: not-run") => Outcome::NotRun,
+        () => Outcome::Unknown,
     }
 }
