--- a/tests/processes/deployment.rs
+++ b/tests/processes/deployment.rs
@@ -288,15 +288,15 @@
 
     /// Waits until a job is in a state and returns the job as `job show` prints it.
     pub fn wait_for_job(&self, id: &str, state: &str) -> serde_json::Value {
-        let mut shown = serde_json::Value::Null;
+        let mut found = serde_json::Value::Null;
         wait_for(&format!("job {id} to be {state}"), || {
             let output = self.command(&["job", "show", id]);
             let list = serde_json::from_str::<Vec<serde_json::Value>>(&output.text);
             let job = list.ok().and_then(|mut l| l.pop());
-            shown = job.unwrap_or(serde_json::Value::Null);
-            shown["state"] == state
+            found = job.unwrap_or(serde_json::Value::Null);
+            found["state"] == state
         });
-        shown
+        found
     }
 
     /// Sends a request to a box and returns its outcome.
@@ -394,8 +394,8 @@
         code
     }
 
-    /// Waits until the box after `index` lists all workers as open, so that the cells of box `index`
-    /// have new owners.
+    /// Waits until the box after `index` lists all workers as open, so that the cells of box
+    /// `index` have new owners.
     pub fn wait_for_successors(&self, index: usize) {
         let other = (index + 1) % self.boxes.len();
         let address = self.boxes[other].rpc.to_string();
