--- a/tests/command.rs
+++ b/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line without a deployment.
+//! Tests of the command line that need no deployment.
 
 use std::process::{Command, Output};
 
@@ -8,11 +8,11 @@
     command
         .args(arguments)
         .current_dir(env!("CARGO_MANIFEST_DIR"));
-    command.output().expect("the program runs")
+    command.output().expect("the program starts")
 }
 
 #[test]
-fn the_sample_settings_pass() {
+fn check_accepts_the_sample_settings() {
     let output = run(&[
         "check",
         "settings/recoge-ya.toml",
@@ -23,36 +23,37 @@
 }
 
 #[test]
-fn a_daemon_refuses_to_start_on_the_findings_of_check() {
+fn a_daemon_refuses_to_start_with_the_errors_that_check_reports() {
     let path = std::env::temp_dir().join(format!("willowpoint-{}.toml", std::process::id()));
-    std::fs::write(&path, "[box]\nname = \"e1\"\nhall = \"h\"\nweb = \"x\"\n").expect("written");
+    std::fs::write(&path, "[box]\nname = \"e1\"\nhall = \"h\"\nweb = \"x\"\n")
+        .expect("the settings can be written");
     let name = path.to_string_lossy().to_string();
     let checked = run(&["check", &name]);
     let refused = run(&["entry", "--config", &name]);
-    std::fs::remove_file(&path).expect("removed");
+    std::fs::remove_file(&path).expect("the settings can be removed");
     let codes = (checked.status.code(), refused.status.code());
     assert_eq!(codes, (Some(2), Some(2)));
-    let found = String::from_utf8_lossy(&checked.stdout).to_string();
-    let told = String::from_utf8_lossy(&refused.stderr).to_string();
-    assert_eq!(found, told);
-    assert!(found.contains(":4: box.web:"), "{found}");
+    let reported = String::from_utf8_lossy(&checked.stdout).to_string();
+    let printed = String::from_utf8_lossy(&refused.stderr).to_string();
+    assert_eq!(reported, printed);
+    assert!(reported.contains(":4: box.web:"), "{reported}");
 }
 
 #[test]
-fn check_knows_the_settings_of_a_box_on_the_platform() {
+fn check_validates_the_settings_of_a_box_on_the_platform() {
     let path = std::env::temp_dir().join(format!("willowpoint-{}-p.toml", std::process::id()));
     let text = "[box]\nname = \"e1\"\nhall = \"h\"\nweb = \"10.0.0.1:1\"\nadmin = \"10.0.0.1:2\"\n\
                 rpc = \"10.0.0.1:3\"\n[platform]\nstore = \"10.0.0.9:1\"\n[workers]\nlease = 4\n";
-    std::fs::write(&path, text).expect("written");
+    std::fs::write(&path, text).expect("the settings can be written");
     let name = path.to_string_lossy().to_string();
     let checked = run(&["check", &name]);
     let refused = run(&["serve", "--config", &name]);
-    std::fs::remove_file(&path).expect("removed");
+    std::fs::remove_file(&path).expect("the settings can be removed");
     let codes = (checked.status.code(), refused.status.code());
     assert_eq!(codes, (Some(2), Some(2)));
-    let found = String::from_utf8_lossy(&checked.stdout).to_string();
-    assert_eq!(found.lines().count(), 1, "{found}");
-    assert!(found.contains(":10: workers.lease:"), "{found}");
+    let reported = String::from_utf8_lossy(&checked.stdout).to_string();
+    assert_eq!(reported.lines().count(), 1, "{reported}");
+    assert!(reported.contains(":10: workers.lease:"), "{reported}");
 }
 
 #[test]
--- a/tools/schema/src/main.rs
+++ b/tools/schema/src/main.rs
@@ -1,7 +1,7 @@
-//! Writes the RPC code that the schema in `proto/` gives.
+//! Generates the RPC code of the schema in `proto/`.
 //!
-//! `cargo run -p willowpoint-schema` writes it into the source tree; the test
-//! of this package compares what is committed.
+//! `cargo run -p willowpoint-schema` writes the code into the source tree. The test of this package
+//! checks that the committed code is current.
 
 use std::path::{Path, PathBuf};
 
@@ -14,23 +14,26 @@
     "willowpoint/v1/operator.proto",
     "willowpoint/v1/cluster.proto",
 ];
+/// Name of the generated file.
 const FILE: &str = "willowpoint.v1.rs";
 
 fn main() -> eyre::Result<()> {
     let code = generate()?;
-    let path = committed();
+    let path = committed_path();
     std::fs::write(&path, code).wrap_err_with(|| format!("cannot write {}", path.display()))
 }
 
+/// Returns the root of the repository.
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn committed() -> PathBuf {
+/// Returns the path of the committed code.
+fn committed_path() -> PathBuf {
     root().join("src/generated").join(FILE)
 }
 
-/// Returns the code that the schema gives now.
+/// Returns the code generated from the current schema.
 fn generate() -> eyre::Result<String> {
     let files = protox::compile(PROTOS, [root().join("proto")])?;
     let out = std::env::temp_dir().join(format!("willowpoint-schema-{}", std::process::id()));
--- a/tools/schema/src/tests.rs
+++ b/tools/schema/src/tests.rs
@@ -1,11 +1,12 @@
-//! The committed code is what the schema gives.
+//! Checks that the committed code matches the schema.
 
 #[test]
 fn committed_code_is_current() {
-    let fresh = super::generate().expect("the schema gives code");
-    let kept = std::fs::read_to_string(super::committed()).expect("committed code");
+    let generated = super::generate().expect("the schema can be compiled");
+    let committed =
+        std::fs::read_to_string(super::committed_path()).expect("the committed code can be read");
     assert!(
-        kept == fresh,
-        "the committed code differs: cargo run -p willowpoint-schema"
+        committed == generated,
+        "the committed code is outdated; regenerate it: cargo run -p willowpoint-schema"
     );
 }
