--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -81,7 +81,7 @@
         std::mem::take(&mut self.waiting).into_values().collect()
     }
 
-    /// Removes and returns the requests for which `late` is true.
+    /// Removes and returns the requests that are too late by `late`.
     fn take_expired(&mut self, late: impl Fn(&PendingRequest) -> bool) -> Vec<PendingRequest> {
         let keys: Vec<QueueKey> = self
             .waiting
@@ -345,7 +345,7 @@
         expired.iter().map(refusal).collect()
     }
 
-    /// Refuses all queued requests because the cell or its lease is lost.
+    /// Refuses all queued requests for the same reason.
     pub fn refuse_all(&mut self, reason: Reason) -> Vec<Action> {
         let waiting = self.queue.drain();
         waiting
--- a/src/cell/start.rs
+++ b/src/cell/start.rs
@@ -150,7 +150,7 @@
             shard.last_start = now;
             let before = std::mem::replace(&mut shard.states[index], TaskState::Running(id));
             invariant::check(before == TaskState::Waiting, Rule::Resume, || {
-                format!("task {task} of {key} started without waiting")
+                format!("task {task} of {key} started although it was not waiting")
             });
         }
         Some(Action::Start {
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -29,7 +29,7 @@
     pub http: SocketAddr,
     /// Address of its control RPC.
     pub rpc: SocketAddr,
-    /// True when the worker takes nothing new.
+    /// True when the worker accepts no new work.
     pub leaving: bool,
 }
 
@@ -48,7 +48,7 @@
     pub runs: Vec<RunReport>,
     /// Measured slowdowns; they arrive late.
     pub samples: Vec<Sample>,
-    /// True when the worker takes nothing new.
+    /// True when the worker accepts no new work.
     pub leaving: bool,
 }
 
@@ -101,7 +101,7 @@
     pub name: Name,
     /// Epoch of the ownership.
     pub epoch: u64,
-    /// True while the cell takes nothing new because it is about to be released.
+    /// True while the cell accepts no new work because it is about to be released.
     pub leaving: bool,
     /// Settings of the decisions.
     pub policy: Policy,
@@ -135,7 +135,9 @@
     /// Worker of each request in progress, by ticket.
     pub(super) tickets: BTreeMap<u64, Name>,
     pub(super) random: Random,
+    /// Number of selections made by [`super::Selection::RoundRobin`].
     pub(super) next_turn: u64,
+    /// Number of runs started under this epoch.
     pub(super) run_counter: u64,
     /// Round of the last polls; each tick begins a new round.
     pub(super) poll_round: u64,
@@ -143,6 +145,7 @@
     pub(super) hold_until: Millis,
     /// When the job shards were read. Reports that arrived earlier settled no task.
     pub(super) loaded_at: Millis,
+    /// True once the job shards were read.
     pub(super) loaded: bool,
     pub(super) margin: Millis,
     pub(super) timings: Timings,
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -45,7 +45,7 @@
     pub shape: Shape,
     /// True once the worker has answered under this epoch, while it keeps answering.
     pub responsive: bool,
-    /// True when the directory or an operator says that the worker takes nothing new.
+    /// True when the directory or an operator declares that the worker accepts no new work.
     pub leaving: bool,
     /// True while the worker is in the list of live workers.
     pub listed: bool,
@@ -75,7 +75,7 @@
     pub lease_renewed: Millis,
     /// When the renewal in progress was sent, or 0.
     pub renewal_sent: Millis,
-    /// True when the worker itself reports that it takes nothing new.
+    /// True when the worker itself reports that it accepts no new work.
     pub retiring: bool,
     /// Consecutive failures of requests.
     pub consecutive_failures: u32,
@@ -139,7 +139,7 @@
         self.responsive && now < self.valid_until && !self.leaving && !self.retiring && self.listed
     }
 
-    /// Checks the invariant that a leaving worker gets nothing new; returns false when the
+    /// Checks the invariant that a leaving worker gets no new work; returns false when the
     /// worker is leaving.
     pub fn check_not_leaving(&self) -> bool {
         let staying = self.listed && !self.leaving && !self.retiring;
--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -32,7 +32,7 @@
     Unknown,
 }
 
-/// What the caller of the state machine has to do next.
+/// Next step that the transaction requests from the code that drives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Make this call, and pass its outcome to [`ConfigTransaction::advance`].
--- a/src/demo/deployment.rs
+++ b/src/demo/deployment.rs
@@ -18,7 +18,7 @@
 use crate::standin::worker;
 use crate::utils::clock;
 
-/// Rate limits of the table, as on the users' platform.
+/// Rate limits of the table, as on the production platform.
 const TABLE_RATES: Rates = Rates {
     writes: 300,
     reads: 2_000,
@@ -227,7 +227,7 @@
     Ok(channel.call(CALL_TIMEOUT, call).await?)
 }
 
-/// Waits until a box is ready or the time `end` has come.
+/// Waits until a box is ready, as the platform's load balancer does; fails at the time `end`.
 async fn wait_until_ready(settings: &Settings, end: u64) -> eyre::Result<()> {
     loop {
         if status(settings).await.is_ok_and(|s| s.ready) {
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -57,9 +57,9 @@
 /// Time of an event, on three clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// Milliseconds on the monotonic clock.
+    /// Milliseconds since boot, including time in which the machine was suspended.
     pub millis: Millis,
-    /// Microseconds on the monotonic clock.
+    /// Microseconds since boot, including time in which the machine was suspended.
     pub micros: u64,
     /// Milliseconds since the Unix epoch.
     pub wall: Millis,
@@ -146,7 +146,7 @@
 pub enum WorkerCallOutcome {
     /// A poll of the worker's state.
     Polled {
-        /// Time of sending, in ms on the monotonic clock.
+        /// Time of sending, in ms on the boot-time clock.
         sent: Millis,
         /// Round number of the poll.
         round: u64,
@@ -207,7 +207,7 @@
     TableCallEnded {
         /// Number of the call.
         op: u64,
-        /// Time of sending, in ms on the monotonic clock.
+        /// Time of sending, in ms on the boot-time clock.
         sent: Millis,
         /// Outcome of the call.
         outcome: Outcome,
@@ -236,7 +236,7 @@
     GreetingEnded {
         /// Incarnation of the receiver.
         to: Name,
-        /// Time of sending, in ms on the monotonic clock.
+        /// Time of sending, in ms on the boot-time clock.
         sent: Millis,
         /// Greeting in the reply and whether the promise was given; `None` without a reply.
         reply: Option<(Greeting, bool)>,
--- a/src/engine/in_flight.rs
+++ b/src/engine/in_flight.rs
@@ -23,7 +23,7 @@
 /// Where a request is being processed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Not routed yet, or again.
+    /// Not routed yet, or to be routed again.
     New,
     /// Forwarded to the owner of its dedup shard.
     Dedup,
@@ -40,7 +40,7 @@
 pub(super) struct InFlightRequest {
     /// Checked headers.
     pub meta: Meta,
-    /// Time at which the caller stops waiting, in ms on the monotonic clock.
+    /// Time at which the caller stops waiting, in ms on the boot-time clock.
     pub deadline: Millis,
     /// Who sent the request.
     pub origin: Origin,
--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -9,12 +9,12 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Number of steps over which a retry delay is spread between one and two times its length, so that
-/// callers do not retry at the same time.
+/// Number of steps in which the time until a caller may retry varies between one and two times its
+/// length, so that callers do not retry at the same time.
 const JITTER_STEPS: u64 = 200;
 
 impl Engine {
-    /// Retries a request that a cell has refused in another cell, or answers it as not run.
+    /// Retries in another cell a request that a cell has refused, or answers it as not run.
     pub(super) fn handle_refusal(
         &mut self,
         now: Now,
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -22,7 +22,7 @@
 /// Shortest time limit in ms for the drain of the servers, also once the stop has timed out.
 const MIN_DRAIN: Millis = 1_000;
 
-/// State machine of one entry box. All times are in ms on the monotonic clock.
+/// State machine of one entry box. All times are in ms on the boot-time clock.
 #[derive(Clone, Debug)]
 pub struct Engine {
     pub(super) settings: EngineSettings,
@@ -130,12 +130,12 @@
         }
     }
 
-    /// Returns the own incarnation.
+    /// Returns the incarnation of this box.
     pub fn id(&self) -> &Name {
         self.lease.id()
     }
 
-    /// Returns the time until which sends to workers may leave.
+    /// Returns the time until which requests and calls may be sent to workers.
     pub fn send_until(&self) -> Millis {
         self.lease.acts_until()
     }
@@ -242,7 +242,7 @@
         self.finish_stop(now, out);
     }
 
-    /// Begins a planned stop: this box gives its cells away and takes no new ones.
+    /// Begins a planned stop: this box releases its cells and claims no new ones.
     fn begin_stop(&mut self, now: Now) {
         if self.stopping_since.is_none() {
             log::info!(target: "engine", "planned stop begins");
--- a/src/entry/driver.rs
+++ b/src/entry/driver.rs
@@ -107,7 +107,7 @@
     pub platform: PlatformClient,
     /// gRPC channels to boxes and workers by address.
     channels: std::cell::RefCell<HashMap<SocketAddr, Channel>>,
-    /// Time until which requests and calls may be sent to workers, in ms on the monotonic clock.
+    /// Time until which requests and calls may be sent to workers, in ms on the boot-time clock.
     send_until: Cell<Millis>,
     sender: mpsc::UnboundedSender<Message>,
 }
--- a/src/entry/listings.rs
+++ b/src/entry/listings.rs
@@ -46,7 +46,7 @@
     Ok(parsed.filter(|(_, rpc)| *rpc != own_rpc).collect())
 }
 
-/// Returns the workers in the cells of this box only if `local`, or else in those of all boxes.
+/// Returns the workers of this box's cells if `local`, and those of all boxes' cells otherwise.
 pub(super) async fn list_workers(
     context: Rc<Context>,
     local: bool,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Returns the tasks in the cells of this box only if `local`, or else in those of all boxes.
+/// Returns the tasks of this box's cells if `local`, and those of all boxes' cells otherwise.
 pub(super) async fn list_tasks(
     context: Rc<Context>,
     request: proto::ListTasksRequest,
@@ -95,7 +95,8 @@
     Ok(proto::ListTasksReply { tasks, missing })
 }
 
-/// Returns the tasks of one job or of all jobs, and the boxes that did not answer.
+/// Returns the tasks of one job or of all jobs, and the boxes that did not answer. Asks no other
+/// box if `local`.
 pub(super) async fn collect_tasks(
     context: &Rc<Context>,
     job: Option<Name>,
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -111,7 +111,7 @@
     }
 }
 
-/// Returns the status of calls that arrive after the box has stopped.
+/// Returns the status for a call that the box does not answer because it is stopping.
 pub(super) fn stopping_status() -> Status {
     Status::unavailable("the box is stopping")
 }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -25,8 +25,8 @@
 use crate::utils::drain::Drain;
 use crate::web::{self, Reply};
 
-/// Time limit of a call other than a heartbeat or forward, and the retry delay of a request that
-/// could not be forwarded, in milliseconds.
+/// Time limit in milliseconds of a call other than a heartbeat or forward. Also the time after
+/// which the caller of a request that could not be forwarded may retry.
 const CALL_TIMEOUT: Millis = 2_000;
 /// Milliseconds after its deadline for which the reply to a forwarded request is awaited.
 const DEADLINE_GRACE: Millis = 50;
--- a/src/interference.rs
+++ b/src/interference.rs
@@ -1,4 +1,8 @@
 //! Learns how much each kind of work slows down each other kind beside it on a worker.
+//!
+//! The `entry` daemon's cells use the estimates directly, on slowdowns that workers measure. The
+//! scheduler of the `serve` daemon uses them in `sched::interference`, which first converts tail
+//! latencies to additive quantities.
 
 use std::collections::HashMap;
 
@@ -77,10 +81,9 @@
 
 /// Estimates of the interference for each pair of kinds and load band.
 ///
-/// The model is additive: the slowdown of a kind is 1 plus the interference of each
-/// kind beside it, weighted by its share. Each measurement updates the estimates
-/// by a Kalman step with a diagonal covariance, so that uncertain pairs change
-/// most.
+/// The model is additive: the slowdown of a kind is 1 plus the interference of each kind beside
+/// it, weighted by its share. Each measurement updates the estimates by a Kalman step with a
+/// diagonal covariance, so that uncertain pairs change most.
 #[derive(Clone, Debug, Default)]
 pub struct InterferenceEstimates {
     parameters: ModelParameters,
--- a/src/options.rs
+++ b/src/options.rs
@@ -67,11 +67,11 @@
 pub struct Intervals {
     /// Interval between two heartbeats to the same box.
     pub heartbeat: Millis,
-    /// Interval between two reads of the table's head rows.
+    /// Interval between two reads of the configuration's head row and of the list of workers.
     pub poll: Millis,
     /// Interval between two polls of the same worker.
     pub worker_poll: Millis,
-    /// Interval between two commits of the journal.
+    /// Interval between two commits of changed job shards.
     pub journal: Millis,
     /// Length of a task's lease on its worker.
     pub task_lease: Millis,
--- a/src/route.rs
+++ b/src/route.rs
@@ -40,7 +40,7 @@
     pub largest_worker: Shape,
 }
 
-/// What this box knows of a cell.
+/// A cell and its load, as this box knows them.
 #[derive(Clone, Debug)]
 pub struct CellView {
     /// Load as last reported.
@@ -51,7 +51,7 @@
     pub rpc: Option<SocketAddr>,
     /// When the load was reported.
     pub reported_at: Millis,
-    /// Requests that this box handed to the cell since then and that are in progress.
+    /// Requests in progress that this box has handed to the cell since `reported_at`.
     pub sent_since: u32,
 }
 
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Returns true once any cell was known; a cell that is missing afterwards is between
-    /// owners.
+    /// Returns true once any cell was known. A cell that is missing afterwards is changing its
+    /// owner.
     pub fn has_seen_cells(&self) -> bool {
         self.has_seen_cells
     }
--- a/src/rpc/bridge.rs
+++ b/src/rpc/bridge.rs
@@ -55,10 +55,10 @@
             })
         });
         let sent = self.queue.unbounded_send(boxed);
-        sent.map_err(|_| Status::unavailable("stopping"))?;
+        sent.map_err(|_| Status::unavailable("the box is stopping"))?;
         match result.await {
             Ok(result) => result.map(Response::new),
-            Err(_) => Err(Status::unavailable("stopping")),
+            Err(_) => Err(Status::unavailable("the box is stopping")),
         }
     }
 }
--- a/src/sched/interference.rs
+++ b/src/sched/interference.rs
@@ -5,7 +5,7 @@
 //! to busy shares, which are additive: the task's own load plus, for each best-effort task, its
 //! processor share times an interference factor. The factors are learned for each pair of images,
 //! from the busy share of a serving task beyond the own load estimated from the other tasks of its
-//! step.
+//! step. The estimates are those of [`crate::interference`], with images as kinds of work.
 
 use std::collections::HashMap;
 
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -57,7 +57,7 @@
 /// Readings of this box's clocks at the time of an event.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// Milliseconds on the monotonic clock.
+    /// Milliseconds since boot, including time in which the machine was suspended.
     pub steady: Millis,
     /// Milliseconds since the Unix epoch.
     pub wall: Millis,
--- a/src/standin/worker/state.rs
+++ b/src/standin/worker/state.rs
@@ -1,5 +1,5 @@
-//! State of a worker: it enforces its capacity, its leases and its fencing, and counts violations
-//! that no scheduler may cause.
+//! State of the stand-in worker: enforces its capacity, its leases and its fencing, and counts the
+//! violations that a scheduler must not cause.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -218,7 +218,8 @@
         allocated
     }
 
-    /// Adopts a higher epoch. Returns true, and counts the call, when it has a lower one.
+    /// Adopts the epoch of a call if it is higher. Returns true, and counts the call, if it is
+    /// lower.
     fn rejects_epoch(&mut self, epoch: u64) -> bool {
         if epoch < self.epoch && self.faults.fencing {
             self.counts.fenced_calls += 1;
--- a/src/utils/drain.rs
+++ b/src/utils/drain.rs
@@ -10,14 +10,15 @@
 
 use super::clock::Millis;
 
-/// The side of a task: signals when the shutdown begins, and delays its end until it is dropped.
+/// Handle of a task: signals that the shutdown begins, and delays its end until the handle is
+/// dropped.
 #[derive(Clone)]
 pub struct Drain {
     begun: Option<Shared<oneshot::Receiver<()>>>,
     _guard: Option<mpsc::UnboundedSender<Infallible>>,
 }
 
-/// The side that starts the shutdown of the tasks that hold a [`Drain`].
+/// Handle that begins the shutdown of the tasks that hold a [`Drain`], and waits for its end.
 pub struct DrainTrigger {
     begin: oneshot::Sender<()>,
     guards: mpsc::UnboundedReceiver<Infallible>,
--- a/src/utils/listen.rs
+++ b/src/utils/listen.rs
@@ -46,7 +46,8 @@
 /// Connections that the kernel has accepted by then are passed on, too, because closing the
 /// listener would reset them. Connections that arrive while it closes are ignored by the kernel:
 /// the caller's kernel retries after a second and is refused. Without this, 6 to 51 connections
-/// were reset when 300 listeners were closed while four callers connected, as the test of it does.
+/// were reset when 300 listeners were closed while four callers connected, as in the test
+/// `closing_a_listener_resets_no_connection`.
 pub async fn accept_all(listener: TcpListener, drain: &Drain, serve: impl Fn(TcpStream)) {
     let mut begun = Box::pin(drain.begun());
     loop {
