--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -1,7 +1,8 @@
-//! Slopes of state, time and bytes, for `docs/CAPACITY.md`.
+//! Measures how memory, message sizes and processor time grow with the size of a deployment, for
+//! `docs/CAPACITY.md`.
 //!
-//! `cargo bench --bench capacity` measures each at three sizes with fixed
-//! seeds and prints the least-squares line with its largest residual.
+//! `cargo bench --bench capacity` measures each quantity at three sizes with fixed seeds and prints
+//! the least-squares line with its largest relative residual.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::net::SocketAddr;
@@ -21,25 +22,25 @@
 use willowpoint::utils::Name;
 
 /// An allocator that counts the bytes in use.
-struct Counting;
+struct CountingAllocator;
 
-static BYTES: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call is handed on to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is passed to the system allocator unchanged.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        BYTES.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 const SHAPE: Shape = Shape {
     slots: 8,
@@ -48,63 +49,71 @@
     memory: 250_000,
     accelerators: 2,
 };
-/// Workers of one rack.
-const RACK: usize = 8;
-/// Batch tasks running on one worker at the target, rounded up.
-const RUNS: usize = 6;
+/// Number of workers in a rack.
+const RACK_WORKERS: usize = 8;
+/// Number of batch tasks that run on a worker at the target size, rounded up.
+const RUNS_PER_WORKER: usize = 6;
 
 fn main() {
     println!(
         "{:44} {:>12} {:>14} {:>10}",
         "what", "per unit", "fixed", "residual"
     );
-    memory();
-    bytes();
-    time();
+    measure_memory();
+    measure_messages();
+    measure_time();
 }
 
-/// Prints the line through the measured points.
-fn line(what: &str, unit: &str, points: &[(f64, f64)]) {
+/// Prints the least-squares line through the measured points.
+fn print_line(what: &str, unit: &str, points: &[(f64, f64)]) {
     let count = points.len() as f64;
     let mean = |f: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(f).sum::<f64>() / count;
     let (x, y) = (mean(&|p| p.0), mean(&|p| p.1));
-    let over: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
-    let under: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
-    let slope = over / under;
+    let covariance: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
+    let variance: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
+    let slope = covariance / variance;
     let fixed = y - slope * x;
-    let miss = |p: &(f64, f64)| ((fixed + slope * p.0 - p.1) / p.1.max(1.0)).abs();
-    let residual = points.iter().map(miss).fold(0.0, f64::max) * 100.0;
+    let relative_error = |p: &(f64, f64)| ((fixed + slope * p.0 - p.1) / p.1.max(1.0)).abs();
+    let residual = points.iter().map(relative_error).fold(0.0, f64::max) * 100.0;
     println!("{what:44} {slope:>9.2} {unit:2} {fixed:>11.0} {unit:2} {residual:>8.1} %");
 }
 
-fn held<T>(build: impl FnOnce() -> T) -> f64 {
-    let before = BYTES.load(Ordering::Relaxed);
+/// Returns the bytes that the built value keeps allocated.
+fn allocated_by<T>(build: impl FnOnce() -> T) -> f64 {
+    let before = ALLOCATED_BYTES.load(Ordering::Relaxed);
     let value = build();
-    let after = BYTES.load(Ordering::Relaxed);
+    let after = ALLOCATED_BYTES.load(Ordering::Relaxed);
     drop(value);
     (after - before) as f64
 }
 
-fn memory() {
+/// Measures the memory of state in bytes.
+fn measure_memory() {
     let sizes = [13, 52, 104];
-    let points = sizes.map(|n| ((n * RACK) as f64, held(|| cells(n, RUNS))));
-    line("memory: worker with 6 runs", "B", &points);
-    let points = sizes.map(|n| ((n * RACK) as f64, held(|| cells(n, 0))));
-    line("memory: worker without runs", "B", &points);
-    let points = [100, 500, 1_000].map(|n| (n as f64, held(|| router(n))));
-    line("memory: cell in the view of a router", "B", &points);
-    let points = [1_000, 10_000, 50_000].map(|n| (n as f64, held(|| dedup_shard(n))));
-    line("memory: id in a guard", "B", &points);
-    let points = [100, 500, 1_000].map(|n| (n as f64, held(|| config(n))));
-    line("memory: entry of the configuration", "B", &points);
+    let points = sizes.map(|n| {
+        (
+            (n * RACK_WORKERS) as f64,
+            allocated_by(|| cells(n, RUNS_PER_WORKER)),
+        )
+    });
+    print_line("memory: worker with 6 runs", "B", &points);
+    let points = sizes.map(|n| ((n * RACK_WORKERS) as f64, allocated_by(|| cells(n, 0))));
+    print_line("memory: worker without runs", "B", &points);
+    let points = [100, 500, 1_000].map(|n| (n as f64, allocated_by(|| router(n))));
+    print_line("memory: cell in the view of a router", "B", &points);
+    let points = [1_000, 10_000, 50_000].map(|n| (n as f64, allocated_by(|| dedup_shard(n))));
+    print_line("memory: id in a guard", "B", &points);
+    let points = [100, 500, 1_000].map(|n| (n as f64, allocated_by(|| config(n))));
+    print_line("memory: entry of the configuration", "B", &points);
 }
 
-fn bytes() {
-    let greeting = |n: usize| greeting(n).encoded_len() as f64;
-    let points = [1, 26, 104].map(|n| (n as f64, greeting(n)));
-    line("bytes: cell in a greeting", "B", &points);
+/// Measures the sizes of messages and rows in bytes.
+fn measure_messages() {
+    let greeting_size = |n: usize| greeting(n).encoded_len() as f64;
+    let points = [1, 26, 104].map(|n| (n as f64, greeting_size(n)));
+    print_line("bytes: cell in a greeting", "B", &points);
     let points = [0, 6, 24].map(|n| (n as f64, sync_reply(n).encoded_len() as f64));
-    line("bytes: run in an exchange's reply", "B", &points);
+    print_line("bytes: run in an exchange's reply", "B", &points);
     let request = proto::SyncRequest {
         cell: "hall-01/rack-01".into(),
         epoch: 7,
@@ -122,16 +131,16 @@
         let row = willowpoint::table::encode(&shard(n).row);
         (n as f64, row.len() as f64)
     });
-    line("bytes: task in a job shard's row", "B", &points);
+    print_line("bytes: task in a job shard's row", "B", &points);
     let points = [100, 500, 1_000].map(|n| {
         let entries = willowpoint::table::encode(&config(n));
         (n as f64, entries.len() as f64)
     });
-    line("bytes: entry in a snapshot", "B", &points);
+    print_line("bytes: entry in a snapshot", "B", &points);
 }
 
-/// Returns nanoseconds of one call, the best of a few rounds.
-fn nanos(calls: usize, mut work: impl FnMut()) -> f64 {
+/// Returns the duration of a call in nanoseconds: the best of five rounds.
+fn best_nanos(calls: usize, mut work: impl FnMut()) -> f64 {
     let round = |work: &mut dyn FnMut()| {
         let start = Instant::now();
         (0..calls).for_each(|_| work());
@@ -140,10 +149,11 @@
     (0..5).map(|_| round(&mut work)).fold(f64::MAX, f64::min)
 }
 
-fn time() {
+/// Measures the processor time of operations in nanoseconds.
+fn measure_time() {
     let points = [94, 469, 938].map(|n| {
         let mut router = router(n);
-        let took = nanos(100_000, || {
+        let took = best_nanos(100_000, || {
             if let Some(cell) = router.choose(&[]) {
                 router.end_request(&cell);
             }
@@ -154,48 +164,49 @@
         );
         (n as f64, took)
     });
-    line("time: cell more in a choice", "ns", &points);
-    let points = [8, 32, 128].map(|n| (n as f64, admit(n)));
-    line("time: worker more in an admission", "ns", &points);
-    let points = [8, 32, 128].map(|n| (n as f64, placement(n)));
-    line("time: worker more in a placement", "ns", &points);
+    print_line("time: cell more in a choice", "ns", &points);
+    let points = [8, 32, 128].map(|n| (n as f64, measure_admission(n)));
+    print_line("time: worker more in an admission", "ns", &points);
+    let points = [8, 32, 128].map(|n| (n as f64, measure_placement(n)));
+    print_line("time: worker more in a placement", "ns", &points);
     let points = [13, 52, 104].map(|n| {
-        let mut all = cells(n, RUNS);
+        let mut all = cells(n, RUNS_PER_WORKER);
         let mut now = 2_000;
-        let took = nanos(200, || {
+        let took = best_nanos(200, || {
             now += 1;
             all.iter_mut().for_each(|c| drop(c.tick(now, now * 1_000)));
         });
-        ((n * RACK) as f64, took)
+        ((n * RACK_WORKERS) as f64, took)
     });
-    line("time: worker in a tick", "ns", &points);
+    print_line("time: worker in a tick", "ns", &points);
     let points = [13, 52, 104].map(|n| {
-        let mut all = cells(n, RUNS);
-        let took = nanos(20, || {
+        let mut all = cells(n, RUNS_PER_WORKER);
+        let took = best_nanos(20, || {
             for cell in &mut all {
-                exchange(cell, 2_000, RUNS);
+                poll_workers(cell, 2_000, RUNS_PER_WORKER);
             }
         });
-        ((n * RACK) as f64, took)
+        ((n * RACK_WORKERS) as f64, took)
     });
-    line("time: exchange's reply with 6 runs", "ns", &points);
+    print_line("time: exchange's reply with 6 runs", "ns", &points);
     let points = [1, 26, 104].map(|n| {
         let message = greeting(n).encode_to_vec();
-        let took = nanos(2_000, || {
+        let took = best_nanos(2_000, || {
             let decoded = proto::Greeting::decode(&message[..]);
             assert!(decoded.is_ok());
         });
         (n as f64, took)
     });
-    line("time: cell in a greeting, decoded", "ns", &points);
+    print_line("time: cell in a greeting, decoded", "ns", &points);
 }
 
-fn admit(workers: usize) -> f64 {
-    let mut cell = cell(0, workers, RUNS);
+/// Returns the duration of an admission in nanoseconds.
+fn measure_admission(workers: usize) -> f64 {
+    let mut cell = cell(0, workers, RUNS_PER_WORKER);
     let mut ticket = 0;
-    let took = nanos(20_000, || {
+    let took = best_nanos(20_000, || {
         ticket += 1;
-        let ask = PendingRequest {
+        let request = PendingRequest {
             ticket,
             service: "stock".into(),
             class: Class::Critical,
@@ -206,7 +217,7 @@
             },
             deadline: 1_000_000,
         };
-        let actions = cell.admit(1_000, 1_000_000, ask);
+        let actions = cell.admit(1_000, 1_000_000, request);
         assert!(matches!(actions[..], [Action::Send { .. }]));
         cell.finish_send(1_000, 1_001_000, ticket, SendOutcome::Answered);
     });
@@ -217,7 +228,8 @@
     took
 }
 
-fn placement(workers: usize) -> f64 {
+/// Returns the duration of the placement of a task in nanoseconds.
+fn measure_placement(workers: usize) -> f64 {
     let mut best = f64::MAX;
     for _ in 0..20 {
         let mut cell = cell(0, workers, 0);
@@ -234,29 +246,29 @@
 }
 
 fn cells(count: usize, runs: usize) -> Vec<Cell> {
-    (0..count).map(|i| cell(i, RACK, runs)).collect()
+    (0..count).map(|i| cell(i, RACK_WORKERS, runs)).collect()
 }
 
-/// Returns a cell whose workers have all answered and run some tasks.
+/// Returns a cell whose workers have all been polled and run the given number of tasks each.
 fn cell(index: usize, workers: usize, runs: usize) -> Cell {
     let name: Name = format!("hall-01/rack-{index:03}").into();
-    let times = Timings {
+    let timings = Timings {
         run_lease: 10_000,
         margin: 2_000,
         poll_interval: 1_000,
     };
-    let mut cell = Cell::new(name.clone(), 1, 0, Policy::default(), times);
-    let place = |i: usize| ListedWorker {
+    let mut cell = Cell::new(name.clone(), 1, 0, Policy::default(), timings);
+    let listed_worker = |i: usize| ListedWorker {
         name: format!("worker-{index:03}-{i:03}").into(),
         cell: name.clone(),
         http: SocketAddr::from(([10, 0, 0, 1], 1 + i as u16)),
         rpc: SocketAddr::from(([10, 0, 0, 2], 1 + i as u16)),
         leaving: false,
     };
-    let places: Vec<ListedWorker> = (0..workers).map(place).collect();
-    cell.set_workers(&places, &Default::default());
+    let listed: Vec<ListedWorker> = (0..workers).map(listed_worker).collect();
+    cell.set_workers(&listed, &Default::default());
     cell.load_shards(0, Vec::new());
-    exchange(&mut cell, 1_000, 0);
+    poll_workers(&mut cell, 1_000, 0);
     if runs > 0 {
         cell.load_shards(1_000, vec![shard(workers * runs)]);
         let mut started = cell.start_tasks(1_000);
@@ -272,11 +284,12 @@
     cell
 }
 
-fn exchange(cell: &mut Cell, now: u64, runs: usize) {
+/// Passes a poll reply of each worker to the cell, with reports of up to `runs` of its runs.
+fn poll_workers(cell: &mut Cell, now: u64, runs: usize) {
     let names: Vec<Name> = cell.workers.keys().cloned().collect();
     for name in names {
-        let present = cell.workers[&name].runs.values().take(runs);
-        let reports = present.map(|r| willowpoint::cell::RunReport {
+        let active = cell.workers[&name].runs.values().take(runs);
+        let reports = active.map(|r| willowpoint::cell::RunReport {
             id: r.id,
             job: r.job.clone(),
             task: r.task,
@@ -292,15 +305,16 @@
             runs: reports.collect(),
             ..PollReply::default()
         };
-        let asked = SentPoll {
+        let poll = SentPoll {
             sent: now,
             round: 1,
             acks: Vec::new(),
         };
-        cell.finish_poll(now, now * 1_000, &name, asked, PollOutcome::Reply(reply));
+        cell.finish_poll(now, now * 1_000, &name, poll, PollOutcome::Reply(reply));
     }
 }
 
+/// Returns a job shard with open tasks.
 fn shard(tasks: usize) -> VersionedShard {
     let spec = Spec {
         id: "settlement-2026-11".into(),
@@ -328,6 +342,7 @@
     }
 }
 
+/// Returns a router that knows the given number of cells of nine owners.
 fn router(cells: usize) -> Router {
     let mut router = Router::new("hall-01".into(), 1);
     let load = |i: usize| CellLoad {
@@ -347,6 +362,7 @@
     router
 }
 
+/// Returns a dedup shard that holds the given number of request ids.
 fn dedup_shard(ids: usize) -> DedupShard {
     let mut shard = DedupShard::new(1, 0, DedupTimings::default());
     for index in 0..ids {
@@ -356,6 +372,7 @@
     shard
 }
 
+/// Returns a configuration with the given number of entries.
 fn config(entries: usize) -> Config {
     let mut config = Config::default();
     let entry = |i: usize| {
@@ -370,6 +387,7 @@
     config
 }
 
+/// Returns a greeting that reports the load of the given number of cells.
 fn greeting(cells: usize) -> proto::Greeting {
     let load = |i: usize| proto::CellLoad {
         cell: format!("hall-01/rack-{i:03}"),
@@ -399,6 +417,7 @@
     }
 }
 
+/// Returns a worker's reply to a poll with the given number of runs.
 fn sync_reply(runs: usize) -> proto::SyncReply {
     let run = |i: usize| proto::Run {
         run: (7 << 32) + i as u64,
--- a/benches/orders.rs
+++ b/benches/orders.rs
@@ -1,8 +1,7 @@
-//! Processor time of one exchange with a worker, at the caller's side.
+//! Measures the processor time that the polling side spends on one poll of a worker.
 //!
-//! `cargo bench --bench orders` makes exchanges with stand-in workers that give
-//! the same answer to each, 64 at a time, and prints the processor time of the
-//! calling thread.
+//! `cargo bench --bench orders` polls a stand-in worker that gives the same answer to each poll, 64
+//! polls at a time, and prints the processor time of the polling thread.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -11,12 +10,15 @@
 use willowpoint::sched::incarnation::Incarnation;
 use willowpoint::sched::message::{Poll, Reply};
 
-const ROUNDS: usize = 20_000;
-const AT_ONCE: usize = 64;
-/// Runs in each report.
+/// Number of measured polls.
+const POLLS: usize = 20_000;
+/// Polls in progress at a time.
+const CONCURRENT_POLLS: usize = 64;
+/// Number of runs in each report.
 const RUNS: usize = 8;
 
-fn answer() -> Vec<u8> {
+/// Returns the HTTP response to a poll.
+fn poll_response() -> Vec<u8> {
     let run = |i: usize| format!("[\"00000bb87a21d94b.0.1.{i}\",2,\"00000bb87a21d94b\",41,4000.0]");
     let running: Vec<String> = (0..RUNS).map(run).collect();
     let body = format!(
@@ -27,18 +29,18 @@
     format!("{head} {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Answers each request of one connection; requests come one at a time.
+/// Answers each request; a connection carries one request at a time.
 fn serve(listener: TcpListener) {
-    let answer = answer();
+    let response = poll_response();
     for stream in listener.incoming() {
         let Ok(mut stream) = stream else {
             return;
         };
-        let answer = answer.clone();
+        let response = response.clone();
         std::thread::spawn(move || {
             let mut buffer = [0; 4_096];
             while stream.read(&mut buffer).is_ok_and(|n| n > 0) {
-                if stream.write_all(&answer).is_err() {
+                if stream.write_all(&response).is_err() {
                     return;
                 }
             }
@@ -46,7 +48,8 @@
     }
 }
 
-fn thread_seconds() -> f64 {
+/// Returns the processor time of the current thread in seconds.
+fn thread_cpu_seconds() -> f64 {
     let mut time = libc::timespec {
         tv_sec: 0,
         tv_nsec: 0,
@@ -56,10 +59,11 @@
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-async fn exchange(workers: &Workers, address: SocketAddr, count: usize) -> usize {
-    let mut whole = 0;
-    for seen in 0..count {
-        let hold = Poll {
+/// Polls the worker at an address `count` times; returns how many polls were answered.
+async fn poll_repeatedly(workers: &Workers, address: SocketAddr, count: usize) -> usize {
+    let mut answered = 0;
+    for acknowledged in 0..count {
+        let poll = Poll {
             incarnation: Incarnation {
                 id: "i-0a5d8fc929".into(),
                 boot: None,
@@ -69,12 +73,12 @@
             address,
             lease: Some(486_000),
             epoch: 7,
-            acknowledged: seen as u64,
+            acknowledged: acknowledged as u64,
             wait: 0,
         };
-        whole += usize::from(matches!(workers.poll(&hold).await, Reply::Ok(_)));
+        answered += usize::from(matches!(workers.poll(&poll).await, Reply::Ok(_)));
     }
-    whole
+    answered
 }
 
 fn main() -> eyre::Result<()> {
@@ -84,18 +88,18 @@
     let mut runtime = monoio::RuntimeBuilder::<monoio::LegacyDriver>::new()
         .enable_timer()
         .build()?;
-    let (whole, took) = runtime.block_on(async move {
-        let workers = Workers::new(AT_ONCE);
-        exchange(&workers, address, 100).await;
-        let start = thread_seconds();
-        let each = ROUNDS / AT_ONCE;
-        let calls = (0..AT_ONCE).map(|_| exchange(&workers, address, each));
-        let whole: usize = futures::future::join_all(calls).await.into_iter().sum();
-        (whole, thread_seconds() - start)
+    let (answered, cpu_seconds) = runtime.block_on(async move {
+        let workers = Workers::new(CONCURRENT_POLLS);
+        poll_repeatedly(&workers, address, 100).await;
+        let start = thread_cpu_seconds();
+        let each = POLLS / CONCURRENT_POLLS;
+        let calls = (0..CONCURRENT_POLLS).map(|_| poll_repeatedly(&workers, address, each));
+        let answered: usize = futures::future::join_all(calls).await.into_iter().sum();
+        (answered, thread_cpu_seconds() - start)
     });
     println!(
-        "{whole} exchanges, {RUNS} runs each: {:.1} us of processor time each",
-        took * 1e6 / whole as f64
+        "{answered} exchanges, {RUNS} runs each: {:.1} us of processor time each",
+        cpu_seconds * 1e6 / answered as f64
     );
     Ok(())
 }
--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -1,8 +1,8 @@
-//! Processor time of one owner, in virtual time.
+//! Measures the processor time of an owner in a simulation in virtual time.
 //!
-//! `cargo bench --bench owner` drives an owner with stand-in workers that answer
-//! at once and run every task to its end, at 66, 490 and 890 workers, and prints
-//! the share of one core that the owner's decisions take, by kind of event.
+//! `cargo bench --bench owner` drives an owner with 66, 490 and 890 stand-in workers, which run
+//! every task to its end, and prints the share of a core that the owner spends on each kind of
+//! event.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -22,111 +22,129 @@
 use willowpoint::utils::Name;
 use willowpoint::utils::random::Random;
 
-/// Milliseconds of a run, the first of which are not counted.
-const SPAN: u64 = 24_000;
-const WARM: u64 = 8_000;
-/// Milliseconds of a call to a worker and of a commit.
-const CALL: u64 = 2;
-const COMMIT: u64 = 8;
-/// Milliseconds between two heartbeats of a worker, each of which the directory tells.
-const HEARTBEAT: u64 = 1_100;
-/// Most milliseconds that an exchange waits for an end.
-const POLL: u64 = 1_000;
+/// Length of a simulation in ms.
+const SIMULATED: u64 = 24_000;
+/// Time in ms at the start of a simulation that is not measured.
+const WARM_UP: u64 = 8_000;
+/// Latency of a call to a worker in ms.
+const CALL_LATENCY: u64 = 2;
+/// Latency of a commit in ms.
+const COMMIT_LATENCY: u64 = 8;
+/// Interval between heartbeats of a worker in ms. The directory reports each of them.
+const HEARTBEAT_INTERVAL: u64 = 1_100;
+/// Longest time in ms that a poll waits for a run to end.
+const MAX_POLL_WAIT: u64 = 1_000;
 const SEED: u64 = 5;
 
-/// A load: workers, lasting jobs, and jobs a second of two kinds.
+/// A load: workers, lasting jobs, and rates of two kinds of jobs.
 struct Load {
     workers: usize,
-    lasting: usize,
-    width: u32,
-    checks: f64,
-    settles: f64,
-    /// Tasks of a step of a settle.
+    lasting_jobs: usize,
+    /// Number of tasks of a lasting job.
+    lasting_width: u32,
+    /// Jobs of kind "check" per second.
+    check_rate: f64,
+    /// Jobs of kind "settle" per second.
+    settle_rate: f64,
+    /// Number of tasks in a step of a settle job.
     settle_width: u32,
 }
 
 const LOADS: [Load; 4] = [
     Load {
         workers: 66,
-        lasting: 51,
-        width: 6,
-        checks: 5.1,
-        settles: 8.8,
+        lasting_jobs: 51,
+        lasting_width: 6,
+        check_rate: 5.1,
+        settle_rate: 8.8,
         settle_width: 20,
     },
     Load {
         workers: 490,
-        lasting: 163,
-        width: 14,
-        checks: 13.7,
-        settles: 26.1,
+        lasting_jobs: 163,
+        lasting_width: 14,
+        check_rate: 13.7,
+        settle_rate: 26.1,
         settle_width: 20,
     },
     Load {
         workers: 890,
-        lasting: 173,
-        width: 24,
-        checks: 13.0,
-        settles: 14.9,
+        lasting_jobs: 173,
+        lasting_width: 24,
+        check_rate: 13.0,
+        settle_rate: 14.9,
         settle_width: 39,
     },
-    // More than fits, half of the lasting jobs with two tasks a worker at most.
+    // More load than the workers have capacity for. In this load and the others, half of the
+    // lasting jobs allow at most two tasks per worker.
     Load {
         workers: 890,
-        lasting: 226,
-        width: 24,
-        checks: 16.0,
-        settles: 22.0,
+        lasting_jobs: 226,
+        lasting_width: 24,
+        check_rate: 16.0,
+        settle_rate: 22.0,
         settle_width: 39,
     },
 ];
 
+/// A run on a stand-in worker.
 struct Run {
     run: u32,
-    ends: Option<u64>,
+    /// Time at which the run ends; none for a lasting task.
+    end: Option<u64>,
 }
 
+/// A stand-in worker.
 #[derive(Default)]
 struct Worker {
     running: BTreeMap<Name, Run>,
     ended: Vec<EndedRun>,
-    last: u64,
-    waiting: Option<Poll>,
+    /// Number of the run that ended last.
+    last_number: u64,
+    pending_poll: Option<Poll>,
 }
 
+/// The simulated world: an owner with its workers.
 struct World {
     now: u64,
     owner: Owner,
     workers: HashMap<Name, Worker>,
-    due: BTreeMap<(u64, u64), Due>,
+    /// Scheduled events by time and serial number.
+    scheduled: BTreeMap<(u64, u64), Scheduled>,
     serial: u64,
     ticket: u64,
     random: Random,
     settle_width: u32,
+    /// Number of events and time spent on them, by kind of event.
     spent: BTreeMap<&'static str, (u64, Duration)>,
 }
 
-/// What happens at some time.
-enum Due {
-    Tell(Event),
-    End(Name, Name, u32),
+/// A scheduled event of the simulation.
+enum Scheduled {
+    /// An event for the owner.
+    Owner(Event),
+    /// The end of a run: worker, task and run number.
+    RunEnd(Name, Name, u32),
+    /// Submission of a job of a kind, repeated at a rate per second.
     Submit(&'static str, f64),
-    Answer(Name, u64),
-    /// The heartbeat of a worker.
-    Beat(Listing),
+    /// The reply of a worker to the poll sent at a time.
+    PollReply(Name, u64),
+    /// A heartbeat of a worker.
+    Heartbeat(Listing),
 }
 
-fn listing(place: usize) -> Listing {
+/// Returns the directory's listing of a worker.
+fn listing(index: usize) -> Listing {
     Listing {
-        id: format!("w{place:04}").into(),
+        id: format!("w{index:04}").into(),
         boot: Some(1),
         service: "s".into(),
-        address: ([10, 0, (place / 250) as u8, (place % 250) as u8], 80).into(),
+        address: ([10, 0, (index / 250) as u8, (index % 250) as u8], 80).into(),
         hall: "h".into(),
         labels: vec!["a".into()],
-        rack: format!("r{}", place / 12).into(),
+        rack: format!("r{}", index / 12).into(),
         capacity: Resources {
-            cpu: if place % 3 == 2 { 96_000 } else { 64_000 },
+            cpu: if index % 3 == 2 { 96_000 } else { 64_000 },
             memory: 256_000,
             gpu: 0,
         },
@@ -147,7 +165,7 @@
             released: false,
             cores: 0,
         };
-        let bounds = OwnerSettings {
+        let settings = OwnerSettings {
             lease_length: 4_000,
             max_unconfirmed: 10_000,
             max_breach: 4_000,
@@ -159,45 +177,45 @@
             steady: 1,
             wall: 1_000_000,
         };
-        let owner = Owner::new(bounds, Journal::new(row, 1, 1), Vec::new(), 0, now);
+        let owner = Owner::new(settings, Journal::new(row, 1, 1), Vec::new(), 0, now);
         let listings: Vec<Listing> = (0..load.workers).map(listing).collect();
         let workers = listings.iter().map(|l| (l.id.clone(), Worker::default()));
         let mut world = Self {
             now: 1,
             owner,
             workers: workers.collect(),
-            due: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             serial: 0,
             ticket: 0,
             random: Random::new(SEED),
             settle_width: load.settle_width,
             spent: BTreeMap::new(),
         };
-        for (place, listing) in listings.iter().enumerate() {
-            let first = HEARTBEAT + place as u64 % HEARTBEAT;
-            world.at(first, Due::Beat(listing.clone()));
+        for (index, listing) in listings.iter().enumerate() {
+            let first = HEARTBEAT_INTERVAL + index as u64 % HEARTBEAT_INTERVAL;
+            world.schedule(first, Scheduled::Heartbeat(listing.clone()));
         }
         let entries = listings.into_iter();
         let entries = entries.map(|l| (l.id.clone(), DirectoryEntry::Listed(l)));
-        world.at(1, Due::Tell(Event::Directory(entries.collect())));
+        world.schedule(1, Scheduled::Owner(Event::Directory(entries.collect())));
         let page = HistoryPage {
             last: true,
             ..HistoryPage::default()
         };
-        world.at(1, Due::Tell(Event::History(page)));
-        world.at(1, Due::Tell(Event::Cordoned(Default::default())));
-        for place in 0..load.lasting {
-            let spec = lasting(place, load.width);
-            world.submit(100 + place as u64 * 20, spec, 0);
+        world.schedule(1, Scheduled::Owner(Event::History(page)));
+        world.schedule(1, Scheduled::Owner(Event::Cordoned(Default::default())));
+        for index in 0..load.lasting_jobs {
+            let spec = lasting_job(index, load.lasting_width);
+            world.submit(100 + index as u64 * 20, spec, 0);
         }
-        world.at(4_000, Due::Submit("check", load.checks));
-        world.at(4_000, Due::Submit("settle", load.settles));
+        world.schedule(4_000, Scheduled::Submit("check", load.check_rate));
+        world.schedule(4_000, Scheduled::Submit("settle", load.settle_rate));
         world
     }
 
-    fn at(&mut self, time: u64, due: Due) {
+    fn schedule(&mut self, time: u64, event: Scheduled) {
         self.serial += 1;
-        self.due.insert((time, self.serial), due);
+        self.scheduled.insert((time, self.serial), event);
     }
 
     fn submit(&mut self, time: u64, spec: JobSpec, priority: u32) {
@@ -211,58 +229,62 @@
             slack: 1_000,
             advised: false,
         };
-        let ask = JobRequest::Submit {
+        let request = JobRequest::Submit {
             id: format!("{:016x}", self.ticket).into(),
             spec: spec.into(),
             queue,
         };
-        self.at(time, Due::Tell(Event::Request(self.ticket, ask)));
+        self.schedule(time, Scheduled::Owner(Event::Request(self.ticket, request)));
     }
 
     fn run(&mut self) {
-        while self.now < SPAN {
+        while self.now < SIMULATED {
             let wall = 1_000_000 + self.now;
             let now = Now {
                 steady: self.now,
                 wall,
             };
             let wake = self.now + self.owner.due_in(now);
-            let next = self.due.first_key_value().map(|(key, _)| key.0);
+            let next = self.scheduled.first_key_value().map(|(key, _)| key.0);
             if next.is_none_or(|n| n > wake) {
                 self.now = wake;
-                self.step(Event::Tick);
+                self.handle_event(Event::Tick);
                 continue;
             }
-            let Some(((time, _), due)) = self.due.pop_first() else {
+            let Some(((time, _), event)) = self.scheduled.pop_first() else {
                 return;
             };
             self.now = self.now.max(time);
-            self.happen(due);
+            self.dispatch(event);
         }
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Tell(event) => self.step(event),
-            Due::End(worker, task, run) => self.end(worker, task, run),
-            Due::Submit(name, rate) => {
-                let (spec, priority) = job(name, self.settle_width, &mut self.random);
+    fn dispatch(&mut self, event: Scheduled) {
+        match event {
+            Scheduled::Owner(event) => self.handle_event(event),
+            Scheduled::RunEnd(worker, task, run) => self.end_run(worker, task, run),
+            Scheduled::Submit(name, rate) => {
+                let (spec, priority) = random_job(name, self.settle_width, &mut self.random);
                 self.submit(self.now, spec, priority);
                 let gap = self.random.exponential(1_000.0 / rate) as u64;
-                self.at(self.now + gap, Due::Submit(name, rate));
+                self.schedule(self.now + gap, Scheduled::Submit(name, rate));
             }
-            Due::Answer(worker, sent) => self.answer(worker, sent),
-            Due::Beat(listing) => self.beat(listing),
+            Scheduled::PollReply(worker, sent) => self.answer_poll(worker, sent),
+            Scheduled::Heartbeat(listing) => self.heartbeat(listing),
         }
     }
 
-    fn beat(&mut self, listing: Listing) {
-        self.at(self.now + HEARTBEAT, Due::Beat(listing.clone()));
+    fn heartbeat(&mut self, listing: Listing) {
+        self.schedule(
+            self.now + HEARTBEAT_INTERVAL,
+            Scheduled::Heartbeat(listing.clone()),
+        );
         let entry = (listing.id.clone(), DirectoryEntry::Listed(listing));
-        self.step(Event::DirectoryChanged(vec![entry]));
+        self.handle_event(Event::DirectoryChanged(vec![entry]));
     }
 
-    fn step(&mut self, event: Event) {
+    /// Passes an event to the owner, measures the time it takes and executes the actions.
+    fn handle_event(&mut self, event: Event) {
         let now = Now {
             steady: self.now,
             wall: 1_000_000 + self.now,
@@ -271,40 +293,47 @@
         let start = Instant::now();
         let actions = self.owner.handle_event(event, now);
         let took = start.elapsed();
-        if self.now >= WARM {
+        if self.now >= WARM_UP {
             let spent = self.spent.entry(kind).or_default();
             spent.0 += 1;
             spent.1 += took;
         }
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Poll(hold) => {
-                let (worker, sent) = (hold.incarnation.id.clone(), hold.sent);
-                let wait = hold.wait.min(POLL);
+            Action::Poll(poll) => {
+                let (worker, sent) = (poll.incarnation.id.clone(), poll.sent);
+                let wait = poll.wait.min(MAX_POLL_WAIT);
                 let ready = match self.workers.get_mut(&worker) {
                     Some(w) => {
-                        w.ended.retain(|e| e.number > hold.acknowledged);
+                        w.ended.retain(|e| e.number > poll.acknowledged);
                         !w.ended.is_empty()
                     }
                     None => return,
                 };
-                self.workers.get_mut(&worker).expect("listed").waiting = Some(hold);
+                self.workers.get_mut(&worker).expect("listed").pending_poll = Some(poll);
                 let wait = if ready { 0 } else { wait };
-                self.at(self.now + CALL + wait, Due::Answer(worker, sent));
+                self.schedule(
+                    self.now + CALL_LATENCY + wait,
+                    Scheduled::PollReply(worker, sent),
+                );
             }
             Action::Start(start) => self.start(start),
             Action::Stop(stop) => {
                 if let Some(w) = self.workers.get_mut(&stop.incarnation.id) {
                     w.running.remove(&*stop.task);
                 }
-                let event =
-                    Event::Stopped(stop.key, stop.run, stop.incarnation, Reply::Ok(self.word()));
-                self.at(self.now + CALL, Due::Tell(event));
+                let event = Event::Stopped(
+                    stop.key,
+                    stop.run,
+                    stop.incarnation,
+                    Reply::Ok(self.order_ack()),
+                );
+                self.schedule(self.now + CALL_LATENCY, Scheduled::Owner(event));
             }
             Action::Throttle(throttle) => {
                 let event = Event::Throttled(
@@ -312,20 +341,20 @@
                     throttle.run,
                     throttle.percent,
                     throttle.incarnation,
-                    Reply::Ok(self.word()),
+                    Reply::Ok(self.order_ack()),
                 );
-                self.at(self.now + CALL, Due::Tell(event));
+                self.schedule(self.now + CALL_LATENCY, Scheduled::Owner(event));
             }
             Action::Commit { number, .. } => {
                 let event = Event::CommitEnded(number, CommitOutcome::Done(number));
-                self.at(self.now + COMMIT, Due::Tell(event));
+                self.schedule(self.now + COMMIT_LATENCY, Scheduled::Owner(event));
             }
             Action::Reply(..) | Action::RequestAdvice(_) => {}
         }
     }
 
-    /// Returns what a worker tells with an answer.
-    fn word(&self) -> OrderAck {
+    /// Returns a worker's acknowledgement of an order.
+    fn order_ack(&self) -> OrderAck {
         OrderAck {
             clock: self.now,
             boot: Some(1),
@@ -341,7 +370,7 @@
         } = start;
         let worker = incarnation.id.clone();
         let task: Name = start.task.into();
-        let ends = (!start.payload.contains("lasting")).then(|| {
+        let end = (!start.payload.contains("lasting")).then(|| {
             let mean = if start.payload.contains("check") {
                 800.0
             } else {
@@ -350,20 +379,20 @@
             self.now + (mean * (0.5 + self.random.unit())) as u64
         });
         if let Some(w) = self.workers.get_mut(&worker) {
-            w.running.insert(task.clone(), Run { run, ends });
+            w.running.insert(task.clone(), Run { run, end });
         }
-        if let Some(ends) = ends {
-            self.at(ends, Due::End(worker.clone(), task, run));
+        if let Some(end) = end {
+            self.schedule(end, Scheduled::RunEnd(worker.clone(), task, run));
         }
-        self.started(key, run, incarnation);
+        self.acknowledge_start(key, run, incarnation);
     }
 
-    fn started(&mut self, key: TaskKey, run: u32, incarnation: Incarnation) {
-        let event = Event::Started(key, run, incarnation, Reply::Ok(self.word()));
-        self.at(self.now + CALL, Due::Tell(event));
+    fn acknowledge_start(&mut self, key: TaskKey, run: u32, incarnation: Incarnation) {
+        let event = Event::Started(key, run, incarnation, Reply::Ok(self.order_ack()));
+        self.schedule(self.now + CALL_LATENCY, Scheduled::Owner(event));
     }
 
-    fn end(&mut self, worker: Name, task: Name, run: u32) {
+    fn end_run(&mut self, worker: Name, task: Name, run: u32) {
         let Some(w) = self.workers.get_mut(&worker) else {
             return;
         };
@@ -371,24 +400,28 @@
             return;
         }
         w.running.remove(&task);
-        w.last += 1;
+        w.last_number += 1;
         w.ended.push(EndedRun {
-            number: w.last,
+            number: w.last_number,
             task,
             run,
             outcome: RunOutcome::Done,
             checkpoint: "".into(),
         });
-        if let Some(sent) = w.waiting.as_ref().map(|h| h.sent) {
-            self.at(self.now + CALL / 2, Due::Answer(worker, sent));
+        if let Some(sent) = w.pending_poll.as_ref().map(|p| p.sent) {
+            self.schedule(
+                self.now + CALL_LATENCY / 2,
+                Scheduled::PollReply(worker, sent),
+            );
         }
     }
 
-    fn answer(&mut self, name: Name, sent: u64) {
+    /// Replies to the poll of a worker sent at `sent`, unless it was answered already.
+    fn answer_poll(&mut self, name: Name, sent: u64) {
         let Some(w) = self.workers.get_mut(&name) else {
             return;
         };
-        let Some(hold) = w.waiting.take_if(|h| h.sent == sent) else {
+        let Some(poll) = w.pending_poll.take_if(|p| p.sent == sent) else {
             return;
         };
         let running = w.running.iter().map(|(task, run)| ActiveRun {
@@ -396,7 +429,7 @@
             run: run.run,
             checkpoint: "".into(),
             progress: 100,
-            gauge: match run.ends {
+            gauge: match run.end {
                 Some(_) => 4,
                 None => 15 + self.random.below(25),
             },
@@ -407,11 +440,12 @@
             running: running.collect(),
             ended: w.ended.clone(),
         };
-        self.step(Event::Polled(hold, Reply::Ok(report)));
+        self.handle_event(Event::Polled(poll, Reply::Ok(report)));
     }
 }
 
-fn lasting(place: usize, width: u32) -> JobSpec {
+/// Returns a job whose tasks run without end and have a latency target.
+fn lasting_job(index: usize, width: u32) -> JobSpec {
     JobSpec {
         payload: "lasting".into(),
         steps: vec![StepSpec {
@@ -422,9 +456,9 @@
                 gpu: 0,
             },
             estimate: 400,
-            image: format!("s{}", place % 5).into(),
+            image: format!("s{}", index % 5).into(),
             lasting: true,
-            max_per_worker: place as u32 % 2 * 2,
+            max_per_worker: index as u32 % 2 * 2,
             latency_target: 50,
             ..StepSpec::default()
         }],
@@ -432,25 +466,27 @@
     }
 }
 
-fn job(name: &'static str, settle_width: u32, random: &mut Random) -> (JobSpec, u32) {
-    let fills = name == "settle";
-    let width = if fills { settle_width } else { 10 };
-    let step = |after: Vec<usize>, image: u64| StepSpec {
+/// Returns a job of two steps of the kind "check" or "settle", and its priority. Only the tasks of
+/// settle jobs are best-effort and have checkpoints.
+fn random_job(name: &'static str, settle_width: u32, random: &mut Random) -> (JobSpec, u32) {
+    let best_effort = name == "settle";
+    let width = if best_effort { settle_width } else { 10 };
+    let step = |depends_on: Vec<usize>, image: u64| StepSpec {
         count: width,
         resources: Resources {
-            cpu: if fills { 7_000 } else { 6_300 },
+            cpu: if best_effort { 7_000 } else { 6_300 },
             memory: 13_000,
             gpu: 0,
         },
-        estimate: if fills { 1_700 } else { 800 },
-        image: if fills {
+        estimate: if best_effort { 1_700 } else { 800 },
+        image: if best_effort {
             format!("f{image}").into()
         } else {
             "".into()
         },
-        best_effort: fills,
-        checkpoints: fills,
-        depends_on: after,
+        best_effort,
+        checkpoints: best_effort,
+        depends_on,
         ..StepSpec::default()
     };
     let image = random.below(9);
@@ -459,18 +495,21 @@
         steps: vec![step(Vec::new(), image), step(vec![0], image)],
         schedule: None,
     };
-    (spec, if fills { 2 } else { 0 })
+    (spec, if best_effort { 2 } else { 0 })
 }
 
 fn main() {
     for load in LOADS {
         let mut world = World::new(&load);
         world.run();
-        let seconds = (SPAN - WARM) as f64 / 1_000.0;
-        println!("{} workers, {} lasting jobs", load.workers, load.lasting);
-        let mut all = Duration::ZERO;
+        let seconds = (SIMULATED - WARM_UP) as f64 / 1_000.0;
+        println!(
+            "{} workers, {} lasting jobs",
+            load.workers, load.lasting_jobs
+        );
+        let mut total = Duration::ZERO;
         for (kind, (count, took)) in &world.spent {
-            all += *took;
+            total += *took;
             println!(
                 "  {kind:<10} {:>8.0}/s {:>8.1} us each {:>6.2} % of a core",
                 *count as f64 / seconds,
@@ -480,7 +519,7 @@
         }
         println!(
             "  in all {:.2} % of a core",
-            all.as_secs_f64() / seconds * 100.0
+            total.as_secs_f64() / seconds * 100.0
         );
     }
 }
--- a/benches/path.rs
+++ b/benches/path.rs
@@ -1,7 +1,7 @@
-//! The cost of the path: direct to the endpoint, through one box, through two.
+//! Compares three paths of a request: direct to the endpoint, through one box, through two boxes.
 //!
-//! `cargo bench --bench path` runs a small deployment in this process and
-//! compares the three in one run. Workers answer without delay.
+//! `cargo bench --bench path` runs a small deployment in this process. The endpoints answer without
+//! delay.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 use willowpoint::web::Request;
 use willowpoint::web::client::Pool;
 
-/// Requests of one measurement.
+/// Number of requests in a throughput measurement.
 const REQUESTS: usize = 20_000;
-/// Callers that each send one request after the other.
+/// Number of concurrent callers, each of which sends one request at a time.
 const CALLERS: usize = 16;
 
 fn main() -> eyre::Result<()> {
@@ -41,11 +41,11 @@
     deployment.wait_ready(30_000).await?;
     deployment.create_service().await?;
     let boxes = deployment.caller_addresses();
-    let owner = settled(deployment).await?;
-    let lone = deployment.start_unlisted_worker(0)?;
+    let owner = stable_owner(deployment).await?;
+    let endpoint = deployment.start_unlisted_worker(0)?;
     monoio::time::sleep(Duration::from_millis(500)).await;
-    let ways = [
-        ("direct to the endpoint", lone),
+    let paths = [
+        ("direct to the endpoint", endpoint),
         ("through the owner", boxes[owner]),
         ("through another box and the owner", boxes[1 - owner]),
     ];
@@ -53,48 +53,49 @@
         "{:36} {:>9} {:>9} {:>12} {:>15}",
         "way", "p50 us", "p99 us", "requests/s", "entry cpu us"
     );
-    let mut base = 0;
-    for (name, address) in ways {
-        // One caller for the latency, many for the throughput.
-        run(address, 1, REQUESTS / 10).await;
-        let mut times = run(address, 1, REQUESTS / 4).await;
+    let mut direct_p50 = 0;
+    for (name, address) in paths {
+        // One caller measures the latency, several the throughput.
+        send_requests(address, 1, REQUESTS / 10).await;
+        let mut times = send_requests(address, 1, REQUESTS / 4).await;
         times.sort_unstable();
         let (p50, p99) = (times[times.len() / 2], times[times.len() * 99 / 100]);
-        let cpu = entry_cpu();
+        let cpu_before = entry_cpu();
         let start = clock::micros();
-        run(address, CALLERS, REQUESTS).await;
-        let span = (clock::micros() - start) as f64 / 1e6;
-        let rate = REQUESTS as f64 / span;
-        let each = (entry_cpu() - cpu) * 1e6 / REQUESTS as f64;
-        if base == 0 {
-            base = p50;
+        send_requests(address, CALLERS, REQUESTS).await;
+        let seconds = (clock::micros() - start) as f64 / 1e6;
+        let rate = REQUESTS as f64 / seconds;
+        let cpu_each = (entry_cpu() - cpu_before) * 1e6 / REQUESTS as f64;
+        if direct_p50 == 0 {
+            direct_p50 = p50;
         }
-        println!("{name:36} {p50:>9} {p99:>9} {rate:>12.0} {each:>15.1}");
+        println!("{name:36} {p50:>9} {p99:>9} {rate:>12.0} {cpu_each:>15.1}");
         println!(
             "{:36} {:>9.2} times the direct way",
             "",
-            p50 as f64 / base as f64
+            p50 as f64 / direct_p50 as f64
         );
     }
     Ok(())
 }
 
-/// Returns the owner of the workers once it has not changed for some seconds.
-async fn settled(deployment: &Deployment) -> eyre::Result<usize> {
+/// Returns the owner of the workers once it has stayed the same for 6 s.
+async fn stable_owner(deployment: &Deployment) -> eyre::Result<usize> {
     let mut owner = deployment.wait_owner().await?;
     loop {
         monoio::time::sleep(Duration::from_secs(6)).await;
-        let now = deployment.wait_owner().await?;
-        if now == owner {
+        let current = deployment.wait_owner().await?;
+        if current == owner {
             return Ok(owner);
         }
-        owner = now;
+        owner = current;
     }
 }
 
-async fn run(address: SocketAddr, callers: usize, requests: usize) -> Vec<u64> {
+/// Sends requests from concurrent callers; returns the latencies of successful ones in us.
+async fn send_requests(address: SocketAddr, callers: usize, requests: usize) -> Vec<u64> {
     let pool = Pool::new(1 << 20);
-    let one = |pool: Pool| async move {
+    let call_in_turn = |pool: Pool| async move {
         let mut times = Vec::new();
         for _ in 0..requests / callers {
             let start = clock::micros();
@@ -108,15 +109,15 @@
         times
     };
     let tasks: Vec<_> = (0..callers)
-        .map(|_| monoio::spawn(one(pool.clone())))
+        .map(|_| monoio::spawn(call_in_turn(pool.clone())))
         .collect();
     let mut all = Vec::new();
     for task in tasks {
         all.extend(task.await);
     }
-    let lost = requests - all.len();
-    if lost > 0 {
-        println!("{lost} of {requests} were not answered");
+    let failed = requests - all.len();
+    if failed > 0 {
+        println!("{failed} of {requests} were not answered");
     }
     monoio::time::sleep(Duration::from_millis(50)).await;
     all
@@ -135,7 +136,7 @@
     }
 }
 
-/// Returns the processor seconds of the threads of entry boxes.
+/// Returns the processor time of all boxes' threads in seconds.
 fn entry_cpu() -> f64 {
     let Ok(tasks) = std::fs::read_dir("/proc/self/task") else {
         return 0.0;
@@ -143,6 +144,8 @@
     tasks.flatten().filter_map(|t| thread_cpu(&t.path())).sum()
 }
 
+/// Returns the processor time of a thread in seconds, or nothing for other threads than those of
+/// boxes.
 fn thread_cpu(path: &std::path::Path) -> Option<f64> {
     let name = std::fs::read_to_string(path.join("comm")).ok()?;
     if name.trim() != "entry" {
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,9 +1,8 @@
-//! The decisions against their baselines, in one cell and virtual time.
+//! Compares placement policies with their baselines in a simulation of one cell in virtual time.
 //!
-//! `cargo bench --bench policy` drives one cell of eight stand-in workers with
-//! requests and batch tasks of four kinds, some of which hurt the service. All
-//! policies see the same arrivals. Service times follow the stand-in's table
-//! of interference, which no policy but the oracle knows.
+//! `cargo bench --bench policy` drives a cell of eight stand-in workers with requests and batch
+//! tasks of four kinds, some of which slow the service down. All policies see the same arrivals.
+//! Service times follow the stand-ins' table of interference, which only the oracle knows.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,41 +19,49 @@
 
 const WORKERS: usize = 8;
 const SLOTS: u32 = 8;
-/// Milliseconds of one run, the first of which are not counted.
-const SPAN: u64 = 60_000;
-const WARM: u64 = 10_000;
-/// Mean milliseconds of a request that nothing hurts.
-const SERVICE: f64 = 20.0;
+/// Length of a simulation in ms.
+const SIMULATED: u64 = 60_000;
+/// Time in ms at the start of a simulation that is not counted.
+const WARM_UP: u64 = 10_000;
+/// Mean service time in ms of a request without interference.
+const MEAN_SERVICE_TIME: f64 = 20.0;
+/// Time allowed for a request in ms.
 const DEADLINE: u64 = 500;
-const SERVICES: &str = "stock";
+const SERVICE: &str = "stock";
+/// Kinds of the batch tasks.
 const KINDS: [&str; 4] = ["reconcile", "settle", "restock", "payout"];
-/// Milliseconds of work of a batch task.
-const WORK: u64 = 4_000;
+/// Work of a batch task in ms.
+const TASK_WORK: u64 = 4_000;
 const SEED: u64 = 11;
 
-/// What a policy came to.
+/// Results of a policy after the warm-up.
 #[derive(Default)]
 struct Outcome {
-    times: Vec<f64>,
+    /// Latencies of the answered requests in ms.
+    latencies: Vec<f64>,
     issued: u64,
     refused: u64,
+    /// Requests answered after their deadline.
     late: u64,
+    /// Batch tasks that finished.
     finished: u64,
     evictions: u64,
 }
 
+/// A policy under test.
 struct Variant {
     name: &'static str,
     policy: Policy,
+    /// True when the cell learns the true interference instead of the workers' samples.
     oracle: bool,
 }
 
 fn variants() -> Vec<Variant> {
-    let baseline = |name, pick| Variant {
+    let baseline = |name, selection| Variant {
         name,
         policy: Policy {
-            request_selection: pick,
-            task_selection: pick,
+            request_selection: selection,
+            task_selection: selection,
             throttling: false,
             ..Policy::default()
         },
@@ -83,12 +90,12 @@
 fn main() {
     println!(
         "seed {SEED}, {WORKERS} workers of {SLOTS} slots, {} s each",
-        (SPAN - WARM) / 1_000
+        (SIMULATED - WARM_UP) / 1_000
     );
     for kind in KINDS {
         println!(
-            "true interference of {kind} with {SERVICES}: {}",
-            Worker::interference(SERVICES, kind)
+            "true interference of {kind} with {SERVICE}: {}",
+            Worker::interference(SERVICE, kind)
         );
     }
     for load in [0.5, 0.8, 0.95, 1.2] {
@@ -112,59 +119,63 @@
 }
 
 fn print(name: &str, mut outcome: Outcome) {
-    outcome.times.sort_by(f64::total_cmp);
-    let at = |part: f64| {
-        let last = outcome.times.len().saturating_sub(1) as f64;
+    outcome.latencies.sort_by(f64::total_cmp);
+    let quantile = |share: f64| {
+        let last = outcome.latencies.len().saturating_sub(1) as f64;
         outcome
-            .times
-            .get((last * part) as usize)
+            .latencies
+            .get((last * share) as usize)
             .copied()
             .unwrap_or(0.0)
     };
-    let seconds = (SPAN - WARM) as f64 / 1e3;
-    let good = (outcome.times.len() as u64 - outcome.late) as f64 / seconds;
+    let seconds = (SIMULATED - WARM_UP) as f64 / 1e3;
+    let in_time = (outcome.latencies.len() as u64 - outcome.late) as f64 / seconds;
     let refused = outcome.refused as f64 * 100.0 / outcome.issued.max(1) as f64;
-    let batch = outcome.finished as f64 / seconds;
+    let batch_rate = outcome.finished as f64 / seconds;
     println!(
-        "{name:20} {:>8.1} {:>8.1} {:>8.1} {good:>9.0} {refused:>8.1}% {batch:>8.2} {:>9}",
-        at(0.5),
-        at(0.99),
-        at(0.999),
+        "{name:20} {:>8.1} {:>8.1} {:>8.1} {in_time:>9.0} {refused:>8.1}% {batch_rate:>8.2} {:>9}",
+        quantile(0.5),
+        quantile(0.99),
+        quantile(0.999),
         outcome.evictions
     );
 }
 
+/// The simulated world: a cell with its workers.
 struct World {
     cell: Cell,
     workers: Vec<Worker>,
     random: Random,
+    /// Requests per ms.
     rate: f64,
     oracle: bool,
     now: u64,
+    /// Workers of the requests in progress, by end time and ticket.
     ends: BTreeMap<(u64, u64), usize>,
+    /// Times at which open requests were issued, by ticket.
     issued: BTreeMap<u64, u64>,
-    done: Outcome,
+    outcome: Outcome,
     ticket: u64,
 }
 
 impl World {
     fn new(variant: &Variant, load: f64) -> Self {
-        let times = Timings {
+        let timings = Timings {
             run_lease: 10_000,
             margin: 1_000,
             poll_interval: 200,
         };
         let policy = variant.policy.clone();
-        let mut cell = Cell::new("h/r".into(), 1, 0, policy, times);
-        let place = |i: usize| ListedWorker {
+        let mut cell = Cell::new("h/r".into(), 1, 0, policy, timings);
+        let listed_worker = |i: usize| ListedWorker {
             name: format!("w{i}").into(),
             cell: "h/r".into(),
             http: SocketAddr::from(([127, 0, 0, 1], 1 + i as u16)),
             rpc: SocketAddr::from(([127, 0, 0, 2], 1 + i as u16)),
             leaving: false,
         };
-        let places: Vec<ListedWorker> = (0..WORKERS).map(place).collect();
-        cell.set_workers(&places, &Default::default());
+        let listed: Vec<ListedWorker> = (0..WORKERS).map(listed_worker).collect();
+        cell.set_workers(&listed, &Default::default());
         cell.load_shards(0, KINDS.iter().map(|k| shard(k)).collect());
         let shape = Shape {
             slots: SLOTS,
@@ -177,28 +188,28 @@
             cell,
             workers: (0..WORKERS).map(|_| Worker::new(shape)).collect(),
             random: Random::new(SEED),
-            rate: load * (WORKERS as f64) * f64::from(SLOTS) / SERVICE,
+            rate: load * (WORKERS as f64) * f64::from(SLOTS) / MEAN_SERVICE_TIME,
             oracle: variant.oracle,
             now: 0,
             ends: BTreeMap::new(),
             issued: BTreeMap::new(),
-            done: Outcome::default(),
+            outcome: Outcome::default(),
             ticket: 0,
         }
     }
 
     fn run(mut self) -> Outcome {
-        let mut next = 0.0;
-        while self.now < SPAN {
+        let mut next_arrival = 0.0;
+        while self.now < SIMULATED {
             self.now += 1;
-            while next < self.now as f64 {
-                next += self.random.exponential(1.0 / self.rate);
-                self.issue();
+            while next_arrival < self.now as f64 {
+                next_arrival += self.random.exponential(1.0 / self.rate);
+                self.issue_request();
             }
-            self.finish();
+            self.finish_requests();
             if self.now.is_multiple_of(25) {
                 let actions = self.cell.tick(self.now, self.now * 1_000);
-                self.carry_out(actions);
+                self.execute_all(actions);
                 for action in self.cell.write_shards() {
                     if let Action::Write { key, .. } = action {
                         self.cell.finish_write(&key, WriteOutcome::Committed);
@@ -206,19 +217,19 @@
                 }
             }
         }
-        self.done.evictions = self.cell.evictions;
-        self.done
+        self.outcome.evictions = self.cell.evictions;
+        self.outcome
     }
 
-    fn issue(&mut self) {
+    fn issue_request(&mut self) {
         self.ticket += 1;
-        if self.now > WARM {
-            self.done.issued += 1;
+        if self.now > WARM_UP {
+            self.outcome.issued += 1;
         }
         self.issued.insert(self.ticket, self.now);
-        let ask = PendingRequest {
+        let request = PendingRequest {
             ticket: self.ticket,
-            service: SERVICES.into(),
+            service: SERVICE.into(),
             class: Class::Critical,
             size: Size {
                 cores: 1_000,
@@ -227,11 +238,12 @@
             },
             deadline: self.now + DEADLINE,
         };
-        let actions = self.cell.admit(self.now, self.now * 1_000, ask);
-        self.carry_out(actions);
+        let actions = self.cell.admit(self.now, self.now * 1_000, request);
+        self.execute_all(actions);
     }
 
-    fn finish(&mut self) {
+    /// Finishes the requests that end by now.
+    fn finish_requests(&mut self) {
         while let Some(((at, ticket), worker)) = self.ends.first_key_value().map(|(k, v)| (*k, *v))
         {
             if at > self.now {
@@ -240,47 +252,50 @@
             self.ends.remove(&(at, ticket));
             self.workers[worker].finish_request(ticket, 1);
             if let Some(issued) = self.issued.remove(&ticket)
-                && issued > WARM
+                && issued > WARM_UP
             {
-                let took = self.now - issued;
-                self.done.times.push(took as f64);
-                self.done.late += u64::from(took > DEADLINE);
+                let latency = self.now - issued;
+                self.outcome.latencies.push(latency as f64);
+                self.outcome.late += u64::from(latency > DEADLINE);
             }
             let actions =
                 self.cell
                     .finish_send(self.now, self.now * 1_000, ticket, SendOutcome::Answered);
-            self.carry_out(actions);
+            self.execute_all(actions);
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
-        let mut rest = actions;
-        while let Some(action) = rest.pop() {
-            rest.extend(self.one(action));
+    /// Executes actions of the cell and the actions that follow from them.
+    fn execute_all(&mut self, actions: Vec<Action>) {
+        let mut pending = actions;
+        while let Some(action) = pending.pop() {
+            pending.extend(self.execute(action));
         }
     }
 
-    fn one(&mut self, action: Action) -> Vec<Action> {
+    /// Executes an action of the cell and returns the actions that follow.
+    fn execute(&mut self, action: Action) -> Vec<Action> {
         let (now, micros) = (self.now, self.now * 1_000);
         match action {
             Action::Send { ticket, worker, .. } => {
-                let index = number(&worker);
+                let index = worker_index(&worker);
                 let active = ActiveRequest {
                     ticket,
                     epoch: 1,
-                    service: SERVICES.into(),
+                    service: SERVICE.into(),
                 };
-                let began = self.workers[index].begin_request(now, now, active, u64::MAX);
-                assert!(began.is_ok(), "the cell gave more than the room");
-                let slow = self.workers[index].slowdown(SERVICES);
-                let took = self.random.exponential(SERVICE / 2.0) + SERVICE / 2.0;
-                let end = now + (took * slow).ceil() as u64;
+                let begun = self.workers[index].begin_request(now, now, active, u64::MAX);
+                assert!(begun.is_ok(), "the worker refused a request of the cell");
+                let slowdown = self.workers[index].slowdown(SERVICE);
+                let service_time =
+                    self.random.exponential(MEAN_SERVICE_TIME / 2.0) + MEAN_SERVICE_TIME / 2.0;
+                let end = now + (service_time * slowdown).ceil() as u64;
                 self.ends.insert((end, ticket), index);
                 Vec::new()
             }
             Action::Refuse { ticket, .. } => {
-                if self.issued.remove(&ticket).is_some_and(|at| at > WARM) {
-                    self.done.refused += 1;
+                if self.issued.remove(&ticket).is_some_and(|at| at > WARM_UP) {
+                    self.outcome.refused += 1;
                 }
                 Vec::new()
             }
@@ -290,7 +305,7 @@
                 renew,
                 round,
                 ..
-            } => self.sync(&worker, acks, renew, round),
+            } => self.poll(&worker, acks, renew, round),
             Action::Start {
                 worker, run, work, ..
             } => {
@@ -313,7 +328,7 @@
                         lease: 0,
                     },
                 };
-                let result = self.workers[number(&worker)].start(now, now, start);
+                let result = self.workers[worker_index(&worker)].start(now, now, start);
                 let called = result.map_or(CallOutcome::Refused, |()| CallOutcome::Done(0));
                 self.cell.finish_start(now, &worker, run.id, called)
             }
@@ -323,14 +338,14 @@
                 checkpoint,
                 ..
             } => {
-                let result = self.workers[number(&worker)].stop(now, 1, run, checkpoint);
+                let result = self.workers[worker_index(&worker)].stop(now, 1, run, checkpoint);
                 let called = result.map_or(CallOutcome::Refused, CallOutcome::Done);
                 self.cell.finish_stop(now, micros, &worker, run, called)
             }
             Action::Throttle {
                 worker, run, share, ..
             } => {
-                let result = self.workers[number(&worker)].throttle(now, 1, run, share);
+                let result = self.workers[worker_index(&worker)].throttle(now, 1, run, share);
                 let called = result.map_or(CallOutcome::Refused, |()| CallOutcome::Done(0));
                 self.cell
                     .finish_throttle(now, micros, &worker, run, share, called)
@@ -339,8 +354,9 @@
         }
     }
 
-    fn sync(&mut self, worker: &Name, acks: Vec<u64>, renew: bool, round: u64) -> Vec<Action> {
-        let host = &mut self.workers[number(worker)];
+    /// Polls a worker and returns the actions that follow.
+    fn poll(&mut self, worker: &Name, acks: Vec<u64>, renew: bool, round: u64) -> Vec<Action> {
+        let host = &mut self.workers[worker_index(worker)];
         let sync = SyncRequest {
             epoch: 1,
             round,
@@ -350,16 +366,16 @@
         };
         let runs = host.sync(self.now, self.now, &sync).unwrap_or_default();
         let ended = runs.iter().filter(|r| r.state == RunState::Finished);
-        let fresh = ended.filter(|r| self.cell.workers[worker].runs.contains_key(&r.id));
-        let finished = fresh.count() as u64;
-        if self.now > WARM {
-            self.done.finished += finished;
+        let unreported = ended.filter(|r| self.cell.workers[worker].runs.contains_key(&r.id));
+        let finished = unreported.count() as u64;
+        if self.now > WARM_UP {
+            self.outcome.finished += finished;
         }
         let (tickets, foreign_requests) = host.request_tickets();
-        let late = host.take_due_samples(self.now).into_iter().map(|(_, s)| s);
+        let delayed = host.take_due_samples(self.now).into_iter().map(|(_, s)| s);
         let samples = match self.oracle {
-            false => late.collect(),
-            true => oracle(),
+            false => delayed.collect(),
+            true => oracle_samples(),
         };
         let reply = PollReply {
             shape: host.shape,
@@ -369,34 +385,36 @@
             samples,
             ..PollReply::default()
         };
-        let asked = SentPoll {
+        let sent = SentPoll {
             sent: self.now,
             round,
             acks,
         };
         let reply = PollOutcome::Reply(reply);
         self.cell
-            .finish_poll(self.now, self.now * 1_000, worker, asked, reply)
+            .finish_poll(self.now, self.now * 1_000, worker, sent, reply)
             .1
     }
 }
 
-/// Returns the true table of interference as samples without noise or lag.
-fn oracle() -> Vec<Sample> {
+/// Returns the true table of interference as samples without noise or delay.
+fn oracle_samples() -> Vec<Sample> {
     let sample = |kind: &&str, busy| Sample {
-        kind: SERVICES.into(),
+        kind: SERVICE.into(),
         others: vec![(*kind).into()],
-        slowdown: 1.0 + Worker::interference(SERVICES, kind),
+        slowdown: 1.0 + Worker::interference(SERVICE, kind),
         busy,
     };
     let both = |kind| [sample(kind, true), sample(kind, false)];
     KINDS.iter().flat_map(both).collect()
 }
 
-fn number(worker: &str) -> usize {
+/// Returns the index of a worker from its name.
+fn worker_index(worker: &str) -> usize {
     worker.trim_start_matches('w').parse().unwrap_or(0)
 }
 
+/// Returns a job shard with open tasks of a kind.
 fn shard(kind: &str) -> VersionedShard {
     let spec = Spec {
         id: format!("{kind}-1").into(),
@@ -408,7 +426,7 @@
             memory: 1_000,
             accelerators: 0,
         },
-        work: WORK,
+        work: TASK_WORK,
         urgent: false,
     };
     VersionedShard {
