--- a/src/daemon/follower.rs
+++ b/src/daemon/follower.rs
@@ -21,8 +21,8 @@
 use crate::utils::hash::stable;
 
 /// Milliseconds between two pings from a box with fewer cores than the owner's row asks for.
-/// Stronger boxes take over before it does, and each ping costs the owner work.
-const WEAKER_PING_INTERVAL: Millis = 600;
+/// Larger boxes take over before it does, and each ping costs the owner work.
+const SMALLER_BOX_PING_INTERVAL: Millis = 600;
 /// Longest extra delay in milliseconds before a takeover; it differs by box, so that not all
 /// boxes try at once.
 const STAGGER: u64 = 120;
@@ -49,10 +49,10 @@
 
 /// Returns the milliseconds until the next check of the owner.
 fn check_interval(shared: &Shared) -> Millis {
-    let weaker =
-        |known: KnownOwner| failover::weaker_box_delay(shared.settings.cores, &known.row) > 0;
-    match shared.owner().is_some_and(weaker) {
-        true => WEAKER_PING_INTERVAL,
+    let smaller =
+        |known: KnownOwner| failover::smaller_box_delay(shared.settings.cores, &known.row) > 0;
+    match shared.owner().is_some_and(smaller) {
+        true => SMALLER_BOX_PING_INTERVAL,
         false => PING_INTERVAL,
     }
 }
--- a/src/daemon/message.rs
+++ b/src/daemon/message.rs
@@ -22,7 +22,7 @@
     /// The owner's settings, reloaded.
     Settings(OwnerSettings),
     /// A box with more cores (this many thousandths) could be the owner.
-    StrongerBox(u32),
-    /// Release the cell.
-    Resign,
+    LargerBox(u32),
+    /// The owner is to release the cell: this box is stopping.
+    Release,
 }
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -86,7 +86,7 @@
             monoio::spawn(feeds::follow_directory(shared.clone(), epoch));
             monoio::spawn(history::load(shared.clone(), epoch));
             if shared.is_stopping() {
-                shared.send_to_owner(Message::Resign);
+                shared.send_to_owner(Message::Release);
             }
         }
         (Message::Request(request, reply), Some(local)) => {
@@ -105,11 +105,11 @@
             end_term(shared, local, "superseded");
         }
         (Message::Settings(settings), Some(local)) => local.owner.change_settings(settings),
-        (Message::StrongerBox(cores), Some(local)) => {
-            local.yield_to_stronger(shared.settings.cores, cores)
+        (Message::LargerBox(cores), Some(local)) => {
+            local.release_to_larger(shared.settings.cores, cores)
         }
-        (Message::Resign, Some(local)) => {
-            local.owner.resign(now());
+        (Message::Release, Some(local)) => {
+            local.owner.release(now());
         }
         // Dropping a request's sender tells the receiver that no answer will come.
         _ => {}
@@ -168,15 +168,15 @@
         }
     }
 
-    /// Makes way for a box with more cores, unless this owner began only recently.
-    fn yield_to_stronger(&mut self, own: u32, other: u32) {
-        if self.owner.is_resigning()
-            || !failover::should_make_way(own, other, self.term.began, clock::now())
+    /// Releases the cell for a box with more cores, unless this owner began only recently.
+    fn release_to_larger(&mut self, own: u32, other: u32) {
+        if self.owner.is_releasing()
+            || !failover::should_release_to(own, other, self.term.began, clock::now())
         {
             return;
         }
         log::info!(target: "owner", "event=makes-way epoch={} cores={own} for_cores={other}", self.term.epoch);
-        self.owner.resign_to_larger(other, now());
+        self.owner.release_to_larger(other, now());
     }
 
     /// Records how long the last commit took, and waits longer for the next one while the store
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -66,7 +66,7 @@
         shared.set_loading(None);
     }
     if shared.local_epoch().is_some() && ping.cores > shared.settings.cores {
-        shared.send_to_owner(Message::StrongerBox(ping.cores));
+        shared.send_to_owner(Message::LargerBox(ping.cores));
     }
     pings::follow_later_owner(shared, ping.owner.clone(), ping.owner_row);
     let others = exchange_addresses(shared, ping);
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -322,7 +322,7 @@
     /// Begins a planned stop.
     pub fn begin_stop(&self) {
         self.stopping.set(true);
-        self.send_to_owner(Message::Resign);
+        self.send_to_owner(Message::Release);
     }
 
     /// Returns the known addresses of other boxes. The borrow must not be held across an await.
--- a/src/daemon/term.rs
+++ b/src/daemon/term.rs
@@ -27,8 +27,8 @@
     spent: BTreeMap<&'static str, u64>,
     /// When the counters were last updated.
     flushed: Millis,
-    /// When the owner was first seen to give the cell up.
-    leaving_since: Option<Millis>,
+    /// When the owner was first seen to be releasing the cell.
+    releasing_since: Option<Millis>,
 }
 
 impl Term {
@@ -45,7 +45,7 @@
             lateness: RecentPeak::default(),
             spent: BTreeMap::new(),
             flushed: now,
-            leaving_since: None,
+            releasing_since: None,
         }
     }
 
@@ -70,16 +70,16 @@
         }
     }
 
-    /// Returns for how many milliseconds the owner has been giving the cell up. Meanwhile it
+    /// Returns for how many milliseconds the owner has been releasing the cell. Meanwhile it
     /// starts no run and extends no lease, and no other box may do so.
-    fn leaving_ms(&self, now: Millis) -> Millis {
-        self.leaving_since.map_or(0, |at| now.saturating_sub(at))
+    fn releasing_ms(&self, now: Millis) -> Millis {
+        self.releasing_since.map_or(0, |at| now.saturating_sub(at))
     }
 
     /// Updates the owner's gauges.
     pub fn update_gauges(&mut self, owner: &Owner, now: Millis) {
-        if owner.is_resigning() {
-            self.leaving_since.get_or_insert(now);
+        if owner.is_releasing() {
+            self.releasing_since.get_or_insert(now);
         }
         let metrics = metrics::get();
         let (jobs, workers, waiting) = owner.sizes();
@@ -89,7 +89,7 @@
         let age = now.saturating_sub(owner.last_confirmed());
         metrics.unconfirmed_time.set(age as i64);
         metrics.loop_delay.set(self.lateness.recent() as i64);
-        metrics.release_time.set(self.leaving_ms(now) as i64);
+        metrics.release_time.set(self.releasing_ms(now) as i64);
     }
 
     /// Ends the term: logs its summary, and clears the gauges that would make this box look like
@@ -103,8 +103,8 @@
         let served = now.saturating_sub(self.began);
         let began = clock::wall().saturating_sub(served);
         let (jobs, workers, waiting) = owner.sizes();
-        let (lapsed, leaving) = (owner.lapsed_runs(), self.leaving_ms(now));
-        log::info!(target: "owner", "event=owner-ends epoch={} reason={reason} began={began} served_ms={served} load_ms={} jobs={jobs} workers={workers} waiting={waiting} lapsed={lapsed} leaving_ms={leaving} late_ms={}", self.epoch, self.load_ms, self.lateness.highest());
+        let (lapsed, releasing) = (owner.lapsed_runs(), self.releasing_ms(now));
+        log::info!(target: "owner", "event=owner-ends epoch={} reason={reason} began={began} served_ms={served} load_ms={} jobs={jobs} workers={workers} waiting={waiting} lapsed={lapsed} leaving_ms={releasing} late_ms={}", self.epoch, self.load_ms, self.lateness.highest());
         metrics.clear_owner_gauges();
     }
 }
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -109,7 +109,7 @@
     let mut owner = owner(1_000);
     let mut term = Term::begin(7, 300, 1_300);
     term.record_lateness(250, 1_400);
-    owner.resign(Now {
+    owner.release(Now {
         steady: 2_400,
         wall: 2_400,
     });
--- a/src/sched/failover.rs
+++ b/src/sched/failover.rs
@@ -1,17 +1,17 @@
 //! Failover: when a box replaces the owner of its cell, and which box should be the owner.
 //!
 //! The owner's work grows with workers and tasks, and boxes differ in cores. The owner should
-//! be a box with the most cores: a weak one would soon answer no pings any more, and one
-//! owner after the other would be replaced.
+//! be a box with the most cores: one with few cores would soon be too busy to answer pings, and
+//! one owner after the other would be replaced.
 
 use super::journal::OwnerRow;
 use crate::utils::clock::Millis;
 
 /// Milliseconds that a box with fewer cores than an owner should have waits longer before it
-/// replaces the owner: the time of a stronger box's commit and its staggered start.
-const WEAKER_BOX_DELAY: Millis = 300;
-/// Shortest term of an owner, in milliseconds, before it makes way for a box with more cores.
-/// It keeps a box that comes and goes from moving the cell each time.
+/// replaces the owner: the time of a larger box's commit and its staggered start.
+const SMALLER_BOX_DELAY: Millis = 300;
+/// Shortest term of an owner, in milliseconds, before it releases the cell for a box with more
+/// cores. Without it, a box that keeps leaving and coming back would move the cell each time.
 const MIN_TERM: Millis = 3_000;
 
 /// Milliseconds without a further page after which a loading owner is replaced: one lost read
@@ -126,8 +126,8 @@
     })
 }
 
-fn assess_loading(weaker: bool, pages: u64, last: OwnerProgress, now: Millis) -> Assessment {
-    if weaker {
+fn assess_loading(smaller: bool, pages: u64, last: OwnerProgress, now: Millis) -> Assessment {
+    if smaller {
         return Assessment::Replace(Cause::Weaker);
     }
     if last.pages != Some(pages) {
@@ -142,9 +142,9 @@
     }
 }
 
-/// Returns the thousandths of cores that a box announces to a weaker owner. A box that is
-/// stopping, or that the store does not serve, announces 0: an owner that made way for it would
-/// leave the cell without an owner.
+/// Returns the thousandths of cores that a box announces to the owner, which may release the
+/// cell for a larger box. A box that is stopping, or that the store does not serve, announces 0:
+/// a release for it would leave the cell without an owner.
 pub fn offered_cores(cores: u32, store_serves: bool, stopping: bool) -> u32 {
     match store_serves && !stopping {
         true => cores,
@@ -159,7 +159,7 @@
         true => 0,
         false => UNCHANGED_ROW_TIME + stagger,
     };
-    delay + weaker_box_delay(cores, before)
+    delay + smaller_box_delay(cores, before)
 }
 
 /// Returns true while no other box can have replaced an owner whose last successful commit was
@@ -169,10 +169,10 @@
 }
 
 /// Returns the milliseconds that a box with this many thousandths of cores waits longer than
-/// stronger boxes before it replaces the owner.
-pub fn weaker_box_delay(cores: u32, before: &OwnerRow) -> Millis {
+/// larger boxes before it replaces the owner.
+pub fn smaller_box_delay(cores: u32, before: &OwnerRow) -> Millis {
     match cores < before.cores {
-        true => WEAKER_BOX_DELAY,
+        true => SMALLER_BOX_DELAY,
         false => 0,
     }
 }
@@ -180,14 +180,14 @@
 /// Returns the thousandths of cores that a new owner's row asks of owners: the most that any
 /// owner had.
 ///
-/// If the row asked only for the new owner's own cores, a weak box that replaced a strong one
-/// would be followed by other weak boxes, each replaced while it still loads.
+/// If the row asked only for the new owner's own cores, a small box that replaced a large one
+/// would be followed by other small boxes, each replaced while it still loads.
 pub fn wanted_cores(own: u32, before: Option<&OwnerRow>) -> u32 {
     before.map_or(own, |row| row.cores.max(own))
 }
 
 /// Returns true when an owner with `own` thousandths of cores, whose term began at `began`,
-/// makes way for a box with `other` thousandths of cores.
-pub fn should_make_way(own: u32, other: u32, began: Millis, now: Millis) -> bool {
+/// should release the cell for a box with `other` thousandths of cores.
+pub fn should_release_to(own: u32, other: u32, began: Millis, now: Millis) -> bool {
     other > own && now >= began + MIN_TERM
 }
--- a/src/sched/journal.rs
+++ b/src/sched/journal.rs
@@ -231,8 +231,8 @@
         self.next_commit = now;
     }
 
-    /// Releases the cell for a box with this many thousandths of cores.
-    pub fn make_way(&mut self, cores: u32, now: Millis) {
+    /// Releases the cell for a larger box with this many thousandths of cores.
+    pub fn release_to_larger(&mut self, cores: u32, now: Millis) {
         self.row.cores = cores;
         self.release(now);
     }
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -289,19 +289,19 @@
         self.settings = settings;
     }
 
-    /// Releases the cell with the next commit.
-    pub fn resign(&mut self, now: Now) {
+    /// Releases the cell once all changes are written, or after a short delay.
+    pub fn release(&mut self, now: Now) {
         self.journal.release(now.steady);
     }
 
-    /// Returns true once this owner has decided to release the cell.
-    pub fn is_resigning(&self) -> bool {
+    /// Returns true once this owner is releasing the cell.
+    pub fn is_releasing(&self) -> bool {
         self.journal.is_releasing()
     }
 
-    /// Releases the cell in favour of a box that has this larger number of cores.
-    pub fn resign_to_larger(&mut self, cores: u32, now: Now) {
-        self.journal.make_way(cores, now.steady);
+    /// Releases the cell for a larger box with this many thousandths of cores.
+    pub fn release_to_larger(&mut self, cores: u32, now: Now) {
+        self.journal.release_to_larger(cores, now.steady);
     }
 
     /// Records that the preceding owner no longer extends leases.
@@ -341,8 +341,8 @@
             self.next_sweep = now.steady + SWEEP_INTERVAL;
             self.sweep();
         }
-        // The next owner relies on a resigning owner not extending leases.
-        if !self.deposed && !self.is_resigning() {
+        // The next owner relies on an owner that releases the cell not extending leases.
+        if !self.deposed && !self.is_releasing() {
             if self.cordoned_halls.is_some() {
                 self.place_ready_tasks();
                 self.swap_serving_tasks();
--- a/src/sched/requests.rs
+++ b/src/sched/requests.rs
@@ -102,10 +102,10 @@
         }
     }
 
-    /// Returns true while no other box can be the owner. A resigning owner may already have
-    /// released the cell by a commit whose answer is outstanding.
+    /// Returns true while no other box can be the owner. While the cell is being released, a
+    /// commit whose answer is outstanding may already have released it.
     fn is_sole_owner(&self) -> bool {
-        !self.is_resigning() && failover::holds_cell(self.journal.last_confirmed(), self.now.steady)
+        !self.is_releasing() && failover::holds_cell(self.journal.last_confirmed(), self.now.steady)
     }
 
     /// Handles the parked requests again, once a commit has confirmed that this box is the owner.
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -44,7 +44,7 @@
             return;
         };
         let (now, span) = (self.now.steady, self.settings.lease_length);
-        let resigning = self.is_resigning();
+        let releasing = self.is_releasing();
         let permit = self.permit_token(key, &name);
         let Some(worker) = self.workers.get_mut(&name) else {
             return;
@@ -60,7 +60,7 @@
         // A best-effort task starts at full speed, which would prolong a breach of a latency
         // target.
         let over_target = current.is_some_and(|s| s.best_effort) && worker.is_over_target();
-        let lease = match worker.accepts_tasks(now) && fits && !over_target && !resigning {
+        let lease = match worker.accepts_tasks(now) && fits && !over_target && !releasing {
             true => worker.grant_lease(span, now),
             false => None,
         };
--- a/src/sched/tests/failover.rs
+++ b/src/sched/tests/failover.rs
@@ -2,8 +2,8 @@
 
 use super::world::owner_row;
 use crate::sched::failover::{
-    Assessment, Cause, OwnerProgress, Pong, assess_owner, offered_cores, should_make_way,
-    takeover_delay, wanted_cores, weaker_box_delay,
+    Assessment, Cause, OwnerProgress, Pong, assess_owner, offered_cores, should_release_to,
+    smaller_box_delay, takeover_delay, wanted_cores,
 };
 use crate::sched::journal::OwnerRow;
 use crate::utils::clock::Millis;
@@ -14,17 +14,17 @@
         cores: 500,
         ..owner_row(1)
     };
-    assert_eq!(weaker_box_delay(500, &before), 0);
-    assert_eq!(weaker_box_delay(1_000, &before), 0);
-    assert!(weaker_box_delay(120, &before) > 0);
+    assert_eq!(smaller_box_delay(500, &before), 0);
+    assert_eq!(smaller_box_delay(1_000, &before), 0);
+    assert!(smaller_box_delay(120, &before) > 0);
 }
 
 #[test]
 fn an_owner_makes_way_for_more_cores_after_the_minimum_term() {
-    assert!(!should_make_way(500, 500, 1_000, 60_000));
-    assert!(!should_make_way(500, 0, 1_000, 60_000));
-    assert!(!should_make_way(120, 500, 1_000, 1_500));
-    assert!(should_make_way(120, 500, 1_000, 6_000));
+    assert!(!should_release_to(500, 500, 1_000, 60_000));
+    assert!(!should_release_to(500, 0, 1_000, 60_000));
+    assert!(!should_release_to(120, 500, 1_000, 1_500));
+    assert!(should_release_to(120, 500, 1_000, 6_000));
 }
 
 #[test]
@@ -38,10 +38,10 @@
         ..owner_row(2)
     };
     assert!(
-        weaker_box_delay(120, &weak) > 0,
+        smaller_box_delay(120, &weak) > 0,
         "a weak box still waits for strong ones"
     );
-    assert_eq!(weaker_box_delay(500, &weak), 0);
+    assert_eq!(smaller_box_delay(500, &weak), 0);
 }
 
 /// Progress of an owner that served at 1,000 ms, and of an owner that had loaded three pages.
@@ -88,10 +88,10 @@
 
 #[test]
 fn a_loading_owner_is_replaced_by_a_box_with_more_cores() {
-    let weaker = Assessment::Replace(Cause::Weaker);
-    assert_eq!(assess(LOADED, loads(4, 120), 1_001), weaker);
-    let weaker_box = assess_owner(120, 7, LOADED, loads(3, 500), 1_001);
-    assert_eq!(weaker_box, Assessment::CheckRow(LOADED));
+    let smaller_owner = Assessment::Replace(Cause::Weaker);
+    assert_eq!(assess(LOADED, loads(4, 120), 1_001), smaller_owner);
+    let smaller_box = assess_owner(120, 7, LOADED, loads(3, 500), 1_001);
+    assert_eq!(smaller_box, Assessment::CheckRow(LOADED));
 }
 
 #[test]
@@ -150,7 +150,7 @@
     assert_eq!(takeover_delay(500, &before, true, 100), 0);
     assert_eq!(
         takeover_delay(120, &before, true, 100),
-        weaker_box_delay(120, &before)
+        smaller_box_delay(120, &before)
     );
     assert!(
         takeover_delay(500, &before, false, 100) > 300,
--- a/src/sched/tests/history.rs
+++ b/src/sched/tests/history.rs
@@ -158,7 +158,7 @@
     world.run(1_000);
     world.store_down = true;
     let now = world.clock();
-    world.owner.resign(now);
+    world.owner.release(now);
     let ticket = world.request(JobRequest::Show("taken-elsewhere".into()));
     world.run(300);
     assert_eq!(
--- a/src/sched/tests/rolling_restart.rs
+++ b/src/sched/tests/rolling_restart.rs
@@ -5,8 +5,8 @@
 
 use super::world::owner_row;
 use crate::sched::failover::{
-    Assessment, OwnerProgress, Pong, assess_owner, offered_cores, should_make_way, takeover_delay,
-    wanted_cores, weaker_box_delay,
+    Assessment, OwnerProgress, Pong, assess_owner, offered_cores, should_release_to,
+    smaller_box_delay, takeover_delay, wanted_cores,
 };
 use crate::sched::journal::OwnerRow;
 use crate::utils::clock::Millis;
@@ -187,9 +187,9 @@
         if matches!(pong, Some(Pong::Serves { .. })) {
             self.offer(seen.epoch, offered_cores(cores, true, stopping));
         }
-        let weaker = weaker_box_delay(cores, &seen) > 0;
+        let smaller = smaller_box_delay(cores, &seen) > 0;
         let next = now
-            + if weaker {
+            + if smaller {
                 PING_INTERVALS.1
             } else {
                 PING_INTERVALS.0
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Has an owner give the cell up if a box with so many cores should replace it.
+    /// Has an owner release the cell if a box with so many cores should replace it.
     fn offer(&mut self, epoch: u64, cores: u32) {
         let now = self.now;
         let owner = self.nodes.iter().position(|n| n.epoch == epoch);
@@ -215,7 +215,7 @@
         };
         let node = &self.nodes[owner];
         if let NodeState::Serving(since, _) = node.state
-            && should_make_way(node.cores, cores, since, now)
+            && should_release_to(node.cores, cores, since, now)
         {
             self.release(owner);
         }
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Has the owner give the cell up.
+    /// Has the owner release the cell.
     fn release(&mut self, number: usize) {
         self.version += 1;
         self.row.released = true;
--- a/src/sched/tests/takeover.rs
+++ b/src/sched/tests/takeover.rs
@@ -26,7 +26,7 @@
     world.script = |_, _| (200, RunOutcome::Done);
     world.submit("before", job(vec![step(8, 1_000), after(step(8, 1_000))]));
     world.run(100);
-    world.owner.resign(world.clock());
+    world.owner.release(world.clock());
     let started = world.starts.len();
     world.submit("after", job(vec![step(8, 1_000)]));
     world.run(5_000);
@@ -45,7 +45,7 @@
     world.script = |_, _| (30_000, RunOutcome::Done);
     world.submit("j1", job(vec![step(4, 1_000)]));
     world.run(500);
-    world.owner.resign(world.clock());
+    world.owner.release(world.clock());
     world.run(6_000);
     assert!(world.running().is_empty(), "all leases have expired");
 }
