--- a/src/daemon/frontend.rs
+++ b/src/daemon/frontend.rs
@@ -118,7 +118,7 @@
     matches!(request, JobRequest::Submit { .. } | JobRequest::Cancel(_))
 }
 
-/// Logs that the request is abandoned, and returns the answer for the caller.
+/// Logs that the request is given up, and returns the answer for the caller.
 fn give_up(request: &JobRequest, in_doubt: bool, reason: &str, spent: Millis) -> Answer {
     let (kind, id) = kind_and_subject(request);
     log::info!(target: "desk", "job={id} event=given-up ask={kind} reason={reason} doubt={in_doubt} spent_ms={spent}");
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -93,7 +93,7 @@
     pub unserved_time: Gauge<i64, AtomicI64>,
     /// Highest recent delay of the owner's loop, in milliseconds.
     pub loop_delay: Gauge<i64, AtomicI64>,
-    /// Time since the owner began to give up the cell, in milliseconds; 0 before that.
+    /// Time since the owner began to release the cell, in milliseconds; 0 before that.
     pub release_time: Gauge<i64, AtomicI64>,
     /// Time that this box last took to load the cell, from the commit that made it the owner until
     /// it served, in milliseconds.
--- a/src/sched/colocation.rs
+++ b/src/sched/colocation.rs
@@ -46,7 +46,7 @@
     }
 
     /// Adds a task that was placed on the worker.
-    pub fn place(&mut self, key: TaskKey, placement: &Placement) {
+    pub fn insert(&mut self, key: TaskKey, placement: &Placement) {
         let image = placement.image_number;
         if placement.serving {
             self.idle_cpu += unused_cpu(placement);
@@ -74,7 +74,7 @@
     }
 
     /// Removes a task that is no longer placed on the worker.
-    pub fn release(&mut self, key: TaskKey, placement: &Placement) {
+    pub fn remove(&mut self, key: TaskKey, placement: &Placement) {
         if placement.serving {
             self.idle_cpu -= unused_cpu(placement);
         }
--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -31,7 +31,8 @@
             let Some(job) = jobs.get_mut(&number) else {
                 return Vec::new();
             };
-            job.archived = job.stored && !job.is_open() && is_unplaced(placed_on, number, job);
+            job.archived =
+                job.stored && !job.is_open() && has_no_placed_task(placed_on, number, job);
             job_writes(job)
         };
         let Some((number, version, mut writes)) = self.journal.build_commit(self.now.steady, rows)
@@ -110,12 +111,16 @@
 
     /// Marks some finished jobs without placed tasks as changed, so that the next commit
     /// archives them: jobs left by an earlier version of the software, and jobs whose last
-    /// task was freed without a change of the row.
+    /// task was released without a change of the row.
     pub(super) fn archive_finished(&mut self) {
         let finished = |job: &Job| job.stored_outcome != Outcome::Open && !job.archived;
         let jobs = self.jobs.iter().filter(|(_, job)| finished(job));
-        let free = jobs.filter(|(number, job)| is_unplaced(&self.placed_on, **number, job));
-        let numbers: Vec<u32> = free.map(|(number, _)| *number).take(MAX_ARCHIVED).collect();
+        let unplaced =
+            jobs.filter(|(number, job)| has_no_placed_task(&self.placed_on, **number, job));
+        let numbers: Vec<u32> = unplaced
+            .map(|(number, _)| *number)
+            .take(MAX_ARCHIVED)
+            .collect();
         for number in numbers {
             self.journal.touch(number);
         }
@@ -123,7 +128,7 @@
 }
 
 /// Returns true when no task of a job is known to be on a worker.
-fn is_unplaced(placed_on: &HashMap<TaskKey, Name>, number: u32, job: &Job) -> bool {
+fn has_no_placed_task(placed_on: &HashMap<TaskKey, Name>, number: u32, job: &Job) -> bool {
     !job.tasks(number)
         .any(|(key, _)| placed_on.contains_key(&key))
 }
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -51,7 +51,7 @@
         if completion.outcome == RunOutcome::Done {
             self.complete_task(key, current);
         } else if current {
-            self.free_unfinished(name, key, completion);
+            self.release_unfinished(name, key, completion);
         }
         if let Some(worker) = self.workers.get_mut(name) {
             worker.pending_completions.insert(completion.number);
@@ -63,7 +63,7 @@
     }
 
     /// Marks a task as done after a successful run; `current` is true if the task is placed for
-    /// that run.
+    /// that run. A lasting task of an open job is released instead, to run again.
     fn complete_task(&mut self, key: TaskKey, current: bool) {
         let Some(job) = self.jobs.get(&key.job) else {
             return;
@@ -71,7 +71,7 @@
         let open = job.is_open();
         if job.step(key).lasting && open {
             if current {
-                self.unplace(key);
+                self.release_task(key);
             }
             return;
         }
@@ -85,7 +85,7 @@
             }
             self.mark_done(key);
             for peer in self.gang_or_self(key) {
-                self.unplace(peer);
+                self.release_task(peer);
             }
         } else if open {
             // An earlier run succeeded after all: the later run is not needed.
@@ -105,9 +105,9 @@
         }
     }
 
-    /// Frees a task whose current run ended without success, and fails its job once the task's
+    /// Releases a task whose current run ended without success, and fails its job once the task's
     /// attempts are exhausted.
-    fn free_unfinished(&mut self, name: &Name, key: TaskKey, completion: &EndedRun) {
+    fn release_unfinished(&mut self, name: &Name, key: TaskKey, completion: &EndedRun) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
@@ -122,7 +122,7 @@
         }
         self.save_checkpoint(key, &completion.checkpoint);
         let exhausted = !lasting && self.failure_count(key) >= attempts;
-        self.unplace(key);
+        self.release_task(key);
         if exhausted && self.jobs.get(&key.job).is_some_and(|j| j.is_open()) {
             self.finish_job(key.job, Outcome::Failed);
         }
@@ -148,7 +148,7 @@
     pub(super) fn acknowledge_completion(&mut self, incarnation: &Incarnation, number: u64) {
         let now = self.now.steady;
         let name = &incarnation.id;
-        // A later incarnation numbers its ends from 1 again.
+        // A later incarnation numbers its completions from 1 again.
         let worker = self
             .workers
             .get_mut(name)
--- a/src/sched/crashes.rs
+++ b/src/sched/crashes.rs
@@ -9,7 +9,7 @@
 //!
 //! A crash counts as a crash of a task if the worker had listed the task's run and another
 //! incarnation has replaced the worker. Otherwise the worker may be out of reach, or the run may
-//! never have started: that counts as a loss, and a task is given up only after more of those.
+//! never have started: that counts as a loss, and a task is abandoned only after more losses.
 //!
 //! Where many workers fail at once, the cause is an outage rather than a task. A run that had
 //! lasted for a while then counts an outage, of which far more are allowed, and the crash of a
@@ -30,17 +30,17 @@
 /// Shorter runs are counted, since many short runs that all end with their workers are no
 /// coincidence, although a single one may be.
 const PROVEN_AGE: Millis = 10_000;
-/// Crashes after which a task is given up if no other task may have caused the last one.
+/// Crashes after which a task is abandoned if no other task may have caused the last one.
 const MAX_CRASHES: u32 = 2;
-/// Crashes, losses and outages together after which any task is given up: none of its runs has
+/// Crashes, losses and outages together after which any task is abandoned: none of its runs has
 /// lasted for `PROVEN_AGE` meanwhile.
 const MAX_INCIDENTS: u32 = 16;
-/// Number of other failing workers from which on a crash is part of an outage.
+/// A crash is part of an outage when at least this many other workers fail at the same time.
 const OUTAGE_WORKERS: usize = 2;
 /// Milliseconds within which crashes count as simultaneous: two heartbeats, after which the last
 /// of them are noticed.
 const OUTAGE_WINDOW: Millis = 2_000;
-/// Crashes and losses together after which any task is given up: at most two starts follow the
+/// Crashes and losses together after which any task is abandoned: at most two starts follow the
 /// third crash.
 const MAX_LOSSES: u32 = 4;
 /// One in this many workers may be isolated for a suspect, including those that suspects have
@@ -122,8 +122,8 @@
 }
 
 impl Attribution {
-    /// Returns true when the task is given up by its counts.
-    fn gives_up_task(&self, task: &Task) -> bool {
+    /// Returns true when the counts of the task require that it is abandoned.
+    fn abandons_task(&self, task: &Task) -> bool {
         let sole_cause = self.category == CrashCategory::Crash && self.cause == Cause::Sole;
         let failures = task.crashes + task.losses;
         (sole_cause && task.crashes >= MAX_CRASHES)
@@ -183,11 +183,11 @@
 }
 
 impl Owner {
-    /// Counts the crash of a worker for the runs that were lost with it, and gives up tasks with
+    /// Counts the crash of a worker for the runs that were lost with it, and abandons tasks with
     /// too many crashes. A worker that had announced that it would leave has not crashed.
     pub(super) fn record_crash(&mut self, name: &Name, evidence: CrashEvidence) {
         let others = self.concurrent_failures(name);
-        // A worker whose tasks were freed when its lease ended is not counted again.
+        // A worker whose tasks were released when its lease ended is not counted again.
         let has_crashed = |w: &&Worker| !w.listing.leaving && !w.placements.is_empty();
         let Some(worker) = self.workers.get(name).filter(has_crashed) else {
             return;
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Counts a crash for a task, and fails its job if that gives the task up.
+    /// Counts a crash for a task, and fails its job if the task is abandoned.
     fn count_crash(&mut self, attribution: &Attribution, name: &Name) {
         let &Attribution {
             key,
@@ -272,7 +272,7 @@
             (_, CrashCategory::Outage) => task.outages += 1,
         }
         let (crashes, losses, outages) = (task.crashes, task.losses, task.outages);
-        let (run, gives_up) = (task.run, attribution.gives_up_task(task));
+        let (run, abandoned) = (task.run, attribution.abandons_task(task));
         if attribution.provisional {
             let at = self.now.steady;
             self.provisional_crashes
@@ -281,7 +281,7 @@
         self.journal.touch(key.job);
         let task = self.task_name(key);
         log::info!(target: "task", "task={task} run={run} event=crash-counted worker={name} cause={cause:?} count={category:?} crashes={crashes} losses={losses} outages={outages}");
-        if gives_up {
+        if abandoned {
             crate::metrics::get().abandoned_tasks.inc();
             log::warn!(target: "task", "task={task} run={run} event=abandoned crashes={crashes} losses={losses} cause={cause:?}");
             self.finish_job(key.job, Outcome::Failed);
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -162,7 +162,7 @@
         // This also stops the other members of a lost run's gang, those on the later
         // incarnation too.
         for key in lost {
-            self.unplace(key);
+            self.release_task(key);
         }
         // A listing with an earlier start was ignored until the report confirmed that start.
         if let Some(entry) = entry.filter(|e| e.boot == report.boot) {
--- a/src/sched/lost_workers.rs
+++ b/src/sched/lost_workers.rs
@@ -1,4 +1,4 @@
-//! Handles workers that have ended or whose leases have run out, and frees their tasks.
+//! Handles workers that have ended or whose leases have run out, and releases their tasks.
 
 use super::crashes::{CrashEvidence, listed_for};
 use super::job::TaskKey;
@@ -26,7 +26,7 @@
 }
 
 impl Owner {
-    /// Removes an incarnation of a worker that has certainly ended, and frees its tasks.
+    /// Removes an incarnation of a worker that has certainly ended, and releases its tasks.
     pub(super) fn end_incarnation(&mut self, name: &Name, end: IncarnationEnd) {
         self.log_incarnation_end(name, end);
         if end == IncarnationEnd::Replaced {
@@ -34,7 +34,7 @@
             // crashes, one task crashed a worker every 3 s for as long as its job was open.
             self.record_crash(name, CrashEvidence::Replaced);
         }
-        self.release_tasks(name);
+        self.release_worker_tasks(name);
         self.forget_permits(name);
         self.cancel_reservation(name);
         self.remove_worker(name);
@@ -59,18 +59,18 @@
         }
     }
 
-    /// Frees all tasks of a worker.
-    fn release_tasks(&mut self, name: &Name) {
+    /// Releases all tasks of a worker.
+    fn release_worker_tasks(&mut self, name: &Name) {
         let Some(worker) = self.workers.get(name) else {
             return;
         };
         let keys: Vec<TaskKey> = worker.placements.keys().copied().collect();
         for key in keys {
-            self.unplace(key);
+            self.release_task(key);
         }
     }
 
-    /// Frees the tasks of silent workers whose leases have certainly ended, and removes
+    /// Releases the tasks of silent workers whose leases have certainly ended, and removes
     /// unlisted workers without tasks.
     pub(super) fn expire_leases(&mut self) {
         let now = self.now.steady;
@@ -90,7 +90,7 @@
             log::info!(target: "worker", "worker={name} event=lapsed tasks={tasks} presence={presence:?}");
             self.count_lapsed_runs(tasks);
             self.record_crash(&name, CrashEvidence::Silent);
-            self.release_tasks(&name);
+            self.release_worker_tasks(&name);
             if is_removable(presence) {
                 self.remove_worker(&name);
             }
@@ -109,11 +109,12 @@
         for name in drained {
             self.remove_worker(&name);
         }
-        self.release_unlisted();
+        self.release_unlisted_tasks();
     }
 
-    /// Frees tasks that the store holds as placed on workers that this owner never saw listed.
-    fn release_unlisted(&mut self) {
+    /// Releases tasks that are stored as placed on workers that this owner never saw listed, once
+    /// the leases granted by earlier owners have ended.
+    fn release_unlisted_tasks(&mut self) {
         if self.now.steady <= self.inherited_leases_end {
             return;
         }
@@ -124,12 +125,12 @@
             self.count_lapsed_runs(lost.len());
             self.record_unseen_crashes(&lost, &name);
             for key in lost {
-                self.unplace(key);
+                self.release_task(key);
             }
         }
     }
 
-    /// Counts runs that were freed because the lease of their silent worker had ended.
+    /// Counts runs that were released because the lease of their silent worker had ended.
     fn count_lapsed_runs(&mut self, runs: usize) {
         self.lapsed_runs += runs as u64;
         crate::metrics::get().lapsed_runs.inc_by(runs as u64);
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -150,7 +150,7 @@
     next_sweep: Millis,
     /// When what was learned is written next.
     pub(super) next_estimates: Millis,
-    /// Number of runs that were unplaced because the lease of their worker had ended.
+    /// Number of runs that were released because the lease of their worker had ended.
     pub(super) lapsed_runs: u64,
     /// True once another box owns the cell.
     pub(super) deposed: bool,
@@ -251,7 +251,7 @@
         (self.jobs.len(), self.workers.len(), self.ready.len())
     }
 
-    /// Returns how many runs were unplaced because the lease of their worker had ended.
+    /// Returns how many runs were released because the lease of their worker had ended.
     pub fn lapsed_runs(&self) -> u64 {
         self.lapsed_runs
     }
@@ -459,8 +459,8 @@
         job.map(|j| j.task_name(key)).unwrap_or_default()
     }
 
-    /// Removes a task from its worker. The task waits for its next start if its job is open.
-    pub(super) fn unplace(&mut self, key: TaskKey) {
+    /// Releases a task from its worker. The task waits for its next start if its job is open.
+    pub(super) fn release_task(&mut self, key: TaskKey) {
         let Some(name) = self.placed_on.remove(&key) else {
             return;
         };
--- a/src/sched/placement_pass.rs
+++ b/src/sched/placement_pass.rs
@@ -390,7 +390,7 @@
         self.update_ranking(key, &name);
     }
 
-    /// Frees the resources of a task whose placement was not recorded.
+    /// Undoes the allocation of a task whose placement was not recorded.
     fn deallocate(&mut self, key: TaskKey, name: &Name) {
         self.ranking = None;
         self.placed_on.remove(&key);
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -288,7 +288,7 @@
         true
     }
 
-    /// Frees or stops the tasks that are placed on a worker and missing from its report.
+    /// Releases or stops the tasks that are placed on a worker and missing from its report.
     fn handle_missing_runs(&mut self, name: &Name, sent: Millis, listed: &BTreeSet<TaskKey>) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -320,7 +320,7 @@
         }
         self.record_unseen_crashes(&unseen, name);
         for key in ended.into_iter().chain(unseen) {
-            self.unplace(key);
+            self.release_task(key);
         }
     }
 }
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -40,7 +40,7 @@
             return;
         };
         let Some(job) = self.jobs.get(&key.job).filter(|j| j.is_open()) else {
-            self.unplace(key);
+            self.release_task(key);
             return;
         };
         let (now, span) = (self.now.steady, self.settings.lease_length);
@@ -69,7 +69,7 @@
         else {
             log::info!(target: "task", "task={} run={run} event=withdrawn worker={name} fits={fits} cordoned={cordoned} over_target={over_target}", job.task_name(key));
             crate::metrics::get().withdrawn_starts.inc();
-            self.unplace(key);
+            self.release_task(key);
             return;
         };
         placement.stage = Stage::Starting;
@@ -142,7 +142,7 @@
                 self.stop_task(key);
             }
             Reply::Lost => {}
-            Reply::NotSent => self.unplace(key),
+            Reply::NotSent => self.release_task(key),
             Reply::Refused(refusal) => self.handle_start_refusal(key, run, name, refusal),
         }
     }
@@ -192,7 +192,7 @@
             Refusal::NoPermit => self.invalidate_permit(key, name),
             Refusal::Late | Refusal::Old | Refusal::Fenced | Refusal::Replaced => {}
         }
-        self.unplace(key);
+        self.release_task(key);
         if refusal == Refusal::Replaced {
             self.end_incarnation(name, IncarnationEnd::Replaced);
         }
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Stops a placed task, or frees it if its start was not sent yet.
+    /// Stops a placed task, or releases it if its start was not sent yet.
     pub(super) fn stop_task(&mut self, key: TaskKey) {
         let Some(name) = self.placed_on.get(&key).cloned() else {
             return;
@@ -294,7 +294,7 @@
         };
         match placement.stage {
             Stage::Recording => {
-                self.unplace(key);
+                self.release_task(key);
                 return;
             }
             Stage::Inherited | Stage::Stopping(_) | Stage::Stopped(_) => return,
--- a/src/sched/tests/crashes.rs
+++ b/src/sched/tests/crashes.rs
@@ -67,7 +67,7 @@
 }
 
 /// A worker may come back only after its lease has ended, or not at all. It may then just be out
-/// of reach, so that more such losses are needed until the task is given up.
+/// of reach, so that more such losses are needed until the task is abandoned.
 #[test]
 fn a_crash_counts_when_the_worker_does_not_come_back_in_time() {
     for back in [9_000, 600_000] {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Workers that are cut off keep running. A task is not given up because of them, although it
+/// Workers that are cut off keep running. A task is not abandoned because of them, although it
 /// had just been started there each time.
 #[test]
 fn workers_out_of_reach_do_not_count_as_crashed() {
@@ -142,7 +142,7 @@
             owners += 1;
         }
         world.run(50);
-        assert!(world.now < 60_000, "the task is not given up");
+        assert!(world.now < 60_000, "the task is not abandoned");
     }
     let crashes = world.crashes.count_with("bad.0.0.0");
     assert!(crashes <= 5, "two starts after the third crash: {crashes}");
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -226,7 +226,7 @@
         self.allocated = self.allocated.plus(placement.resources);
         self.unreserved_cpu += placement.unreserved_cpu;
         self.lasting_tasks += u32::from(placement.lasting);
-        self.colocation.place(key, &placement);
+        self.colocation.insert(key, &placement);
         if placement.suspect {
             self.isolated_job = Some(key.job);
         }
@@ -238,7 +238,7 @@
         let Some(placement) = self.placements.remove(&key) else {
             return;
         };
-        self.colocation.release(key, &placement);
+        self.colocation.remove(key, &placement);
         self.update_isolation();
         if placement.best_effort && placement.has_started() {
             let share = self.cpu_share(&placement);
@@ -356,7 +356,8 @@
         self.reservation.is_none() && total.within(self.listing.capacity.plus(run.resources))
     }
 
-    /// Returns how often these resources are free, in thousandths, by the scarcest of them.
+    /// Returns how many times these resources fit into the free ones, in thousandths, by the
+    /// scarcest of them.
     pub fn headroom(&self, resources: Resources) -> u64 {
         let capacity = self.listing.capacity;
         let ratio = |capacity: u64, allocated: u64, wanted: u64| match wanted {
