--- a/src/cell/outcome.rs
+++ b/src/cell/outcome.rs
@@ -73,7 +73,7 @@
         let cancelled = self
             .shards
             .values()
-            .any(|l| l.cancelled && l.row.spec.id == job);
+            .any(|s| s.cancelled && s.row.spec.id == job);
         match cancelled {
             true => self.stop(name, id, false).into_iter().collect(),
             false => Vec::new(),
@@ -124,13 +124,20 @@
         if let CallOutcome::Done(saved) = outcome
             && let Some(run) = worker.end_run(now, id)
         {
-            self.end_run(now, name, &run, RunState::Stopped, saved);
+            self.record_run_end(now, name, &run, RunState::Stopped, saved);
         }
         self.send_queued(now, micros)
     }
 
     /// Handles the end of a run: updates the task's row, which is then written.
-    pub fn end_run(&mut self, now: Millis, name: &Name, run: &Run, state: RunState, saved: Millis) {
+    pub fn record_run_end(
+        &mut self,
+        now: Millis,
+        name: &Name,
+        run: &Run,
+        state: RunState,
+        saved: Millis,
+    ) {
         let failures = self.policy.failure_limit;
         let Some((shard, index)) = self.release_quota(run) else {
             return;
@@ -160,14 +167,14 @@
         shard.acks.push((name.clone(), run.id));
         let job = run.job.clone();
         match state {
-            RunState::Finished => self.record_success(name),
-            RunState::Failed => self.record_failure(now, name, job),
+            RunState::Finished => self.record_finished_run(name),
+            RunState::Failed => self.record_failed_run(now, name, job),
             RunState::Stopped | RunState::Running => {}
         }
     }
 
     /// Resets the failures and quarantines of a worker that finished a run.
-    fn record_success(&mut self, name: &Name) {
+    fn record_finished_run(&mut self, name: &Name) {
         self.finished_tasks += 1;
         if let Some(worker) = self.workers.get_mut(name) {
             worker.failed_jobs.clear();
@@ -177,7 +184,7 @@
 
     /// Counts a failed run. A worker that fails tasks of several jobs is put in quarantine,
     /// and its failures are no longer counted against the tasks.
-    fn record_failure(&mut self, now: Millis, name: &Name, job: Name) {
+    fn record_failed_run(&mut self, now: Millis, name: &Name, job: Name) {
         let first_quarantine = self.policy.first_quarantine;
         let listed = self.workers.values().filter(|w| w.listed).count();
         let quarantined = self
@@ -300,12 +307,12 @@
         };
         match shard.states[index] {
             TaskState::Running(id) if id == run.id => {
-                self.end_run(now, name, run, report.state, report.progress);
+                self.record_run_end(now, name, run, report.state, report.progress);
             }
             // A task is done whichever of its runs has finished.
             TaskState::Held if report.state == RunState::Finished => {
                 shard.states[index] = TaskState::Running(run.id);
-                self.end_run(now, name, run, report.state, report.progress);
+                self.record_run_end(now, name, run, report.state, report.progress);
             }
             // The task may have a later run: its progress is saved, and the task stays held.
             TaskState::Held => {
@@ -334,13 +341,13 @@
     /// Returns true when the end of a run is not recorded yet.
     fn has_unrecorded_end(&self, id: RunId) -> bool {
         let pending = |w: &PendingWrite| w.acks.iter().any(|(_, r)| *r == id);
-        self.shards.values().any(|l| {
-            l.acks.iter().any(|(_, r)| *r == id) || l.pending_write.as_ref().is_some_and(pending)
+        self.shards.values().any(|s| {
+            s.acks.iter().any(|(_, r)| *r == id) || s.pending_write.as_ref().is_some_and(pending)
         })
     }
 
     /// Handles a run that is no longer on its worker, without a report of its end.
-    pub fn lose_run(&mut self, now: Millis, name: &Name, id: RunId) {
+    pub fn handle_lost_run(&mut self, now: Millis, name: &Name, id: RunId) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -349,7 +356,7 @@
         };
         match run.phase {
             RunPhase::InDoubt | RunPhase::Starting => self.requeue(&run),
-            _ => self.end_run(now, name, &run, RunState::Stopped, run.saved),
+            _ => self.record_run_end(now, name, &run, RunState::Stopped, run.saved),
         }
         if run.phase != RunPhase::Stopping && now < run.phase_since + YOUNG_RUN {
             self.count_lost_run(&run);
--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -10,11 +10,11 @@
 use crate::utils::clock::Millis;
 
 /// Weight of a new measurement in the moving average of a service's latency.
-const LATENCY_WEIGHT: f64 = 0.05;
+const SERVICE_LATENCY_WEIGHT: f64 = 0.05;
 /// Latency in microseconds assumed for a service that was never measured.
 const DEFAULT_LATENCY: f64 = 5_000.0;
 /// Shortest and longest time in milliseconds after which a refused caller may retry.
-const RETRY_AFTER: (Millis, Millis) = (20, 5_000);
+const RETRY_AFTER_RANGE: (Millis, Millis) = (20, 5_000);
 
 /// Class of a request; the first is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -117,7 +117,7 @@
         let mut actions = Vec::new();
         self.record_use(now, &request.service);
         if self.leaving {
-            let after = RETRY_AFTER.0;
+            let after = RETRY_AFTER_RANGE.0;
             actions.push(refuse(&request, Reason::Stopping, after));
             return actions;
         }
@@ -281,17 +281,17 @@
             SendOutcome::Answered => {
                 if let Some(request) = worker.remove_request(ticket) {
                     let took = micros.saturating_sub(request.sent_us);
-                    worker.record_answer(took);
+                    worker.record_answered_request(took);
                     let mean = self
                         .mean_latencies
                         .entry(request.service)
                         .or_insert(took as f64);
-                    *mean += LATENCY_WEIGHT * (took as f64 - *mean);
+                    *mean += SERVICE_LATENCY_WEIGHT * (took as f64 - *mean);
                 }
             }
             SendOutcome::NotRun => {
                 worker.remove_request(ticket);
-                record_failure(worker, now);
+                handle_failed_request(worker, now);
             }
             SendOutcome::LeaseLapsed => {
                 worker.remove_request(ticket);
@@ -302,7 +302,7 @@
                 if let Some(request) = worker.requests.get_mut(&ticket) {
                     request.start_deadline = Some(until + self.margin);
                 }
-                record_failure(worker, now);
+                handle_failed_request(worker, now);
             }
         }
         self.send_queued(now, micros)
@@ -313,7 +313,7 @@
         let mut actions = Vec::new();
         while let Some(request) = self.queue.pop() {
             if now >= request.deadline {
-                actions.push(refuse(&request, Reason::Deadline, RETRY_AFTER.0));
+                actions.push(refuse(&request, Reason::Deadline, RETRY_AFTER_RANGE.0));
                 continue;
             }
             match self.dispatch(now, micros, &request) {
@@ -350,7 +350,7 @@
         let waiting = self.queue.drain();
         waiting
             .iter()
-            .map(|request| refuse(request, reason, RETRY_AFTER.0))
+            .map(|request| refuse(request, reason, RETRY_AFTER_RANGE.0))
             .collect()
     }
 
@@ -375,13 +375,13 @@
             .unwrap_or(DEFAULT_LATENCY);
         let ahead = self.queue.count_ahead(class) as f64 + 1.0;
         let wait = ahead * mean / f64::from(slots.max(1)) / 1_000.0;
-        (wait as Millis).clamp(RETRY_AFTER.0, RETRY_AFTER.1)
+        (wait as Millis).clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1)
     }
 }
 
 /// Records a failed request and logs the ejection that it may cause.
-fn record_failure(worker: &mut Worker, now: Millis) {
-    if worker.record_failure(now) {
+fn handle_failed_request(worker: &mut Worker, now: Millis) {
+    if worker.record_failed_request(now) {
         let duration = worker.ejected_until - now;
         log::warn!(target: "cell", "worker {} is ejected for {duration} ms after repeated failures", worker.name);
     }
@@ -391,6 +391,6 @@
     Action::Refuse {
         ticket: request.ticket,
         reason,
-        retry_after: after.clamp(RETRY_AFTER.0, RETRY_AFTER.1),
+        retry_after: after.clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1),
     }
 }
--- a/src/cell/shard.rs
+++ b/src/cell/shard.rs
@@ -104,7 +104,7 @@
 
     /// Returns true when every task has ended and the row is written.
     pub fn is_ended(&self) -> bool {
-        let done = self.states.iter().all(|l| *l == TaskState::Ended);
+        let done = self.states.iter().all(|s| *s == TaskState::Ended);
         done && !self.dirty && self.pending_write.is_none()
     }
 
--- a/src/cell/start.rs
+++ b/src/cell/start.rs
@@ -41,16 +41,16 @@
         if self.leaving || !self.loaded {
             return actions;
         }
-        let mut passed = BTreeSet::new();
+        let mut skipped = BTreeSet::new();
         while actions.len() < MAX_STARTS {
-            let Some(key) = self.next_shard(&passed) else {
+            let Some(key) = self.next_shard(&skipped) else {
                 break;
             };
             match self.start_task(now, &key) {
                 Some(action) => actions.push(action),
                 None => {
                     actions.extend(self.preempt_for(now, &key));
-                    passed.insert(key);
+                    skipped.insert(key);
                 }
             }
         }
@@ -59,12 +59,12 @@
 
     /// Returns the job shard whose task starts next: urgent shards first, then those of the
     /// team that uses the fewest cores for its weight, then the oldest.
-    fn next_shard(&self, passed: &BTreeSet<Name>) -> Option<Name> {
+    fn next_shard(&self, skipped: &BTreeSet<Name>) -> Option<Name> {
         let ready = self
             .shards
             .iter()
             .filter(|(key, shard)| {
-                !passed.contains(*key) && shard.states.contains(&TaskState::Waiting)
+                !skipped.contains(*key) && shard.states.contains(&TaskState::Waiting)
             })
             .filter(|(_, shard)| self.within_quota(shard));
         let rank = |(key, shard): &(&Name, &JobShard)| {
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -193,7 +193,7 @@
         for worker in self.workers.values_mut() {
             worker.listed = false;
         }
-        for listed in list.iter().filter(|p| p.cell == self.name) {
+        for listed in list.iter().filter(|w| w.cell == self.name) {
             let worker = self
                 .workers
                 .entry(listed.name.clone())
@@ -332,7 +332,7 @@
         let missing = missing_runs(worker, sent, self.margin, &reply.runs);
         let mut actions = Vec::new();
         for id in missing {
-            self.lose_run(now, name, id);
+            self.handle_lost_run(now, name, id);
         }
         for report in &reply.runs {
             actions.extend(self.apply_report(now, name, report));
@@ -386,7 +386,7 @@
             lapsed.extend(runs.map(|r| (worker.name.clone(), r.id)));
         }
         for (name, id) in lapsed {
-            self.lose_run(now, &name, id);
+            self.handle_lost_run(now, &name, id);
         }
     }
 }
--- a/src/cell/throttling.rs
+++ b/src/cell/throttling.rs
@@ -112,9 +112,9 @@
         let worker = self.workers.get_mut(name)?;
         let rpc = worker.rpc;
         let run = worker.runs.get(&id).filter(|r| !r.throttle_pending)?;
-        let (old, held) = (run.share, run.allocated().cores);
+        let (old, allocated) = (run.share, run.allocated().cores);
         let wanted = run.size.with_core_share(share).cores;
-        if share > old && wanted > worker.free_cores() + held {
+        if share > old && wanted > worker.free_cores() + allocated {
             return None;
         }
         worker.last_throttle = now;
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -9,8 +9,8 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Weight of a new measurement in the moving average of latencies.
-const LATENCY_WEIGHT: f64 = 0.1;
+/// Weight of a new measurement in the moving average of its latency.
+const WORKER_LATENCY_WEIGHT: f64 = 0.1;
 /// Consecutive failures of requests after which a worker is ejected.
 const EJECTION_FAILURES: u32 = 3;
 /// Milliseconds of a first ejection; each further ejection doubles it.
@@ -236,18 +236,18 @@
     }
 
     /// Records a request that was answered after `micros` microseconds.
-    pub fn record_answer(&mut self, micros: u64) {
+    pub fn record_answered_request(&mut self, micros: u64) {
         self.consecutive_failures = 0;
         self.ejections = 0;
         let value = micros as f64;
         self.mean_latency = match self.mean_latency {
             0.0 => value,
-            old => old + LATENCY_WEIGHT * (value - old),
+            old => old + WORKER_LATENCY_WEIGHT * (value - old),
         };
     }
 
     /// Records a failed request; returns true when that ejects the worker.
-    pub fn record_failure(&mut self, now: Millis) -> bool {
+    pub fn record_failed_request(&mut self, now: Millis) -> bool {
         self.consecutive_failures += 1;
         if self.consecutive_failures < EJECTION_FAILURES || self.ejected_until > now {
             return false;
--- a/src/config.rs
+++ b/src/config.rs
@@ -27,7 +27,7 @@
 /// Prefix of the rows that hold the version that a change with a given id resulted in.
 pub const ID_PREFIX: &str = "config/id/";
 /// Number of latest changes whose rows are kept, so that boxes can apply them one by one.
-pub const MAX_CHANGES: u64 = 4_096;
+pub const CHANGES_KEPT: u64 = 4_096;
 
 /// The head row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::{
-    ChangeRow, ENTRY_PREFIX, Edit, EntryRow, HEAD_KEY, Head, ID_PREFIX, MAX_CHANGES, change_key,
+    CHANGES_KEPT, ChangeRow, ENTRY_PREFIX, Edit, EntryRow, HEAD_KEY, Head, ID_PREFIX, change_key,
 };
 use crate::lease::WriteOutcome;
 use crate::table::{Call, Expect, Op, Outcome, Row, decode};
@@ -185,8 +185,8 @@
                 None => Op::delete(key, Expect::Any),
             });
         }
-        if version > MAX_CHANGES {
-            ops.push(Op::delete(change_key(version - MAX_CHANGES), Expect::Any));
+        if version > CHANGES_KEPT {
+            ops.push(Op::delete(change_key(version - CHANGES_KEPT), Expect::Any));
         }
         Step::Call(Call::Commit(ops))
     }
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -64,7 +64,7 @@
     }
 
     /// Returns true once any version was loaded.
-    pub fn known(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.known
     }
 
--- a/src/engine/config_sync.rs
+++ b/src/engine/config_sync.rs
@@ -10,7 +10,7 @@
 use crate::utils::Name;
 
 /// Largest number of changes that are read one by one; a box further behind reads all entries.
-const MAX_CHANGES: u64 = 200;
+const MAX_CHANGES_READ: u64 = 200;
 /// Poll intervals without an answer of the table after which a peer's configuration is fetched.
 const MAX_SILENT_POLLS: u64 = 2;
 
@@ -44,7 +44,7 @@
             let from = staged.version();
             return self.read_changes(from, version, out);
         }
-        if !self.config.known() || version > self.config.version() + MAX_CHANGES {
+        if !self.config.is_loaded() || version > self.config.version() + MAX_CHANGES_READ {
             let call = Call::Scan(config::ENTRY_PREFIX.into());
             return self.call_table(Purpose::ReadEntries(version), call, out);
         }
@@ -59,7 +59,7 @@
             self.adopt_staged();
             return;
         }
-        let last = version.min(from + MAX_CHANGES);
+        let last = version.min(from + MAX_CHANGES_READ);
         let keys = (from + 1..=last).map(change_key).collect();
         self.call_table(Purpose::ReadChanges, Call::Read(keys), out);
     }
@@ -148,7 +148,7 @@
         rpc: std::net::SocketAddr,
         out: &mut Vec<Action>,
     ) {
-        if self.config.known() && version <= self.config.version() {
+        if self.config.is_loaded() && version <= self.config.version() {
             return;
         }
         self.polled_at = None;
@@ -163,7 +163,7 @@
 
     /// Makes a peer's configuration active; `None` if the fetch failed.
     pub(super) fn adopt_snapshot(&mut self, config: Option<Config>) {
-        if let Some(config) = config.filter(Config::known) {
+        if let Some(config) = config.filter(Config::is_loaded) {
             self.adopt(config);
         }
     }
--- a/src/engine/job_shards.rs
+++ b/src/engine/job_shards.rs
@@ -19,7 +19,7 @@
 impl Engine {
     /// Writes changed job shards of several cells in one commit if that is due.
     pub(super) fn write_job_shards(&mut self, now: Now, out: &mut Vec<Action>) {
-        if now.millis < self.flushed_at + self.settings.intervals.journal {
+        if now.millis < self.flushed_at + self.settings.intervals.shard_write {
             return;
         }
         self.flushed_at = now.millis;
@@ -167,16 +167,16 @@
         }
         let first = self.scanned_at.insert(name.clone(), now.millis).is_none();
         if first {
-            self.jobs_checked = 0;
+            self.jobs_checked_at = 0;
         }
     }
 
     /// Reads the jobs of open job shards, if that is due, to find cancelled ones.
     pub(super) fn read_jobs(&mut self, now: Now, out: &mut Vec<Action>) {
-        if now.millis < self.jobs_checked + JOB_CHECK_INTERVAL {
+        if now.millis < self.jobs_checked_at + JOB_CHECK_INTERVAL {
             return;
         }
-        self.jobs_checked = now.millis;
+        self.jobs_checked_at = now.millis;
         let shards = self.cells.values().flat_map(|c| c.shards.values());
         let open = shards.filter(|shard| !shard.cancelled);
         let mut keys: Vec<Name> = open
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -90,8 +90,8 @@
     /// Reports the loads of the own cells to the router.
     pub(super) fn report_own_loads(&mut self, now: Millis) {
         let loads = self.own_loads(now);
-        let me = self.id().clone();
-        self.router.update_owner(now, &me, None, loads);
+        let own_id = self.id().clone();
+        self.router.update_owner(now, &own_id, None, loads);
     }
 
     /// Applies a greeting of another box and replies to it.
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -36,7 +36,7 @@
         if self.stopping_since.is_some() {
             return self.finish_not_run(now, ticket, Reason::Stopping, RETRY_AFTER, out);
         }
-        if !self.config.known() || !self.router.has_seen_cells() {
+        if !self.config.is_loaded() || !self.router.has_seen_cells() {
             return self.finish_not_run(now, ticket, Reason::NotReady, RETRY_AFTER, out);
         }
         let Some(request) = self.in_flight.get(&ticket) else {
--- a/src/engine/state.rs
+++ b/src/engine/state.rs
@@ -72,7 +72,7 @@
     /// Time of the last scan of each cell's job shards; no entry before the first scan.
     pub(super) scanned_at: BTreeMap<Name, Millis>,
     /// Time of the last check for cancelled jobs.
-    pub(super) jobs_checked: Millis,
+    pub(super) jobs_checked_at: Millis,
     /// Time of the table's last answer.
     pub(super) answered_at: Millis,
     /// Time of the last fetch of a peer's configuration.
@@ -87,7 +87,7 @@
     /// Returns the engine of a box that has just started.
     pub fn new(settings: EngineSettings) -> Self {
         let id = incarnation(&settings.name, settings.boot);
-        let me = BoxRow {
+        let own_row = BoxRow {
             id: id.clone(),
             name: settings.name.clone(),
             rpc: settings.rpc.to_string().into(),
@@ -97,7 +97,7 @@
         };
         let seed = crate::utils::hash::stable(&[&id]);
         Self {
-            lease: Lease::new(settings.lease_timings, me),
+            lease: Lease::new(settings.lease_timings, own_row),
             claims: Claims::new(id),
             cells: BTreeMap::new(),
             dedup_shards: BTreeMap::new(),
@@ -121,7 +121,7 @@
             announce_until: 0,
             flushed_at: 0,
             scanned_at: BTreeMap::new(),
-            jobs_checked: 0,
+            jobs_checked_at: 0,
             answered_at: 0,
             snapshot_at: None,
             idle_since: None,
@@ -146,7 +146,7 @@
     }
 
     /// Returns true while the box may act by promises alone, as its lease has ended.
-    pub fn acts_on_promises(&self, now: Millis) -> bool {
+    pub fn acts_by_promises(&self, now: Millis) -> bool {
         self.lease.acts_by_promises(now)
     }
 
@@ -170,7 +170,7 @@
 
     /// Returns true if the box accepts callers' requests.
     pub fn is_ready(&self) -> bool {
-        self.stopping_since.is_none() && self.config.known() && !self.router.views().is_empty()
+        self.stopping_since.is_none() && self.config.is_loaded() && !self.router.views().is_empty()
     }
 
     /// Applies an event and returns the resulting actions.
@@ -266,10 +266,10 @@
             self.idle_since = None;
         }
         let idle_since = *self.idle_since.get_or_insert(now.millis);
-        let quiet = !busy
+        let lingered = !busy
             && now.millis >= idle_since + self.settings.intervals.heartbeat * LINGER_HEARTBEATS;
         let timed_out = now.millis >= since + self.settings.intervals.stop_timeout;
-        if (quiet || timed_out) && !self.exited {
+        if (lingered || timed_out) && !self.exited {
             self.exited = true;
             let end = since + self.settings.intervals.stop_timeout;
             let within = end.saturating_sub(now.millis).max(MIN_DRAIN);
--- a/src/engine/views.rs
+++ b/src/engine/views.rs
@@ -218,12 +218,12 @@
         if job.is_some_and(|j| *j != shard.row.spec.id) {
             continue;
         }
-        for (row, live) in shard.row.tasks.iter().zip(&shard.states) {
-            let run = cell.find_run(live);
+        for (row, state) in shard.row.tasks.iter().zip(&shard.states) {
+            let run = cell.find_run(state);
             views.push(TaskView {
                 job: shard.row.spec.id.clone(),
                 task: row.index,
-                state: live.as_str(row.phase),
+                state: state.as_str(row.phase),
                 worker: run.map_or_else(|| "".into(), |(w, _)| w.name.clone()),
                 progress: run.map_or(row.saved, |(_, r)| r.progress),
                 evictions: row.evictions,
--- a/src/options.rs
+++ b/src/options.rs
@@ -72,7 +72,7 @@
     /// Interval between two polls of the same worker.
     pub worker_poll: Millis,
     /// Interval between two commits of changed job shards.
-    pub journal: Millis,
+    pub shard_write: Millis,
     /// Length of a task's lease on its worker.
     pub task_lease: Millis,
     /// Longest time that a planned stop waits for requests and tasks in progress.
--- a/src/options/entry.rs
+++ b/src/options/entry.rs
@@ -73,7 +73,7 @@
         heartbeat: reader.duration("pace.heartbeat", 1_000, 20..=MINUTE),
         poll: reader.duration("pace.poll", 1_000, 20..=MINUTE),
         worker_poll: reader.duration("pace.sync", 1_000, 20..=MINUTE),
-        journal: reader.duration("pace.journal", 300, 20..=MINUTE),
+        shard_write: reader.duration("pace.journal", 300, 20..=MINUTE),
         task_lease: reader.duration("pace.task", 10_000, 200..=HOUR),
         stop_timeout: reader.duration("pace.stop", 30_000, 0..=HOUR),
     }
--- a/tools/trial/src/world.rs
+++ b/tools/trial/src/world.rs
@@ -222,7 +222,7 @@
             heartbeat: 200,
             poll: 250,
             worker_poll: 200,
-            journal: 100,
+            shard_write: 100,
             task_lease: TASK_LEASE,
             stop_timeout: 8_000,
         },
@@ -460,7 +460,7 @@
             if *frozen_until > self.now || !engine.may_act(now) {
                 continue;
             }
-            if engine.acts_on_promises(now) {
+            if engine.acts_by_promises(now) {
                 self.truth.counts.event("box steps acted past the lease");
             }
             for (cell, _) in engine.owned_cells() {
