--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -325,7 +325,7 @@
                         work,
                         done: run.saved as f64,
                         saved: run.saved,
-                        lease: 0,
+                        lease_end: 0,
                     },
                 };
                 let result = self.workers[worker_index(&worker)].start(now, now, start);
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -142,11 +142,11 @@
     let done: u32 = jobs.iter().map(|j| j.done).sum();
     let evictions: u32 = jobs.iter().map(|j| j.evictions).sum();
     let rate = f64::from(done) / seconds as f64;
-    let parts = [("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)];
+    let quantiles = [("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)];
     if options.json {
-        let micros: serde_json::Map<_, _> = parts
+        let micros: serde_json::Map<_, _> = quantiles
             .iter()
-            .map(|(name, part)| (name.to_string(), json!(report.quantile(*part))))
+            .map(|(name, fraction)| (name.to_string(), json!(report.quantile(*fraction))))
             .collect();
         let rules: serde_json::Map<_, _> = RULES
             .iter()
@@ -174,8 +174,11 @@
     }
     println!("  {:28} {:>8}", "wrong or truncated answers", report.wrong);
     println!("time to the answer");
-    for (name, part) in parts {
-        println!("  {name:28} {:>8.2} ms", report.quantile(part) as f64 / 1e3);
+    for (name, fraction) in quantiles {
+        println!(
+            "  {name:28} {:>8.2} ms",
+            report.quantile(fraction) as f64 / 1e3
+        );
     }
     println!("batch");
     println!("  {:28} {done:>8}", "tasks finished");
--- a/src/demo/deployment.rs
+++ b/src/demo/deployment.rs
@@ -9,7 +9,7 @@
 
 use crate::cell::Shape;
 use crate::entry::{self, StopFlag};
-use crate::options::{self, Settings};
+use crate::options::{self, EntrySettings};
 use crate::program::block_on;
 use crate::proto;
 use crate::proto::operator_client::OperatorClient;
@@ -49,7 +49,7 @@
 
 /// An entry box that runs on a thread.
 struct RunningBox {
-    settings: Settings,
+    settings: EntrySettings,
     stop_flag: StopFlag,
     thread: JoinHandle<()>,
 }
@@ -135,9 +135,9 @@
     }
 
     /// Starts a worker that is not in the platform's directory, and returns its endpoint.
-    pub fn start_unlisted_worker(&self, service: u64) -> eyre::Result<SocketAddr> {
+    pub fn start_unlisted_worker(&self, service_time: u64) -> eyre::Result<SocketAddr> {
         let (http, rpc) = (free_address()?, free_address()?);
-        let options = worker_options(http, rpc, service);
+        let options = worker_options(http, rpc, service_time);
         spawn_thread("worker", move || block_on(worker::serve(options))?)?;
         Ok(http)
     }
@@ -220,7 +220,7 @@
 }
 
 /// Returns the status of a box.
-async fn status(settings: &Settings) -> eyre::Result<proto::StatusReply> {
+async fn status(settings: &EntrySettings) -> eyre::Result<proto::StatusReply> {
     let channel = Channel::new(settings.rpc);
     let request = proto::StatusRequest {};
     let call = |c| async move { OperatorClient::new(c).status(request).await };
@@ -228,7 +228,7 @@
 }
 
 /// Waits until a box is ready, as the platform's load balancer does; fails at the time `end`.
-async fn wait_until_ready(settings: &Settings, end: u64) -> eyre::Result<()> {
+async fn wait_until_ready(settings: &EntrySettings, end: u64) -> eyre::Result<()> {
     loop {
         if status(settings).await.is_ok_and(|s| s.ready) {
             return Ok(());
@@ -311,7 +311,7 @@
     halls: usize,
     generation: usize,
     platform: SocketAddr,
-) -> eyre::Result<Settings> {
+) -> eyre::Result<EntrySettings> {
     let text = format!(
         "[box]\nname = \"e{index}-{generation}\"\nhall = \"h{}\"\nweb = \"{}\"\nrpc = \"{}\"\n\
          admin = \"{}\"\n[platform]\nrpc = \"{platform}\"\n",
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -21,7 +21,7 @@
 
 use crate::dedup::DedupTimings;
 use crate::engine::{Engine, EngineSettings, Event};
-use crate::options::Settings;
+use crate::options::EntrySettings;
 use crate::utils::drain::Drain;
 use crate::utils::{clock, listen, signals};
 use driver::{Context, EngineDriver, Message};
@@ -33,7 +33,7 @@
 pub type StopFlag = Arc<AtomicBool>;
 
 /// Runs an entry box until a planned stop is complete.
-pub async fn run(settings: Settings, stop_flag: StopFlag) -> eyre::Result<()> {
+pub async fn run(settings: EntrySettings, stop_flag: StopFlag) -> eyre::Result<()> {
     let web = listen::bind(settings.web)?;
     let rpc = listen::bind(settings.rpc)?;
     let admin = listen::bind(settings.admin)?;
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 
 use super::dispatch::set_header;
-use super::driver::{Context, Message, Outcome, TracedRequest};
+use super::driver::{Context, Message, RequestOutcome, TracedRequest};
 use crate::cell::Reason;
 use crate::constants;
 use crate::engine::Verdict;
@@ -16,8 +16,9 @@
 use crate::utils::clock;
 use crate::web::{self, Reply};
 
-/// Retry delay of an invalid request in milliseconds; not sent, as its headers are removed.
-const RETRY_DELAY: u64 = 200;
+/// Value in milliseconds of the retry headers of an invalid request. The headers are removed before
+/// the reply is sent, since a retry would be invalid too.
+const INVALID_RETRY_AFTER: u64 = 200;
 
 /// Returns the reply to a caller's request, and records its metrics and its span.
 pub async fn handle(context: Rc<Context>, request: web::Request) -> Reply {
@@ -67,7 +68,7 @@
 }
 
 /// Returns the reply to the caller and its metric labels.
-fn outcome_reply(outcome: Outcome) -> (Reply, AnswerLabels) {
+fn outcome_reply(outcome: RequestOutcome) -> (Reply, AnswerLabels) {
     match (outcome.verdict, outcome.reply) {
         (Verdict::Answer, Some(mut reply)) => {
             set_header(&mut reply.headers, constants::VERDICT, "answer");
@@ -131,7 +132,7 @@
     for error in errors {
         text.push_str(&format!("{}: {}\n", error.header, error.problem));
     }
-    let (mut reply, answer) = not_run_reply("invalid", RETRY_DELAY);
+    let (mut reply, answer) = not_run_reply("invalid", INVALID_RETRY_AFTER);
     reply.status = StatusCode::BAD_REQUEST;
     reply.body = text.into();
     reply.headers.remove("retry-after");
--- a/src/entry/driver.rs
+++ b/src/entry/driver.rs
@@ -12,7 +12,7 @@
 use super::platform_client::PlatformClient;
 use super::{peers, workers};
 use crate::engine::{Action, Engine, Event, Greeting, Now, Query, Verdict, View};
-use crate::options::Settings;
+use crate::options::EntrySettings;
 use crate::request::Meta;
 use crate::rpc::client::Channel;
 use crate::trace;
@@ -24,7 +24,7 @@
 
 /// Outcome of a request.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct RequestOutcome {
     /// Result for the caller.
     pub verdict: Verdict,
     /// Reply of the endpoint if the verdict is [`Verdict::Answer`].
@@ -53,7 +53,7 @@
         /// The request.
         request: TracedRequest,
         /// Receives the outcome.
-        reply_to: oneshot::Sender<Outcome>,
+        reply_to: oneshot::Sender<RequestOutcome>,
     },
     /// A request arrived that another box has forwarded.
     Forwarded {
@@ -68,7 +68,7 @@
         /// The request.
         request: TracedRequest,
         /// Receives the outcome.
-        reply_to: oneshot::Sender<Outcome>,
+        reply_to: oneshot::Sender<RequestOutcome>,
     },
     /// A send or forward ended with a reply, which is stored before the engine receives the event.
     Answered {
@@ -100,7 +100,7 @@
 /// State shared by all tasks of a box; of the engine's state only the time limit for sends.
 pub struct Context {
     /// Settings of the box.
-    pub settings: Settings,
+    pub settings: EntrySettings,
     /// HTTP connections to endpoints.
     pub pool: Pool,
     /// Client of the platform's table and directory.
@@ -114,7 +114,7 @@
 
 impl Context {
     /// Returns the context of a box whose messages go to `sender`.
-    pub fn new(settings: Settings, sender: mpsc::UnboundedSender<Message>) -> Self {
+    pub fn new(settings: EntrySettings, sender: mpsc::UnboundedSender<Message>) -> Self {
         let max_reply = settings.limits.body + settings.limits.head;
         Self {
             pool: Pool::new(max_reply),
@@ -160,7 +160,7 @@
 struct PendingRequest {
     request: Rc<TracedRequest>,
     endpoint_reply: Option<Reply>,
-    reply_to: oneshot::Sender<Outcome>,
+    reply_to: oneshot::Sender<RequestOutcome>,
 }
 
 /// Task that owns the engine.
@@ -212,7 +212,11 @@
     }
 
     /// Stores a request until it is answered, and returns its ticket.
-    fn add_pending(&mut self, request: TracedRequest, reply_to: oneshot::Sender<Outcome>) -> u64 {
+    fn add_pending(
+        &mut self,
+        request: TracedRequest,
+        reply_to: oneshot::Sender<RequestOutcome>,
+    ) -> u64 {
         let ticket = self.next_ticket();
         let pending = PendingRequest {
             request: Rc::new(request),
@@ -403,7 +407,7 @@
         let Some(pending) = self.pending.remove(&ticket) else {
             return;
         };
-        let outcome = Outcome {
+        let outcome = RequestOutcome {
             verdict,
             reply: pending.endpoint_reply,
             retries,
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -9,7 +9,7 @@
 use tonic::{Request, Response, Status};
 
 use super::dispatch::headers_to_proto;
-use super::driver::{Context, Message, Outcome, TracedRequest};
+use super::driver::{Context, Message, RequestOutcome, TracedRequest};
 use super::{convert, operators};
 use crate::cell::Reason;
 use crate::config::Config;
@@ -295,7 +295,7 @@
 }
 
 /// Returns the message for the outcome of a forwarded request.
-fn forward_reply(outcome: Outcome) -> proto::ForwardReply {
+fn forward_reply(outcome: RequestOutcome) -> proto::ForwardReply {
     let mut message = proto::ForwardReply {
         retries: outcome.retries,
         ..Default::default()
--- a/src/load.rs
+++ b/src/load.rs
@@ -153,8 +153,8 @@
     let mut report = report.borrow_mut();
     if verdict == "answer" {
         report.latencies_us.push(micros);
-        let right = matches!(&result, Ok(reply) if reply.body == load.expected_answer);
-        report.wrong += u64::from(!right);
+        let correct = matches!(&result, Ok(reply) if reply.body == load.expected_answer);
+        report.wrong += u64::from(!correct);
     }
     *report.verdicts.entry(verdict).or_default() += 1;
 }
--- a/src/options.rs
+++ b/src/options.rs
@@ -33,7 +33,7 @@
 
 /// Settings of the `entry` daemon, after all checks.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct EntrySettings {
     /// Name of the box; a restart keeps it.
     pub name: Name,
     /// Hall that the box is in.
--- a/src/options/check.rs
+++ b/src/options/check.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 
 use super::reader::Reader;
-use super::{Settings, daemon};
+use super::{EntrySettings, daemon};
 
 /// Reports settings of the `entry` daemon that contradict each other.
-pub fn entry(settings: &Settings, reader: &mut Reader) {
+pub fn entry(settings: &EntrySettings, reader: &mut Reader) {
     check_addresses(settings, reader);
     let (lease_timings, intervals) = (settings.lease_timings, settings.intervals);
     let mut check = |holds: bool, key: &str, problem: &str, hint: &str| {
@@ -65,7 +65,7 @@
     }
 }
 
-fn check_addresses(settings: &Settings, reader: &mut Reader) {
+fn check_addresses(settings: &EntrySettings, reader: &mut Reader) {
     let all = [
         ("box.web", settings.web),
         ("box.rpc", settings.rpc),
@@ -82,8 +82,8 @@
         if address.port() == 0 && !address.ip().is_unspecified() {
             reader.report(key, "has port 0", "set a port from 1 to 65535");
         }
-        let twin = all[..i].iter().find(|(_, a)| a == address && a.port() != 0);
-        if let Some((other, _)) = twin {
+        let duplicate = all[..i].iter().find(|(_, a)| a == address && a.port() != 0);
+        if let Some((other, _)) = duplicate {
             let problem = format!("is the same as {other} ({address})");
             reader.report(key, problem, "use a different address");
         }
--- a/src/options/entry.rs
+++ b/src/options/entry.rs
@@ -3,7 +3,7 @@
 use log::LevelFilter;
 
 use super::reader::{Finding, Reader};
-use super::{Intervals, Settings, check};
+use super::{EntrySettings, Intervals, check};
 use crate::cell::Policy;
 use crate::lease::LeaseTimings;
 use crate::logs::{Format, LogSettings};
@@ -15,7 +15,7 @@
 const MINUTE: u64 = 60_000;
 
 /// Reads and checks a settings file. Returns all findings, not only the first.
-pub fn load(path: &str) -> Result<Settings, Vec<Finding>> {
+pub fn load(path: &str) -> Result<EntrySettings, Vec<Finding>> {
     parse(path, &read_file(path)?)
 }
 
@@ -33,9 +33,9 @@
 }
 
 /// Parses and checks the text of a settings file.
-pub fn parse(file: &str, text: &str) -> Result<Settings, Vec<Finding>> {
+pub fn parse(file: &str, text: &str) -> Result<EntrySettings, Vec<Finding>> {
     let mut reader = Reader::new(file, text).map_err(|f| vec![f])?;
-    let settings = Settings {
+    let settings = EntrySettings {
         name: reader.name("box.name").into(),
         hall: reader.name("box.hall").into(),
         web: reader.address("box.web"),
--- a/src/standin/worker/serve.rs
+++ b/src/standin/worker/serve.rs
@@ -113,7 +113,7 @@
             work: request.work,
             done: request.done as f64,
             saved: request.done,
-            lease: 0,
+            lease_end: 0,
         };
         let start = Start {
             epoch: request.epoch,
@@ -184,7 +184,7 @@
             running: worker
                 .runs
                 .values()
-                .filter(|t| t.state == RunState::Running)
+                .filter(|r| r.state == RunState::Running)
                 .count() as u32,
         }))
     }
--- a/src/standin/worker/state.rs
+++ b/src/standin/worker/state.rs
@@ -36,7 +36,7 @@
     /// Work saved by a checkpoint, in milliseconds.
     pub saved: Millis,
     /// When the lease of the run ends.
-    pub lease: Millis,
+    pub lease_end: Millis,
 }
 
 impl WorkerRun {
@@ -172,14 +172,14 @@
 
     /// Returns the slowdown of a service by the present runs, as a factor of at least 1.
     pub fn slowdown(&self, service: &str) -> f64 {
-        let running = self.running();
-        let interference = running.map(|t| {
-            Self::interference(service, &t.kind) * f64::from(t.share) / f64::from(PER_MILLE)
+        let running = self.running_runs();
+        let interference = running.map(|r| {
+            Self::interference(service, &r.kind) * f64::from(r.share) / f64::from(PER_MILLE)
         });
         1.0 + interference.sum::<f64>()
     }
 
-    fn running(&self) -> impl Iterator<Item = &WorkerRun> {
+    fn running_runs(&self) -> impl Iterator<Item = &WorkerRun> {
         self.runs.values().filter(|r| r.state == RunState::Running)
     }
 
@@ -192,7 +192,7 @@
             if run.state != RunState::Running {
                 continue;
             }
-            let end = now.min(run.lease);
+            let end = now.min(run.lease_end);
             let span = end.saturating_sub(from) as f64;
             run.done += span * f64::from(run.share) / f64::from(PER_MILLE);
             if fail && run.done > run.saved as f64 + 20.0 {
@@ -200,7 +200,7 @@
             } else if run.done >= run.work as f64 {
                 run.state = RunState::Finished;
                 run.done = run.work as f64;
-            } else if now >= run.lease {
+            } else if now >= run.lease_end {
                 run.state = RunState::Stopped;
             }
         }
@@ -209,7 +209,7 @@
     /// Returns the cores, memory and accelerators in use.
     fn allocated(&self) -> Size {
         let mut allocated = Size::default();
-        for run in self.running() {
+        for run in self.running_runs() {
             let size = run.allocated();
             allocated.cores += size.cores;
             allocated.memory += size.memory;
@@ -254,10 +254,10 @@
                 self.runs.remove(id);
             }
         }
-        let left = sync.not_after.saturating_sub(wall);
+        let time_left = sync.not_after.saturating_sub(wall);
         for run in self.runs.values_mut() {
             if run.state == RunState::Running && sync.lease > 0 {
-                run.lease = run.lease.max(now + sync.lease.min(left));
+                run.lease_end = run.lease_end.max(now + sync.lease.min(time_left));
             }
         }
         self.record_samples(now);
@@ -293,12 +293,12 @@
             return Err(Refusal::Full);
         }
         let duplicate = self
-            .running()
+            .running_runs()
             .any(|r| r.job == start.run.job && r.task == start.run.task);
         self.counts.duplicate_starts += u64::from(duplicate);
         self.counts.starts += 1;
         let mut run = start.run;
-        run.lease = now + start.lease;
+        run.lease_end = now + start.lease;
         self.runs.insert(run.id, run);
         Ok(())
     }
@@ -415,7 +415,7 @@
             .collect();
         services.sort();
         services.dedup();
-        let others: Vec<Name> = self.running().map(|t| t.kind.clone()).collect();
+        let others: Vec<Name> = self.running_runs().map(|r| r.kind.clone()).collect();
         let busy = self.active_requests.len() as u32 * 2 > self.shape.slots;
         for service in services {
             let sample = Sample {
--- a/tools/trial/src/world/messages.rs
+++ b/tools/trial/src/world/messages.rs
@@ -435,7 +435,7 @@
             work,
             done: run.saved as f64,
             saved: run.saved,
-            lease: 0,
+            lease_end: 0,
         };
         let start = Start {
             epoch,
