--- a/src/daemon/follower.rs
+++ b/src/daemon/follower.rs
@@ -93,7 +93,7 @@
         Assessment::Follow(progress) => shared.set_progress(epoch, progress),
         Assessment::CheckRow(progress) => {
             shared.set_progress(epoch, progress);
-            take_if_vacant(shared).await;
+            acquire_if_vacant(shared).await;
         }
         Assessment::Replace(cause) => {
             let quiet = now.saturating_sub(known.progress.at);
@@ -109,13 +109,13 @@
     row.released || row.name == shared.settings.name
 }
 
-/// Reads the owner's row again, and takes over if the row is vacant.
-async fn take_if_vacant(shared: &Rc<Shared>) {
+/// Reads the owner's row again, and acquires the cell if the row is vacant.
+async fn acquire_if_vacant(shared: &Rc<Shared>) {
     if peers_know_later_owner(shared).await || !refresh_owner(shared).await {
         return;
     }
     if let Some(known) = shared.owner().filter(|s| is_vacant(shared, &s.row)) {
-        take_cell(shared, known).await;
+        acquire_after_delay(shared, known).await;
     }
 }
 
@@ -162,14 +162,14 @@
         .owner()
         .filter(|s| is_vacant(shared, &s.row) || same(s))
     {
-        take_cell(shared, known).await;
+        acquire_after_delay(shared, known).await;
     }
 }
 
 /// Acquires the cell after this box's takeover delay, unless a later owner is known by then. The
 /// commit fails if the owner has written its row since it was read, so only a vacant row or one
-/// that stands still is replaced.
-async fn take_cell(shared: &Rc<Shared>, known: KnownOwner) {
+/// that no longer changes is replaced.
+async fn acquire_after_delay(shared: &Rc<Shared>, known: KnownOwner) {
     if shared.is_stopping() {
         return;
     }
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// Returns the message for a wait that ended without any.
+/// Returns the message that is handled when a wait ends without a message.
 fn tick_message(local: &Option<LocalOwner>) -> Message {
     Message::Event(local.as_ref().map_or(0, |l| l.term.epoch), Event::Tick)
 }
@@ -74,7 +74,7 @@
 /// Handles one message; a message for another epoch is dropped.
 fn handle_message(shared: &Rc<Shared>, local: &mut Option<LocalOwner>, message: Message) {
     match (message, local.as_mut()) {
-        // An owner whose load was aborted because a later owner became known never begins.
+        // An owner whose load was aborted because of a later owner never begins.
         (Message::Begin(owner, epoch, load_ms), _) if shared.is_loading(epoch) => {
             *local = Some(begin_term(*owner, epoch, load_ms));
             shared.set_local_epoch(Some(epoch));
@@ -99,7 +99,7 @@
             local.apply_event(shared, event);
         }
         (Message::PredecessorEnded(epoch), Some(local)) if epoch == local.term.epoch => {
-            local.owner.predecessor_ended(now());
+            local.owner.record_predecessor_end(now());
         }
         (Message::Superseded(epoch), Some(current)) if epoch > current.term.epoch => {
             end_term(shared, local, "superseded");
@@ -111,7 +111,7 @@
         (Message::Release, Some(local)) => {
             local.owner.release(now());
         }
-        // Dropping a request's sender tells the receiver that no answer will come.
+        // Dropping the sender of a request's answer wakes the receiver, which gets no answer.
         _ => {}
     }
 }
@@ -232,10 +232,10 @@
                     )
                 });
             }
-            Action::RequestAdvice(question) => {
+            Action::RequestAdvice(query) => {
                 spawn_call(shared, epoch, async move |shared| {
-                    let reply = shared.advisor.advise(&question).await;
-                    Event::Advised(question.step, question.workers, reply)
+                    let reply = shared.advisor.advise(&query).await;
+                    Event::Advised(query.step, query.workers, reply)
                 });
             }
             Action::Commit {
--- a/src/daemon/pings.rs
+++ b/src/daemon/pings.rs
@@ -1,4 +1,4 @@
-//! Sends pings to the owner, to its predecessor and to other boxes, and takes in the replies.
+//! Sends pings to the owner, to its predecessor and to other boxes, and applies the replies.
 
 use std::net::SocketAddr;
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Returns the ping by which a new owner tells its predecessor of its row.
+/// Returns the ping that sends a new owner's row to its predecessor.
 pub fn takeover_notice(shared: &Shared, row: &OwnerRow, version: u64) -> PingRequest {
     PingRequest {
         owner: encode(row),
--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -63,8 +63,8 @@
 pub struct Shared {
     /// Checked settings.
     pub settings: Settings,
-    /// Start of this process in milliseconds since the Unix epoch; tells incarnations of the
-    /// box apart.
+    /// Start of this process in milliseconds since the Unix epoch; distinguishes incarnations of
+    /// the box.
     pub incarnation: u64,
     /// Client of the platform's store.
     pub store: Store,
@@ -168,7 +168,7 @@
     }
 
     /// Applies changes of cordons; with `as_of`, the changes are all cordons as of that version
-    /// of the store. Tells the owner in this process if the cordoned halls changed.
+    /// of the store. Notifies the owner in this process if the cordoned halls changed.
     pub fn apply_cordons(&self, changes: Vec<CordonChange>, as_of: Option<u64>) {
         let before = self.cordoned();
         match as_of {
@@ -260,8 +260,8 @@
         self.loading.set(loading);
     }
 
-    /// Returns true while this box loads as the owner of this epoch and no other box has told it
-    /// of a later owner.
+    /// Returns true while this box loads as the owner of this epoch and has not learned of a later
+    /// owner from another box.
     pub fn is_loading(&self, epoch: u64) -> bool {
         self.loading().is_some_and(|l| l.epoch == epoch)
     }
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -68,7 +68,7 @@
         outcome => {
             log::info!(target: "member", "event=not-acquired epoch={} outcome={}", row.epoch, outcome_label(&outcome));
             match read_owner(shared).await {
-                Ok(Some(known)) if known.row.same_owner(&row) => {
+                Ok(Some(known)) if known.row.is_same_owner(&row) => {
                     let (row, version) = (known.row, known.version);
                     take_over(shared, row, version, sent, before).await;
                 }
@@ -173,7 +173,7 @@
         let asked = clock::now();
         match read_owner(shared).await {
             Ok(known) => {
-                let own = known.as_ref().is_some_and(|s| s.row.same_owner(row));
+                let own = known.as_ref().is_some_and(|s| s.row.is_same_owner(row));
                 if own && shared.is_loading(row.epoch) {
                     return Some(asked);
                 }
@@ -226,8 +226,8 @@
     })
 }
 
-/// Reads a table. Each page is retried by itself, so that every answer of the store brings the
-/// load forward.
+/// Reads a table. Each page is retried by itself, so that every answer of the store advances the
+/// load.
 async fn read_table(shared: &Shared, epoch: u64, table: &str) -> Option<Vec<Row>> {
     let mut rows = Vec::new();
     let mut next = Some(String::new());
--- a/src/platform/advice.rs
+++ b/src/platform/advice.rs
@@ -13,8 +13,7 @@
 
 /// Largest reply in bytes: about a hundred workers.
 const MAX_REPLY_BYTES: usize = 1 << 16;
-/// Timeout of a question in milliseconds; includes time that questions spend queued at the
-/// advisor.
+/// Timeout of a query in milliseconds, including the time that it is queued at the advisor.
 const ADVICE_TIMEOUT: Millis = 3_000;
 
 /// Client of the advisor.
@@ -25,7 +24,7 @@
 }
 
 impl Advisor {
-    /// Returns a client; without an address, every question fails.
+    /// Returns a client; without an address, every query fails.
     pub fn new(address: Option<SocketAddr>) -> Self {
         Self {
             pool: Pool::new(MAX_REPLY_BYTES),
@@ -34,14 +33,14 @@
     }
 
     /// Asks which of the given workers may run a step.
-    pub async fn advise(&self, question: &AdviceRequest) -> Reply<Advice> {
+    pub async fn advise(&self, query: &AdviceRequest) -> Reply<Advice> {
         let Some(address) = self.address else {
-            log::error!(target: "task", "step={} event=no-advisor", question.name);
+            log::error!(target: "task", "step={} event=no-advisor", query.name);
             return Reply::NotSent;
         };
         let body = encode(&wire::AdviceRequest {
-            step: &question.name,
-            workers: &question.workers,
+            step: &query.name,
+            workers: &query.workers,
         });
         let call = wire::call(
             &self.pool,
@@ -55,12 +54,12 @@
         match call.await {
             Ok(reply) if reply.status == StatusCode::OK => decode_advice(&reply.body),
             Ok(reply) => {
-                log::info!(target: "task", "step={} event=advice-refused status={}", question.name, reply.status);
+                log::info!(target: "task", "step={} event=advice-refused status={}", query.name, reply.status);
                 Reply::Refused(Refusal::Unwell)
             }
             Err(WebError::NotSent(_) | WebError::CheckFailed) => Reply::NotSent,
             Err(e) => {
-                log::info!(target: "task", "step={} event=advice-lost cause=\"{e}\"", question.name);
+                log::info!(target: "task", "step={} event=advice-lost cause=\"{e}\"", query.name);
                 Reply::Lost
             }
         }
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -126,7 +126,7 @@
     }
 }
 
-/// Returns the reply to a request that was refused; the caller is told when to come back.
+/// Returns the reply to a refused request, with the time after which the caller should retry.
 fn refused_reply(after: Millis) -> Reply {
     let mut reply = Reply::text(StatusCode::SERVICE_UNAVAILABLE, "not taken\n");
     let seconds = after.div_ceil(1_000);
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -96,7 +96,7 @@
 /// A poll: extends the worker's lease and asks for its report.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Hold {
+pub struct PollRequest {
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<Millis>,
     pub fence: u64,
@@ -155,7 +155,7 @@
     pub gpu: u64,
 }
 
-/// A question to the advisor: which of these workers may run a step.
+/// A query to the advisor: which of these workers may run a step.
 #[derive(Serialize)]
 pub struct AdviceRequest<'a> {
     pub step: &'a str,
@@ -168,7 +168,7 @@
     /// Ids of workers that may run the step, each with the ticket for a start there.
     #[serde(default)]
     pub good: Vec<(Name, Name)>,
-    /// Milliseconds for which the tickets are valid, counted from the question.
+    /// Milliseconds for which the tickets are valid, counted from the query.
     pub valid_ms: Millis,
 }
 
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -75,7 +75,7 @@
 
     /// Polls a worker: extends its lease and returns its report.
     pub async fn poll(&self, poll: &Poll) -> Reply<Report> {
-        let body = encode(&wire::Hold {
+        let body = encode(&wire::PollRequest {
             deadline_ms: poll.lease,
             fence: poll.epoch,
             last_seen: poll.acknowledged,
@@ -141,7 +141,7 @@
     }
 }
 
-/// Returns the refusal that a reason of the worker stands for.
+/// Returns the refusal for the reason that a worker gives on the wire.
 fn parse_refusal(path: &str, reason: &str) -> Refusal {
     match reason {
         "fence" => Refusal::Fenced,
@@ -169,24 +169,24 @@
     let running = body
         .running
         .into_iter()
-        .map(|(task, run, saved, progress, gauge)| ActiveRun {
+        .map(|(task, run, checkpoint, progress, gauge)| ActiveRun {
             task,
             run,
-            checkpoint: saved,
+            checkpoint,
             progress,
             gauge: gauge.max(0.0) as u64,
         });
     let ended = body
         .finished
         .into_iter()
-        .filter_map(|(number, task, run, how, saved)| {
-            let how = parse_outcome(&how)?;
+        .filter_map(|(number, task, run, outcome, checkpoint)| {
+            let outcome = parse_outcome(&outcome)?;
             Some(EndedRun {
                 number,
                 task,
                 run,
-                outcome: how,
-                checkpoint: saved,
+                outcome,
+                checkpoint,
             })
         });
     Report {
--- a/src/sched/backlog.rs
+++ b/src/sched/backlog.rs
@@ -1,4 +1,4 @@
-//! Backlog of best-effort work, which raises the load to which serving tasks are brought.
+//! Backlog of best-effort work: while there is one, serving tasks may be loaded higher.
 //!
 //! A burst brings more best-effort work than can run beside the serving tasks, and at the usual
 //! load there is hardly any free capacity to catch up: jobs that arrived within 6 s are late for
--- a/src/sched/breaches.rs
+++ b/src/sched/breaches.rs
@@ -27,10 +27,11 @@
 }
 
 impl Breach {
-    /// Returns the breach after a report, where `over` tells whether the tail is over the target.
+    /// Returns the breach after a report; `over` is true when the reported tail latency is above
+    /// the target.
     ///
-    /// Gauges are imprecise: a tail below the target ends a breach only a gauge window after the
-    /// last tail above it, or once the breach has lasted `halt_after` milliseconds, when everything
+    /// Gauges are imprecise: a tail latency below the target ends a breach only a gauge window
+    /// after the last one above it, or once the breach has lasted `halt_after` milliseconds, when everything
     /// beside the serving task is halted.
     pub fn after_report(
         previous: Option<Self>,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Handles a report of a serving task without a tail, as when the task has no users or does
+    /// Handles a report of a serving task without a tail latency, as when the task has no users or does
     /// not run yet. Without this its breach would never end, and its worker would never get
     /// best-effort tasks again.
     pub(super) fn record_missing_tail(&mut self, name: &Name, run: &ReportedRun<'_>) {
--- a/src/sched/colocation.rs
+++ b/src/sched/colocation.rs
@@ -1,4 +1,4 @@
-//! The serving and best-effort tasks of one worker, reduced to what they mean for each other.
+//! The serving and best-effort tasks of one worker, with the properties that matter to each other.
 
 use super::interference::ImageNumber;
 use super::job::TaskKey;
--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -7,7 +7,7 @@
 use super::history::HistoryRow;
 use super::job::{Job, Outcome, TaskKey};
 use super::journal::{
-    AfterCommit, ESTIMATES_TABLE, HISTORY_TABLE, INTERFERENCE_KEY, JOB_TABLE, Resolution,
+    AfterCommit, CommitResolution, ESTIMATES_TABLE, HISTORY_TABLE, INTERFERENCE_KEY, JOB_TABLE,
     SPEC_TABLE, spare_entries,
 };
 use super::message::{Action, CommitOutcome, Write};
@@ -73,13 +73,13 @@
     }
 
     /// Handles the outcome of a commit.
-    pub(super) fn commit_ended(&mut self, number: u64, outcome: CommitOutcome) {
+    pub(super) fn handle_commit_outcome(&mut self, number: u64, outcome: CommitOutcome) {
         match self.journal.resolve(number, outcome, self.now.steady) {
-            Resolution::Retry => self.history.finish_expiry(false),
-            Resolution::Deposed => {
+            CommitResolution::Retry => self.history.finish_expiry(false),
+            CommitResolution::Deposed => {
                 self.deposed = true;
             }
-            Resolution::Stored(jobs) => {
+            CommitResolution::Stored(jobs) => {
                 self.history.finish_expiry(true);
                 for (number, actions) in jobs {
                     self.job_stored(number, actions);
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -15,7 +15,7 @@
 /// Failed runs in a row after which a worker is quarantined.
 const QUARANTINE_FAILURES: u32 = 3;
 /// Milliseconds of the first quarantine, doubled with each further failure up to 8 times that.
-const QUARANTINE_TIME: Millis = 2_000;
+const FAILURE_QUARANTINE: Millis = 2_000;
 
 impl Owner {
     /// Handles the completion of a run that a worker reports.
@@ -139,7 +139,7 @@
         worker.failures += 1;
         if worker.failures >= QUARANTINE_FAILURES {
             let doublings = (worker.failures - QUARANTINE_FAILURES).min(3);
-            worker.quarantined_until = self.now.steady + (QUARANTINE_TIME << doublings);
+            worker.quarantined_until = self.now.steady + (FAILURE_QUARANTINE << doublings);
             log::warn!(target: "worker", "worker={name} event=rests failures={}", worker.failures);
         }
     }
--- a/src/sched/crashes.rs
+++ b/src/sched/crashes.rs
@@ -58,7 +58,7 @@
 
 /// Whether a run that was lost with its worker may have caused the crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Cause {
+enum CrashCause {
     /// No run of another job may have caused it.
     Sole,
     /// The run may have caused it, as may runs of other jobs.
@@ -98,10 +98,10 @@
 
 impl CrashContext {
     /// Returns how the crash counts for a run.
-    fn categorize(self, cause: Cause, run: &Placement) -> CrashCategory {
+    fn categorize(self, cause: CrashCause, run: &Placement) -> CrashCategory {
         let proven = self.evidence == CrashEvidence::Replaced && run.confirmed_at.is_some();
         match (proven, self.outage) {
-            (true, true) if cause == Cause::Unlikely => CrashCategory::Outage,
+            (true, true) if cause == CrashCause::Unlikely => CrashCategory::Outage,
             (true, true) if run.suspect => CrashCategory::Loss,
             (true, _) => CrashCategory::Crash,
             (false, true) if self.evidence == CrashEvidence::Silent && !run.suspect => {
@@ -115,7 +115,7 @@
 /// A crash attributed to one task.
 struct Attribution {
     key: TaskKey,
-    cause: Cause,
+    cause: CrashCause,
     category: CrashCategory,
     /// True when it would be an outage if more workers had failed at once.
     provisional: bool,
@@ -124,7 +124,7 @@
 impl Attribution {
     /// Returns true when the counts of the task require that it is abandoned.
     fn abandons_task(&self, task: &Task) -> bool {
-        let sole_cause = self.category == CrashCategory::Crash && self.cause == Cause::Sole;
+        let sole_cause = self.category == CrashCategory::Crash && self.cause == CrashCause::Sole;
         let failures = task.crashes + task.losses;
         (sole_cause && task.crashes >= MAX_CRASHES)
             || failures >= MAX_LOSSES
@@ -132,7 +132,7 @@
     }
 }
 
-impl Cause {
+impl CrashCause {
     /// Returns true when the task becomes a suspect: its start may have caused the crash.
     fn makes_suspect(self) -> bool {
         matches!(self, Self::Sole | Self::Shared)
@@ -160,11 +160,13 @@
     let first = jobs.next();
     let alone = jobs.all(|job| Some(job) == first);
     let cause = |key: &TaskKey, run: &Placement| match may_have_caused(key, run) {
-        true if alone => Cause::Sole,
-        true => Cause::Shared,
+        true if alone => CrashCause::Sole,
+        true => CrashCause::Shared,
         // A crash beside an isolated suspect is not attributed to other runs.
-        false if isolated.is_some() || listed_for(worker, run) >= PROVEN_AGE => Cause::Excluded,
-        false => Cause::Unlikely,
+        false if isolated.is_some() || listed_for(worker, run) >= PROVEN_AGE => {
+            CrashCause::Excluded
+        }
+        false => CrashCause::Unlikely,
     };
     let attribute = |(key, run): (&TaskKey, &Placement)| {
         let cause = cause(key, run);
@@ -176,7 +178,7 @@
             key: *key,
             cause,
             category,
-            provisional: category == CrashCategory::Crash && cause == Cause::Unlikely,
+            provisional: category == CrashCategory::Crash && cause == CrashCause::Unlikely,
         })
     };
     runs().filter_map(attribute).collect()
@@ -263,7 +265,7 @@
         };
         task.suspect = cause.makes_suspect();
         match (cause, category) {
-            (Cause::Excluded, _) => {
+            (CrashCause::Excluded, _) => {
                 task.outages = 0;
                 return self.journal.touch(key.job);
             }
@@ -299,7 +301,7 @@
         for key in keys {
             let attribution = Attribution {
                 key: *key,
-                cause: Cause::Shared,
+                cause: CrashCause::Shared,
                 category: if outage {
                     CrashCategory::Outage
                 } else {
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -15,14 +15,14 @@
 
 /// Milliseconds after an outage of the store in which a listing may disappear although its
 /// worker goes on.
-const OUTAGE_WINDOW: Millis = 5_000;
-/// Milliseconds within which a worker lists itself again after that; the platform says 2 s.
+const STORE_OUTAGE_WINDOW: Millis = 5_000;
+/// Milliseconds within which a worker lists itself again after that; the platform promises 2 s.
 const RELIST_TIMEOUT: Millis = 2_500;
 /// Milliseconds without an answer in which a listing can't have lapsed: less than two
 /// heartbeats.
 const LAPSE_SILENCE: Millis = 1_900;
 /// Milliseconds before the end of a worker at which its runs are stopped: a stop takes up to
-/// 900, and its report some more.
+/// 900 ms, and the report of its outcome some more.
 const STOP_TIME: Millis = 1_200;
 
 impl Owner {
@@ -119,7 +119,7 @@
     }
 
     /// Resolves that a worker is listed at the address of others; returns false when the others
-    /// have replaced it. If the starts don't tell which worker is the later one, the others are
+    /// have replaced it. If the boot times don't show which worker is the later one, the others are
     /// polled: the worker at the address refuses polls of others, while an entry of the directory
     /// may have been written late.
     fn resolve_shared_address(&mut self, id: &Name, listing: &Listing) -> bool {
@@ -172,7 +172,7 @@
     /// Handles that a listing is gone: it has lapsed, or the worker has removed it.
     fn handle_unlisted(&mut self, id: &Name) {
         let now = self.now.steady;
-        let after_outage = now < self.last_store_trouble + OUTAGE_WINDOW;
+        let after_outage = now < self.last_store_trouble + STORE_OUTAGE_WINDOW;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Returns true when stopping a task keeps its step within its bound of disruptions.
+    /// Returns true when stopping a task keeps its step within its limit of disruptions.
     pub(super) fn may_disrupt(&self, key: TaskKey) -> bool {
         let Some(job) = self.jobs.get(&key.job) else {
             return false;
@@ -250,12 +250,15 @@
         let Some(bound) = job.step(key).max_disruptions else {
             return true;
         };
-        let at_work = |member: &TaskKey| {
+        let reported_ready = |member: &TaskKey| {
             let run = self.placement_of(*member);
-            run.is_some_and(|r| r.is_running() && r.at_work)
+            run.is_some_and(|r| r.is_running() && r.reported_ready)
         };
         let members = self.members(key);
-        let away = members.iter().filter(|m| **m != key && !at_work(m)).count();
+        let away = members
+            .iter()
+            .filter(|m| **m != key && !reported_ready(m))
+            .count();
         (away as u32) < bound
     }
 
--- a/src/sched/failover.rs
+++ b/src/sched/failover.rs
@@ -66,7 +66,7 @@
 
 /// Why an owner is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum TakeoverCause {
     /// The owner does not answer.
     Silent,
     /// The owner answers, but the store has not confirmed it for too long.
@@ -86,7 +86,7 @@
     /// another box replaced it.
     CheckRow(OwnerProgress),
     /// Replace the owner.
-    Replace(Cause),
+    Replace(TakeoverCause),
 }
 
 /// Returns what a box with `own` thousandths of cores does about the owner of `epoch`.
@@ -110,15 +110,15 @@
             cores,
         }) if loaded == epoch => assess_loading(own > cores, pages, last, now),
         None if last.pages.is_some() && quiet <= LOAD_SILENCE_LIMIT => Assessment::CheckRow(last),
-        None => Assessment::Replace(Cause::Silent),
-        Some(_) if quiet > NOT_OWNER_LIMIT => Assessment::Replace(Cause::Stuck),
+        None => Assessment::Replace(TakeoverCause::Silent),
+        Some(_) if quiet > NOT_OWNER_LIMIT => Assessment::Replace(TakeoverCause::Stuck),
         Some(_) => Assessment::CheckRow(last),
     }
 }
 
 fn assess_serving(confirmed: Millis, now: Millis) -> Assessment {
     if confirmed > UNCONFIRMED_LIMIT {
-        return Assessment::Replace(Cause::Unconfirmed);
+        return Assessment::Replace(TakeoverCause::Unconfirmed);
     }
     Assessment::Follow(OwnerProgress {
         at: now,
@@ -128,7 +128,7 @@
 
 fn assess_loading(smaller: bool, pages: u64, last: OwnerProgress, now: Millis) -> Assessment {
     if smaller {
-        return Assessment::Replace(Cause::Weaker);
+        return Assessment::Replace(TakeoverCause::Weaker);
     }
     if last.pages != Some(pages) {
         return Assessment::CheckRow(OwnerProgress {
@@ -137,7 +137,7 @@
         });
     }
     match now > last.at + LOAD_STALL_LIMIT {
-        true => Assessment::Replace(Cause::Stuck),
+        true => Assessment::Replace(TakeoverCause::Stuck),
         false => Assessment::CheckRow(last),
     }
 }
--- a/src/sched/gauges.rs
+++ b/src/sched/gauges.rs
@@ -13,15 +13,15 @@
 /// Tail latency of an idle server as a fraction of the latency target. Targets are set at several
 /// times the idle tail.
 const IDLE_TAIL: f64 = 0.2;
-/// Highest busy share that a tail indicates; above it the queue only grows.
+/// Highest busy share that a tail latency shows; above it the queue grows without bound.
 const MAX_BUSY: f64 = 0.98;
 /// Percentage of its latency target above which a serving task counts as over the target,
 /// because gauges are imprecise.
 const OVER_PERCENT: Millis = 95;
-/// The whole of a percentage.
+/// The latency target itself, as a percentage.
 const WHOLE_PERCENT: Millis = 100;
 
-/// Returns the busy share of a server that its measured tail latency indicates.
+/// Returns the busy share of a server that corresponds to its measured tail latency.
 fn busy_share(tail: Millis, target: Millis) -> f64 {
     let idle = IDLE_TAIL * target as f64;
     (1.0 - idle / (tail as f64).max(idle)).min(MAX_BUSY)
--- a/src/sched/incarnation.rs
+++ b/src/sched/incarnation.rs
@@ -26,7 +26,7 @@
 use crate::utils::clock::Millis;
 
 /// Milliseconds without an answer of the known incarnation after which a report with an
-/// earlier start is accepted: the worker's clock may have been set back before a restart.
+/// earlier boot time is accepted: the worker's clock may have been set back before a restart.
 const EARLIER_BOOT_DELAY: Millis = 5_000;
 
 /// When a worker started, in milliseconds since the Unix epoch by its own clock; none if it
@@ -64,7 +64,7 @@
     Earlier,
 }
 
-/// Compares the reported start of a worker with that of the known incarnation.
+/// Compares the reported boot time of a worker with that of the known incarnation.
 pub(super) fn compare_boots(known: BootTime, reported: BootTime) -> BootOrder {
     match (known, reported) {
         (Some(known), Some(reported)) if reported > known => BootOrder::Later,
@@ -75,7 +75,7 @@
 
 /// What becomes of a run of an earlier incarnation when a later one reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Resolution {
+enum RunResolution {
     /// The later incarnation has the run: the start reached that one.
     Kept,
     /// The start may still reach the later incarnation.
@@ -84,8 +84,8 @@
     Lost,
 }
 
-impl Resolution {
-    /// Returns the resolution of a run; `reported` tells whether the later incarnation lists it.
+impl RunResolution {
+    /// Returns the resolution of a run; `reported` is true when the later incarnation lists it.
     fn of(run: &Placement, reported: bool) -> Self {
         match run.stage {
             _ if reported => Self::Kept,
@@ -100,10 +100,10 @@
 
 /// Returns the placement of a run on the later incarnation. Its stage and speed are reset, as
 /// it is unknown which incarnation has answered a stop or a change of speed.
-fn carry_over(run: Placement, resolution: Resolution) -> Placement {
+fn carry_over(run: Placement, resolution: RunResolution) -> Placement {
     let stage = match run.stage {
         Stage::Starting | Stage::Running(_) | Stage::Inherited
-            if resolution == Resolution::Kept =>
+            if resolution == RunResolution::Kept =>
         {
             run.stage
         }
@@ -127,8 +127,8 @@
 ) -> Vec<(TaskKey, Placement)> {
     let mut carried = Vec::new();
     for (key, run) in &worker.placements {
-        let resolution = Resolution::of(run, reported.contains(&(*key, run.run)));
-        if resolution != Resolution::Lost {
+        let resolution = RunResolution::of(run, reported.contains(&(*key, run.run)));
+        if resolution != RunResolution::Lost {
             carried.push((*key, carry_over(run.clone(), resolution)));
         }
     }
@@ -164,7 +164,7 @@
         for key in lost {
             self.release_task(key);
         }
-        // A listing with an earlier start was ignored until the report confirmed that start.
+        // A listing with an earlier boot time was ignored until the report confirmed that time.
         if let Some(entry) = entry.filter(|e| e.boot == report.boot) {
             self.apply_listing(name.clone(), *entry);
         }
@@ -224,7 +224,7 @@
     }
 
     /// Returns true when the known incarnation has been silent for so long that a report with
-    /// an earlier start is accepted as that of its successor.
+    /// an earlier boot time is accepted as that of its successor.
     pub(super) fn accepts_earlier_boot(&self, worker: &Worker) -> bool {
         let leases_end = worker.lease_end().max(self.inherited_leases_end);
         self.now.steady > leases_end.max(worker.last_answer + EARLIER_BOOT_DELAY)
--- a/src/sched/journal.rs
+++ b/src/sched/journal.rs
@@ -85,7 +85,7 @@
     /// Returns true when both rows were written by the same incarnation of the same box in
     /// the same epoch. The name is compared as well because boxes that start in the same
     /// millisecond have the same incarnation number.
-    pub fn same_owner(&self, other: &Self) -> bool {
+    pub fn is_same_owner(&self, other: &Self) -> bool {
         self.name == other.name
             && self.incarnation == other.incarnation
             && self.epoch == other.epoch
@@ -111,7 +111,7 @@
 
 /// What the outcome of a commit means for the jobs in it.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Resolution {
+pub enum CommitResolution {
     /// The jobs are in the store as they were when the commit was built.
     Stored(Vec<(u32, Vec<AfterCommit>)>),
     /// The jobs will be written again.
@@ -311,9 +311,14 @@
     }
 
     /// Records the outcome of a commit and returns what it means for the jobs in it.
-    pub fn resolve(&mut self, number: u64, outcome: CommitOutcome, now: Millis) -> Resolution {
+    pub fn resolve(
+        &mut self,
+        number: u64,
+        outcome: CommitOutcome,
+        now: Millis,
+    ) -> CommitResolution {
         let Some(commit) = self.in_flight.take_if(|c| c.number == number) else {
-            return Resolution::Retry;
+            return CommitResolution::Retry;
         };
         self.failed = matches!(outcome, CommitOutcome::NotDone | CommitOutcome::Unknown);
         match outcome {
@@ -325,11 +330,11 @@
                 self.in_doubt = false;
                 self.released = commit.released;
                 self.next_commit = now + COMMIT_PAUSE;
-                return Resolution::Stored(commit.jobs);
+                return CommitResolution::Stored(commit.jobs);
             }
             CommitOutcome::Conflict(row) => {
-                if !self.adopt(row) {
-                    return Resolution::Deposed;
+                if !self.adopt_version(row) {
+                    return CommitResolution::Deposed;
                 }
                 self.next_commit = now;
             }
@@ -341,13 +346,13 @@
                 self.next_commit = now.max(commit.sent + RETRY_PAUSE);
             }
         }
-        self.restore(commit.jobs);
-        Resolution::Retry
+        self.requeue(commit.jobs);
+        CommitResolution::Retry
     }
 
     /// Adopts the version of the stored row if an earlier commit of this owner wrote it;
     /// returns false otherwise.
-    fn adopt(&mut self, row: Option<(u64, Bytes)>) -> bool {
+    fn adopt_version(&mut self, row: Option<(u64, Bytes)>) -> bool {
         let Some((version, value)) = row else {
             return false;
         };
@@ -358,7 +363,7 @@
                 return false;
             }
         };
-        let own = found.same_owner(&self.row);
+        let own = found.is_same_owner(&self.row);
         if own {
             self.version = version;
         }
@@ -366,7 +371,7 @@
     }
 
     /// Puts the jobs of a commit that is to be written again back to the front of the queue.
-    fn restore(&mut self, jobs: Vec<(u32, Vec<AfterCommit>)>) {
+    fn requeue(&mut self, jobs: Vec<(u32, Vec<AfterCommit>)>) {
         for (job, mut actions) in jobs.into_iter().rev() {
             match self.changed.get_mut(&job) {
                 Some(later) => {
--- a/src/sched/late_starts.rs
+++ b/src/sched/late_starts.rs
@@ -22,7 +22,7 @@
     /// Name of the task, kept as the job may be removed before the start expires.
     task: String,
     worker: Name,
-    /// Start of the incarnation that was the last to answer a stop of the run; none before that.
+    /// Boot time of the incarnation that last answered a stop of the run; none before that.
     stopped_boot: Option<BootTime>,
     /// When a stop was last sent because of this entry; 0 for never.
     stop_sent: Millis,
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -77,7 +77,8 @@
     pub run: u32,
     /// Last checkpoint; empty for none.
     pub checkpoint: Name,
-    /// Percent of the work that is done; for a lasting task its speed in percent once it is ready.
+    /// Percent of the work that is done; for a lasting task its speed in percent, from when it is
+    /// ready.
     pub progress: u32,
     /// Thousandths of cores in use, or the tail latency in milliseconds of a serving task, over
     /// the last half second.
@@ -217,7 +218,7 @@
     pub valid_for: Millis,
 }
 
-/// A request to the advisor of a service.
+/// A query to the advisor of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdviceRequest {
     /// The step.
@@ -259,7 +260,7 @@
     /// The order to change a run's speed ended: task, number of the run, percent, worker and
     /// reply.
     Throttled(TaskKey, u32, u32, Incarnation, Reply<OrderAck>),
-    /// A request for advice ended: step, workers asked about, and reply.
+    /// A query to the advisor ended: step, workers asked about, and reply.
     Advised(StepKey, Vec<Name>, Reply<Advice>),
     /// The commit with this number ended.
     CommitEnded(u64, CommitOutcome),
@@ -368,7 +369,7 @@
     pub percent: u32,
 }
 
-/// An action that the owner asks its caller to perform.
+/// An action that the owner returns for the task that runs it to perform.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Answers a caller.
@@ -381,7 +382,7 @@
     Stop(Stop),
     /// Changes the speed of a run.
     Throttle(Throttle),
-    /// Asks the advisor.
+    /// Sends a query to the advisor.
     RequestAdvice(AdviceRequest),
     /// Writes rows on the condition that the owner's row has the given version.
     Commit {
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -305,7 +305,7 @@
     }
 
     /// Records that the preceding owner no longer extends leases.
-    pub fn predecessor_ended(&mut self, now: Now) {
+    pub fn record_predecessor_end(&mut self, now: Now) {
         let end = now.steady + max_lease_duration(self.settings.lease_length);
         self.inherited_leases_end = self.inherited_leases_end.min(end);
         self.journal.mark_predecessors_ended();
@@ -331,7 +331,7 @@
             }
             Event::Advised(step, asked, reply) => self.handle_advice(step, asked, reply),
             Event::CommitEnded(number, outcome) => {
-                self.commit_ended(number, outcome);
+                self.handle_commit_outcome(number, outcome);
                 self.answer_parked();
             }
             Event::History(page) => self.merge_history(page),
--- a/src/sched/placement.rs
+++ b/src/sched/placement.rs
@@ -67,7 +67,7 @@
     /// When the worker first reported the run.
     pub confirmed_at: Option<Millis>,
     /// True once a lasting task has reported that it is ready.
-    pub at_work: bool,
+    pub reported_ready: bool,
     /// Last measured load of a serving task.
     pub gauge: Option<Gauge>,
     /// Thousandths of cores that a best-effort task used by its last report.
--- a/src/sched/placement_pass.rs
+++ b/src/sched/placement_pass.rs
@@ -443,7 +443,7 @@
             speed_confirmed: stage != Stage::Inherited,
             throttled_at: self.now.steady,
             throttle_pending: false,
-            at_work: false,
+            reported_ready: false,
             gauge: None,
             cpu_used: None,
             placed_at: self.now.steady,
--- a/src/sched/poll_schedule.rs
+++ b/src/sched/poll_schedule.rs
@@ -10,7 +10,7 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Due times of polls, the earliest first. Superseded entries stay until they come up.
+/// Due times of polls, the earliest first. Superseded entries stay until they are the earliest.
 #[derive(Default)]
 pub(super) struct PollSchedule {
     entries: BinaryHeap<Reverse<(Millis, Name)>>,
--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -16,11 +16,11 @@
 /// Milliseconds that a run lasts at least before it is preempted. A stop and the next start take
 /// about one second, so that preempting shorter runs would cost more than it gains.
 pub(super) const MIN_RUN_TIME: Millis = 3_000;
-/// Divides the number of lasting tasks: this part of them may be interrupted at the same time.
+/// One in this many lasting tasks may be interrupted at the same time.
 const INTERRUPTED_DIVISOR: usize = 12;
 /// Milliseconds after which an interrupted lasting task may preempt another one, so that each is
 /// interrupted for a short time only.
-const TURN_LENGTH: Millis = 2_500;
+const MAX_INTERRUPTION: Millis = 2_500;
 /// Most waiting tasks for which one placement pass searches victims, as each search examines all
 /// runs.
 const MAX_SEARCHES: usize = 6;
@@ -124,7 +124,7 @@
         }
         if self.is_overdue(key, since)
             && self.interrupted.contains(&key)
-            && self.now.steady >= since + TURN_LENGTH
+            && self.now.steady >= since + MAX_INTERRUPTION
         {
             search.searches_left -= 1;
             self.preempt(key, search);
@@ -138,11 +138,11 @@
         }
         let step = self.jobs[&key.job].step(key);
         let resources = step.reserved();
-        let spare_lasting = self.may_interrupt_lasting() || self.interrupted.contains(&key);
-        let kind = (key.step_key(), spare_lasting);
+        let include_lasting = self.may_interrupt_lasting() || self.interrupted.contains(&key);
+        let kind = (key.step_key(), include_lasting);
         if search.searched_for != Some(kind) {
             search.searched_for = Some(kind);
-            search.victims = self.victims(key, resources, spare_lasting);
+            search.victims = self.victims(key, resources, include_lasting);
             self.workers_examined += self.workers.len() as u64;
         }
         let Some((_, victim, name)) = self.next_victim(search, resources) else {
@@ -177,35 +177,35 @@
     }
 
     /// Returns the runs any of which could be preempted for a task, the lowest cost last.
-    fn victims(&self, key: TaskKey, resources: Resources, spare_lasting: bool) -> Vec<Victim> {
+    fn victims(&self, key: TaskKey, resources: Resources, include_lasting: bool) -> Vec<Victim> {
         let mut victims: Vec<Victim> = self.with_request(key, "", |request| {
             let candidate = |w: &&Worker| could_run(w, request, self.now.steady);
             let workers = self.workers.values().filter(candidate);
-            let victims = workers.flat_map(|w| self.victims_on(w, key, resources, spare_lasting));
+            let victims = workers.flat_map(|w| self.victims_on(w, key, resources, include_lasting));
             victims.collect()
         });
         victims.sort_unstable_by(|a, b| b.cmp(a));
         victims
     }
 
-    /// Returns the runs on a worker any of which could be preempted for a task. Lasting ones are
-    /// among them if `spare_lasting` is true.
+    /// Returns the runs on a worker any of which could be preempted for a task, lasting ones only
+    /// if `include_lasting` is true.
     fn victims_on(
         &self,
         worker: &Worker,
         key: TaskKey,
         resources: Resources,
-        spare_lasting: bool,
+        include_lasting: bool,
     ) -> Vec<Victim> {
         let now = self.now.steady;
         let name = &worker.listing.id;
         let permits = self.permits.get(&key.step_key());
-        let any = worker.placements.len() > worker.non_preemptible(spare_lasting);
+        let any = worker.placements.len() > worker.count_non_preemptible(include_lasting);
         if !any || permits.is_some_and(|p| !p.allows(name, now)) {
             return Vec::new();
         }
         let preemptible = |run: &Placement| {
-            now >= run.placed_at + MIN_RUN_TIME && (spare_lasting || !run.lasting)
+            now >= run.placed_at + MIN_RUN_TIME && (include_lasting || !run.lasting)
         };
         let runs = worker.placements.iter();
         let victims =
@@ -247,7 +247,7 @@
     fn may_interrupt_lasting(&self) -> bool {
         let waits_long = |key: &TaskKey| {
             let since = self.ready.get(key);
-            since.is_some_and(|at| self.now.steady >= at + TURN_LENGTH)
+            since.is_some_and(|at| self.now.steady >= at + MAX_INTERRUPTION)
         };
         if self.interrupted.iter().any(waits_long) {
             return false;
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -270,7 +270,7 @@
         };
         let inherited = placement.stage == Stage::Inherited;
         placement.confirm(now);
-        placement.at_work = run.progress == FULL_SPEED;
+        placement.reported_ready = run.progress == FULL_SPEED;
         self.mark_begun(key);
         let Some(job) = self.jobs.get(&key.job) else {
             return true;
--- a/src/sched/requests.rs
+++ b/src/sched/requests.rs
@@ -69,7 +69,7 @@
         let Some(number) = self.job_numbers.get(id).copied() else {
             return match self.history.get(id) {
                 Some(_) => self.reply(ticket, Answer::Cancelled),
-                None => self.not_found(ticket, JobRequest::Cancel(id.clone())),
+                None => self.answer_unknown_job(ticket, JobRequest::Cancel(id.clone())),
             };
         };
         if self.jobs[&number].is_open() {
@@ -86,7 +86,7 @@
             Some(_) => Answer::InDoubt,
             None => match self.history.get(id) {
                 Some(row) => Answer::State(row.outcome.state(true)),
-                None => return self.not_found(ticket, JobRequest::Show(id.clone())),
+                None => return self.answer_unknown_job(ticket, JobRequest::Show(id.clone())),
             },
         };
         self.reply(ticket, answer);
@@ -95,7 +95,7 @@
     /// Answers a request about a job that this owner does not know. The request is parked until
     /// the history is read completely, as the job may be among the finished ones, and while
     /// there may be a later owner, which may know the job.
-    fn not_found(&mut self, ticket: Ticket, request: JobRequest) {
+    fn answer_unknown_job(&mut self, ticket: Ticket, request: JobRequest) {
         match self.history.is_complete() && self.is_sole_owner() {
             true => self.reply(ticket, Answer::Unknown),
             false => self.park(ticket, request),
--- a/src/sched/starts.rs
+++ b/src/sched/starts.rs
@@ -15,7 +15,7 @@
 
 /// Milliseconds for which a worker gets no new tasks after it refused a start as full, unfit or
 /// unhealthy.
-const QUARANTINE: Millis = 700;
+const REFUSAL_QUARANTINE: Millis = 700;
 /// Half of the milliseconds that a task waits after its first start that was refused as unfit.
 /// Each further refusal doubles the wait.
 const DEFERRAL_BASE: Millis = 500;
@@ -198,9 +198,9 @@
         }
     }
 
-    /// Has a task wait longer after each start that a worker refused as unfit. Each refusal also
-    /// quarantines the worker: without the wait, a task that no worker could read put all workers
-    /// out of use.
+    /// Delays the next start of a task, longer after each start that a worker refused as unfit.
+    /// Each refusal also quarantines the worker: without the delay, a task that no worker could
+    /// parse put all workers out of use.
     fn defer_task(&mut self, key: TaskKey) {
         let now = self.now.steady;
         let deferral = self.deferred.entry(key).or_default();
@@ -208,10 +208,10 @@
         deferral.until = now + (DEFERRAL_BASE << deferral.refusals.min(MAX_DOUBLINGS));
     }
 
-    /// Keeps new tasks off a worker for a short time.
+    /// Quarantines a worker for a short time, in which it gets no new tasks.
     fn quarantine(&mut self, name: &Name) {
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.quarantined_until = self.now.steady + QUARANTINE;
+            worker.quarantined_until = self.now.steady + REFUSAL_QUARANTINE;
         }
     }
 
--- a/src/sched/tests/failover.rs
+++ b/src/sched/tests/failover.rs
@@ -2,7 +2,7 @@
 
 use super::world::owner_row;
 use crate::sched::failover::{
-    Assessment, Cause, OwnerProgress, Pong, assess_owner, offered_cores, should_release_to,
+    Assessment, OwnerProgress, Pong, TakeoverCause, assess_owner, offered_cores, should_release_to,
     smaller_box_delay, takeover_delay, wanted_cores,
 };
 use crate::sched::journal::OwnerRow;
@@ -82,13 +82,13 @@
         assess(LOADED, loads(3, 500), 4_500),
         Assessment::CheckRow(LOADED)
     );
-    let stuck = Assessment::Replace(Cause::Stuck);
+    let stuck = Assessment::Replace(TakeoverCause::Stuck);
     assert_eq!(assess(LOADED, loads(3, 500), 4_501), stuck);
 }
 
 #[test]
 fn a_loading_owner_is_replaced_by_a_box_with_more_cores() {
-    let smaller_owner = Assessment::Replace(Cause::Weaker);
+    let smaller_owner = Assessment::Replace(TakeoverCause::Weaker);
     assert_eq!(assess(LOADED, loads(4, 120), 1_001), smaller_owner);
     let smaller_box = assess_owner(120, 7, LOADED, loads(3, 500), 1_001);
     assert_eq!(smaller_box, Assessment::CheckRow(LOADED));
@@ -103,7 +103,7 @@
         confirmed: 0,
     });
     assert_eq!(assess(SERVED, other, 1_200), Assessment::CheckRow(SERVED));
-    let replaced = Assessment::Replace(Cause::Stuck);
+    let replaced = Assessment::Replace(TakeoverCause::Stuck);
     assert_eq!(assess(SERVED, idle, 3_500), replaced);
 }
 
@@ -122,13 +122,13 @@
     let follow = Assessment::Follow(serving);
     assert_eq!(assess(SERVED, serves(300), 90_000), follow);
     assert_eq!(assess(LOADED, serves(300), 90_000), follow);
-    let unconfirmed = Assessment::Replace(Cause::Unconfirmed);
+    let unconfirmed = Assessment::Replace(TakeoverCause::Unconfirmed);
     assert_eq!(assess(SERVED, serves(1_501), 1_100), unconfirmed);
 }
 
 #[test]
 fn silence_replaces_a_serving_owner_at_once_and_a_loading_owner_later() {
-    let silent = Assessment::Replace(Cause::Silent);
+    let silent = Assessment::Replace(TakeoverCause::Silent);
     assert_eq!(assess(SERVED, None, 1_100), silent);
     assert_eq!(assess(LOADED, None, 2_000), Assessment::CheckRow(LOADED));
     assert_eq!(assess(LOADED, None, 2_001), silent);
--- a/src/sched/tests/journal.rs
+++ b/src/sched/tests/journal.rs
@@ -1,6 +1,6 @@
 //! Tests of group commits: commits in doubt, releases, and limits of the store.
 
-use crate::sched::journal::{HISTORY_TABLE, Journal, OwnerRow, Resolution, spare_entries};
+use crate::sched::journal::{CommitResolution, HISTORY_TABLE, Journal, OwnerRow, spare_entries};
 use crate::sched::message::{CommitOutcome, Write};
 use crate::table::encode;
 
@@ -24,7 +24,10 @@
         .build_commit(1_000, |_| Vec::new())
         .expect("a commit is due");
     let other = CommitOutcome::Conflict(Some((2, encode(&row("box-b", 77)))));
-    assert_eq!(journal.resolve(number, other, 1_010), Resolution::Deposed);
+    assert_eq!(
+        journal.resolve(number, other, 1_010),
+        CommitResolution::Deposed
+    );
 }
 
 #[test]
@@ -37,20 +40,20 @@
     assert_eq!(version, 1);
     assert_eq!(
         journal.resolve(number, CommitOutcome::Unknown, 300),
-        Resolution::Retry
+        CommitResolution::Retry
     );
     assert!(journal.in_doubt());
     let (number, ..) = journal
         .build_commit(300, |_| Vec::new())
         .expect("the commit is retried");
     let own = CommitOutcome::Conflict(Some((9, encode(&row("box-a", 77)))));
-    assert_eq!(journal.resolve(number, own, 310), Resolution::Retry);
+    assert_eq!(journal.resolve(number, own, 310), CommitResolution::Retry);
     let (number, version, _) = journal
         .build_commit(310, |_| Vec::new())
         .expect("the commit is retried");
     assert_eq!(version, 9);
     let resolution = journal.resolve(number, CommitOutcome::Done(10), 320);
-    assert_eq!(resolution, Resolution::Stored(vec![(5, Vec::new())]));
+    assert_eq!(resolution, CommitResolution::Stored(vec![(5, Vec::new())]));
     assert!(!journal.in_doubt());
 }
 
--- a/src/sched/tests/takeover.rs
+++ b/src/sched/tests/takeover.rs
@@ -85,7 +85,7 @@
         steady: world.now,
         wall: world.now,
     };
-    world.owner.predecessor_ended(now);
+    world.owner.record_predecessor_end(now);
     world.run(7_000);
     assert_eq!(world.starts.len(), 3);
     assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -93,9 +93,9 @@
 pub(super) struct Worker {
     /// The last listing, which may be that of another incarnation.
     pub listing: Listing,
-    /// A listing that was ignored because it tells an earlier start.
+    /// A listing that was ignored because it has an earlier boot time.
     pub ignored_listing: Option<Box<Listing>>,
-    /// Start of the known incarnation.
+    /// Boot time of the known incarnation.
     pub boot: BootTime,
     /// True from a sign of another incarnation until the next report.
     pub unverified: bool,
@@ -111,7 +111,7 @@
     pub allocated: Resources,
     /// Thousandths of cores that the tasks can use without a reservation.
     pub unreserved_cpu: u64,
-    /// Its serving and best-effort tasks, reduced to what they mean for each other.
+    /// The properties of its serving and best-effort tasks that matter to each other.
     pub colocation: Colocation,
     /// Number of lasting tasks placed on the worker.
     pub lasting_tasks: u32,
@@ -249,7 +249,7 @@
         self.unreserved_cpu -= placement.unreserved_cpu;
         self.lasting_tasks -= u32::from(placement.lasting);
         if placement.serving {
-            self.update_over_since();
+            self.update_over_target_since();
         }
     }
 
@@ -274,8 +274,8 @@
         cleared
     }
 
-    /// Returns true when a task may start beside the suspects on the worker; `suspect` tells
-    /// whether the task is one itself.
+    /// Returns true when a task may start beside the suspects on the worker; `suspect` is true
+    /// when the task is a suspect itself.
     pub fn admits(&self, key: TaskKey, suspect: bool) -> bool {
         self.isolated_job
             .is_none_or(|job| suspect && job == key.job)
@@ -300,11 +300,11 @@
         if let Some(placement) = self.placements.get_mut(&key) {
             placement.gauge = Some(gauge);
         }
-        self.update_over_since();
+        self.update_over_target_since();
     }
 
     /// Updates the start of the longest breach that the last report shows.
-    fn update_over_since(&mut self) {
+    fn update_over_target_since(&mut self) {
         let gauges = self.placements.values().filter_map(|p| p.gauge.as_ref());
         let breaches = gauges.filter_map(|g| g.breach);
         let current = breaches.filter(|breach| breach.current);
@@ -329,8 +329,8 @@
     }
 
     /// Returns how many runs are never preempted: best-effort tasks, and also lasting ones
-    /// unless `spare_lasting` allows to preempt these.
-    pub fn non_preemptible(&self, spare_lasting: bool) -> usize {
+    /// unless `include_lasting` is true.
+    pub fn count_non_preemptible(&self, include_lasting: bool) -> usize {
         let best_effort = self.colocation.best_effort.len();
         let both = self
             .colocation
@@ -338,7 +338,7 @@
             .iter()
             .filter(|task| task.lasting)
             .count();
-        match spare_lasting {
+        match include_lasting {
             true => best_effort,
             false => best_effort + self.lasting_tasks as usize - both,
         }
