--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -469,24 +469,24 @@
 /// Returns a job of two steps of the kind "check" or "settle", and its priority. Only the tasks of
 /// settle jobs are best-effort and have checkpoints.
 fn random_job(name: &'static str, settle_width: u32, random: &mut Random) -> (JobSpec, u32) {
-    let best_effort = name == "settle";
-    let width = if best_effort { settle_width } else { 10 };
-    let step = |depends_on: Vec<usize>, image: u64| StepSpec {
+    let settles = name == "settle";
+    let width = if settles { settle_width } else { 10 };
+    let step = |after: Vec<usize>, image: u64| StepSpec {
         count: width,
         resources: Resources {
-            cpu: if best_effort { 7_000 } else { 6_300 },
+            cpu: if settles { 7_000 } else { 6_300 },
             memory: 13_000,
             gpu: 0,
         },
-        estimate: if best_effort { 1_700 } else { 800 },
-        image: if best_effort {
+        estimate: if settles { 1_700 } else { 800 },
+        image: if settles {
             format!("f{image}").into()
         } else {
             "".into()
         },
-        best_effort,
-        checkpoints: best_effort,
-        depends_on,
+        best_effort: settles,
+        checkpoints: settles,
+        depends_on: after,
         ..StepSpec::default()
     };
     let image = random.below(9);
@@ -495,7 +495,7 @@
         steps: vec![step(Vec::new(), image), step(vec![0], image)],
         schedule: None,
     };
-    (spec, if best_effort { 2 } else { 0 })
+    (spec, if settles { 2 } else { 0 })
 }
 
 fn main() {
