--- a/src/daemon/term.rs
+++ b/src/daemon/term.rs
@@ -1,7 +1,7 @@
 //! Metrics and the final log line of an owner's term in this process.
 //!
 //! The log of a long-running box keeps only its last lines, so the line at a term's end repeats
-//! what the line at its beginning said.
+//! the values of the line at its beginning.
 
 use std::collections::BTreeMap;
 
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -176,9 +176,9 @@
     let text = "[box]\nname = \"b\"\nhall = \"h1\"\nweb = \"127.0.0.1:1\"\n\
         admin = \"127.0.0.1:2\"\nrpc = \"127.0.0.1:3\"\n[platform]\nstore = \"127.0.0.1:4\"\n";
     let settings = daemon::parse("b.toml", text).expect("settings");
-    let (lead, _) = futures::channel::mpsc::unbounded();
-    let (nudge, _) = futures::channel::mpsc::unbounded();
-    Shared::new(settings, 1, lead, nudge)
+    let (owner_sender, _) = futures::channel::mpsc::unbounded();
+    let (check_sender, _) = futures::channel::mpsc::unbounded();
+    Shared::new(settings, 1, owner_sender, check_sender)
 }
 
 /// Guards against a box that forgets a later owner at the end of its own load: the later owner's
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -27,8 +27,8 @@
 }
 
 impl Workers {
-    /// Returns a client that keeps at most `idle` idle connections in all, except that one to
-    /// each worker is always kept.
+    /// Returns a client that keeps at most `idle` idle connections in total, apart from one to
+    /// each worker, which is always kept.
     pub fn new(idle: usize) -> Self {
         Self {
             pool: Pool::new(MAX_REPORT_BYTES).with_max_idle(idle),
--- a/src/sched.rs
+++ b/src/sched.rs
@@ -14,10 +14,10 @@
 //!   `addresses` finds workers by address.
 //! - Interference: `gauges` records reported loads (with `recently_ended`, `loads` and `breaches`),
 //!   `interference` learns from them how best-effort tasks slow serving tasks beside them
-//!   (`colocation`), and `throttling` and `swaps` limit that, a little less while the `backlog` is
-//!   long.
-//! - Owners: `predecessors` says what earlier owners may still do, `failover` which box takes over
-//!   next, and `mechanisms` which parts of the scheduler are enabled.
+//!   (`colocation`), and `throttling` and `swaps` limit that interference. While the `backlog` is
+//!   long, a little more of it is allowed.
+//! - Owners: `predecessors` describes what earlier owners may still do, `failover` decides which box
+//!   takes over next, and `mechanisms` lists which parts of the scheduler are enabled.
 
 mod addresses;
 mod admission;
--- a/src/sched/backlog.rs
+++ b/src/sched/backlog.rs
@@ -33,7 +33,7 @@
             let step = key.step_key();
             let task_work = match last {
                 Some((known, task_work)) if known == step => task_work,
-                _ => self.task_work(step),
+                _ => self.countable_work(step),
             };
             last = Some((step, task_work));
             work += task_work;
@@ -41,9 +41,9 @@
         work
     }
 
-    /// Returns the declared work of one task of a step, in millicore milliseconds; 0 if it does
-    /// not count.
-    fn task_work(&self, step: StepKey) -> f64 {
+    /// Returns the declared work of one task of a step, in millicore milliseconds; 0 for a task
+    /// that is not best-effort, is lasting or can earn no value any more.
+    fn countable_work(&self, step: StepKey) -> f64 {
         let Some(job) = self.jobs.get(&step.job) else {
             return 0.0;
         };
--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -1,4 +1,4 @@
-//! The owner's commits: the rows that they write, and what follows once the rows are stored.
+//! The owner's commits: the rows that they write, and the actions that wait until these are stored.
 
 use std::collections::HashMap;
 
@@ -19,8 +19,8 @@
 /// large rows, and starts wait behind their writes.
 const MAX_ARCHIVED: usize = 8;
 
-/// Milliseconds between two writes of the estimates. A new owner needs some seconds to learn
-/// again what was not written.
+/// Milliseconds between two writes of the estimates. A new owner needs some seconds to learn the
+/// unwritten ones again.
 const ESTIMATES_INTERVAL: Millis = 3_000;
 
 impl Owner {
@@ -122,7 +122,7 @@
             .take(MAX_ARCHIVED)
             .collect();
         for number in numbers {
-            self.journal.touch(number);
+            self.journal.mark_changed(number);
         }
     }
 }
--- a/src/sched/completions.rs
+++ b/src/sched/completions.rs
@@ -94,7 +94,7 @@
             }
             self.mark_done(key);
         }
-        self.journal.touch(key.job);
+        self.journal.mark_changed(key.job);
         let Some(job) = self.jobs.get(&key.job) else {
             return;
         };
--- a/src/sched/crashes.rs
+++ b/src/sched/crashes.rs
@@ -243,7 +243,7 @@
             }
             task.outages += 1;
             let (crashes, losses, outages) = (task.crashes, task.losses, task.outages);
-            self.journal.touch(crash.key.job);
+            self.journal.mark_changed(crash.key.job);
             let task = self.task_name(crash.key);
             log::info!(target: "task", "task={task} event=crash-counted-again was={:?} crashes={crashes} losses={losses} outages={outages}", crash.category);
         }
@@ -267,7 +267,7 @@
         match (cause, category) {
             (CrashCause::Excluded, _) => {
                 task.outages = 0;
-                return self.journal.touch(key.job);
+                return self.journal.mark_changed(key.job);
             }
             (_, CrashCategory::Crash) => task.crashes += 1,
             (_, CrashCategory::Loss) => task.losses += 1,
@@ -280,7 +280,7 @@
             self.provisional_crashes
                 .push(ProvisionalCrash { at, key, category });
         }
-        self.journal.touch(key.job);
+        self.journal.mark_changed(key.job);
         let task = self.task_name(key);
         log::info!(target: "task", "task={task} run={run} event=crash-counted worker={name} cause={cause:?} count={category:?} crashes={crashes} losses={losses} outages={outages}");
         if abandoned {
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -16,7 +16,8 @@
 /// Milliseconds after an outage of the store in which a listing may disappear although its
 /// worker goes on.
 const STORE_OUTAGE_WINDOW: Millis = 5_000;
-/// Milliseconds within which a worker lists itself again after that; the platform promises 2 s.
+/// Milliseconds within which a worker lists itself again after that; by the platform's
+/// documentation it takes about 2 s.
 const RELIST_TIMEOUT: Millis = 2_500;
 /// Milliseconds without an answer in which a listing can't have lapsed: less than two
 /// heartbeats.
--- a/src/sched/journal.rs
+++ b/src/sched/journal.rs
@@ -205,7 +205,7 @@
     }
 
     /// Marks a job as changed.
-    pub fn touch(&mut self, job: u32) {
+    pub fn mark_changed(&mut self, job: u32) {
         if let Entry::Vacant(entry) = self.changed.entry(job) {
             entry.insert(Vec::new());
             self.queue.push_back(job);
@@ -214,7 +214,7 @@
 
     /// Marks a job as changed, with an action to run once its row is stored.
     pub fn run_after_commit(&mut self, job: u32, action: AfterCommit) {
-        self.touch(job);
+        self.mark_changed(job);
         if let Some(actions) = self.changed.get_mut(&job) {
             actions.push(action);
         }
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -24,8 +24,8 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Divides the longest allowed breach of a latency target. Best-effort tasks are halted after this
-/// part of it; the rest covers reports and orders that get lost.
+/// Best-effort tasks are halted after one n-th of the longest allowed breach of a latency target;
+/// the rest covers reports and orders that get lost.
 const HALT_DIVISOR: Millis = 4;
 
 /// Durations and mechanisms that the platform and the settings give an owner.
@@ -140,7 +140,8 @@
     pub(super) last_store_trouble: Millis,
     /// Moving average of the declared work of a job, by queue.
     pub(super) typical_work: HashMap<Name, f64>,
-    /// Backlog of best-effort work, from 0 to 1; serving tasks run at a higher load by it.
+    /// Backlog of best-effort work, from 0 to 1; the higher it is, the higher serving tasks may be
+    /// loaded.
     pub(super) backlog_level: f64,
     /// When swaps of serving tasks are next considered.
     pub(super) next_swap: Millis,
@@ -148,7 +149,7 @@
     next_job: u32,
     /// When the next sweep for due and expired state runs.
     next_sweep: Millis,
-    /// When what was learned is written next.
+    /// When the learned estimates are written next.
     pub(super) next_estimates: Millis,
     /// Number of runs that were released because the lease of their worker had ended.
     pub(super) lapsed_runs: u64,
@@ -359,6 +360,8 @@
         self.actions.push(Action::Reply(ticket, answer));
     }
 
+    /// Handles what is due by time rather than by an event, such as expired listings and leases,
+    /// repeated stops, rounds of scheduled jobs, and finished jobs to archive.
     fn sweep(&mut self) {
         if self.now.steady > self.inherited_leases_end {
             self.journal.mark_predecessors_ended();
@@ -378,7 +381,7 @@
             .filter_map(|(number, job)| job.add_due_rounds(wall).then_some(*number))
             .collect();
         for number in scheduled {
-            self.journal.touch(number);
+            self.journal.mark_changed(number);
             self.queue_ready_tasks(number);
         }
         self.update_backlog_level();
@@ -441,7 +444,7 @@
         job.row.outcome = outcome;
         job.row.ended = self.now.wall;
         log::info!(target: "job", "job={} event=end outcome={outcome:?}", job.id);
-        self.journal.touch(number);
+        self.journal.mark_changed(number);
         self.ready.retain(|key, _| key.job != number);
         self.permits.retain(|step, _| step.job != number);
     }
@@ -478,7 +481,7 @@
             task.phase = Phase::Waiting;
             let open = job.is_open();
             let (gang, lasting) = (job.step(key).gang, job.step(key).lasting);
-            self.journal.touch(key.job);
+            self.journal.mark_changed(key.job);
             if open {
                 self.ready.insert(key, self.now.steady);
             }
--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -43,7 +43,7 @@
 pub(super) struct VictimSearch {
     /// Number of tasks for which resources may still be freed.
     searches_left: usize,
-    /// What `victims` were found for: the step, and whether lasting tasks may be interrupted.
+    /// The search that found `victims`: its step, and whether lasting tasks may be interrupted.
     searched_for: Option<(StepKey, bool)>,
     /// Runs that could be preempted, the lowest cost last.
     victims: Vec<Victim>,
--- a/src/sched/scoring.rs
+++ b/src/sched/scoring.rs
@@ -113,9 +113,9 @@
     /// deferred.
     pub fn best(&self, request: &PlacementRequest<'_>) -> Option<Name> {
         let Reverse((score, id)) = self.by_score.peek()?;
-        let waits =
+        let defer =
             request.step.best_effort && *score > DEFER_SCORE && request.waited < MAX_DEFERRAL;
-        (!waits).then(|| id.clone())
+        (!defer).then(|| id.clone())
     }
 }
 
--- a/src/sched/tests/journal.rs
+++ b/src/sched/tests/journal.rs
@@ -33,7 +33,7 @@
 #[test]
 fn a_conflict_with_the_owners_own_earlier_commit_is_retried() {
     let mut journal = Journal::new(row("box-a", 77), 1, 0);
-    journal.touch(5);
+    journal.mark_changed(5);
     let (number, version, _) = journal
         .build_commit(10, |_| Vec::new())
         .expect("a commit is due");
@@ -60,7 +60,7 @@
 #[test]
 fn a_release_counts_only_once_it_is_committed() {
     let mut journal = Journal::new(row("box-a", 77), 1, 0);
-    journal.touch(5);
+    journal.mark_changed(5);
     let (number, ..) = journal
         .build_commit(10, |_| Vec::new())
         .expect("a commit is due");
@@ -77,14 +77,14 @@
 #[test]
 fn a_release_does_not_wait_until_no_job_changes() {
     let mut journal = Journal::new(row("box-a", 77), 1, 0);
-    journal.touch(0);
+    journal.mark_changed(0);
     journal.release(1);
     let mut commits = 0;
     for now in 1..400 {
         if let Some((number, ..)) = journal.build_commit(now, |_| Vec::new()) {
             commits += 1;
             // Another job changes while the commit is in flight.
-            journal.touch(commits);
+            journal.mark_changed(commits);
             journal.resolve(number, CommitOutcome::Done(u64::from(commits)), now);
         }
     }
@@ -99,14 +99,14 @@
         .build_commit(2, |_| Vec::new())
         .expect("the release is due");
     journal.resolve(number, CommitOutcome::Done(2), 3);
-    journal.touch(7);
+    journal.mark_changed(7);
     assert!(journal.build_commit(1_000, |_| Vec::new()).is_none());
 }
 
 #[test]
 fn commits_in_doubt_are_retried_with_a_pause() {
     let mut journal = Journal::new(row("a", 1), 1, 0);
-    journal.touch(1);
+    journal.mark_changed(1);
     let mut sent = 0;
     for now in 10..1_010 {
         if let Some((number, _, _)) = journal.build_commit(now, |_| Vec::new()) {
@@ -127,7 +127,7 @@
     };
     for each in 0..=3 {
         let mut journal = Journal::new(row("a", 1), 1, 0);
-        (0..300).for_each(|job| journal.touch(job));
+        (0..300).for_each(|job| journal.mark_changed(job));
         let rows = |_| vec![write.clone(); each];
         let (_, _, writes) = journal.build_commit(10, rows).expect("a commit is due");
         assert!(
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -1,8 +1,8 @@
 //! Throttling of best-effort tasks beside serving tasks, based on reported tail latencies.
 //!
 //! Best-effort tasks are slowed until the own load of each serving task plus the interference on
-//! it is at a goal. When a tail stays over its latency target, they are halted regardless of what
-//! the interference model expects.
+//! it is at a goal. When a tail latency stays over its target, they are halted regardless of the
+//! interference that the model expects.
 
 use super::incarnation::Incarnation;
 use super::interference::{ImageNumber, InterferenceModel};
@@ -127,7 +127,7 @@
         let mut runs = best_effort_runs(worker);
         let margin = self.backlog_level * BACKLOG_MARGIN;
         let (halt_after, now) = (self.settings.halt_after(), self.now.steady);
-        let mut high = false;
+        let mut overloaded = false;
         for reported in running {
             if reported.run.gauge == 0 {
                 self.record_missing_tail(name, reported);
@@ -140,13 +140,13 @@
                 self.interference.factor(victim, run.image) * run.share * run.speed
             };
             let expected = gauge.own_load + runs.iter().map(load).sum::<f64>();
-            high |= gauge.busy.max(expected) > HIGH_BUSY + margin;
+            overloaded |= gauge.busy.max(expected) > HIGH_BUSY + margin;
             if gauge
                 .breach
                 .is_some_and(|breach| breach.current && breach.duration(now) >= halt_after)
             {
                 runs.iter_mut().for_each(|run| run.wanted = 0.0);
-                high = true;
+                overloaded = true;
             }
             if !self.settings.mechanisms.throttle {
                 continue;
@@ -154,7 +154,7 @@
             let goal = GOAL_BUSY + margin;
             limit_speeds(&self.interference, &mut runs, victim, gauge.own_load, goal);
         }
-        self.order_speeds(name, &runs, high);
+        self.order_speeds(name, &runs, overloaded);
     }
 
     /// Halts a best-effort run without waiting for the next report, if a serving task of its
@@ -171,8 +171,8 @@
 
     /// Orders changes of speed for the runs of a worker that do not have the wanted speed.
     ///
-    /// `high` is true while a serving task there is too busy or over its target for too long.
-    fn order_speeds(&mut self, name: &Name, runs: &[BestEffortRun], high: bool) {
+    /// `overloaded` is true while a serving task there is too busy or over its target for too long.
+    fn order_speeds(&mut self, name: &Name, runs: &[BestEffortRun], overloaded: bool) {
         let epoch = self.journal.epoch();
         for run in runs {
             let wanted = (run.wanted * f64::from(FULL_SPEED)) as u32 / SPEED_STEP * SPEED_STEP;
@@ -183,9 +183,9 @@
             let Some(placement) = worker.placements.get_mut(&run.key) else {
                 continue;
             };
-            // Speeds are lowered only while `high` is true.
+            // Speeds are lowered only while `overloaded` is true.
             let changes = wanted > placement.speed
-                || (high && wanted < placement.speed)
+                || (overloaded && wanted < placement.speed)
                 || !placement.speed_confirmed;
             let Some(job) = self
                 .jobs
