--- a/src/sched/tests/crashes.rs
+++ b/src/sched/tests/crashes.rs
@@ -1,6 +1,6 @@
-//! Crashes of workers that are caused by the tasks they start.
+//! Tests of tasks that crash the workers on which they start.
 //!
-//! Guards against a task that crashes one worker after the other. The owner used to requeue every
+//! They guard against a task that crashes one worker after the other. The owner used to requeue every
 //! task of a worker that was gone and counted only runs that a worker reports as failed; a crashed
 //! worker reports nothing. Such tasks crashed each worker that started them, 12 ms after the start
 //! order, and workers became silent 200 times in 100 s. Tasks that ran beside them were restarted
@@ -26,7 +26,7 @@
     };
     world.submit("beside", job(vec![lasting(12, 500)]));
     world.run(3_000);
-    world.crashes.by_task.insert("bad.0.0.0".into(), after);
+    world.crashes.crash_delays.insert("bad.0.0.0".into(), after);
     world.submit("bad", job(vec![step(3, 500)]));
     world
 }
@@ -66,25 +66,25 @@
     assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
-/// A worker may come back only after its lease has ended, or not at all. It may then just be out
-/// of reach, so that more such losses are needed until the task is abandoned.
+/// A worker that restarts only after its lease has ended, or never, may just have been out of
+/// reach. More such losses are therefore needed until the task is abandoned.
 #[test]
 fn a_crash_counts_when_the_worker_does_not_come_back_in_time() {
-    for back in [9_000, 600_000] {
+    for restart_delay in [9_000, 600_000] {
         let mut world = world(CRASH_DELAY);
-        world.crashes.restart_delay = back;
+        world.crashes.restart_delay = restart_delay;
         world.run(60_000);
         let crashes = world.crashes.count_with("bad.0.0.0");
         assert!(crashes <= 4, "one start after the third crash: {crashes}");
         assert_eq!(
             world.job_state("bad"),
             Some(JobState::Failed),
-            "back after {back}"
+            "restart after {restart_delay} ms"
         );
     }
 }
 
-/// Workers that are cut off keep running. A task is not abandoned because of them, although it
+/// Workers that are cut off keep their runs. They are no reason to abandon a task, although it
 /// had just been started there each time.
 #[test]
 fn workers_out_of_reach_do_not_count_as_crashed() {
@@ -226,7 +226,10 @@
 fn a_gang_with_a_crashing_member_is_given_up() {
     let mut world = World::new(6);
     world.script = |_, _| (60_000, RunOutcome::Done);
-    world.crashes.by_task.insert("g.0.0.1".into(), CRASH_DELAY);
+    world
+        .crashes
+        .crash_delays
+        .insert("g.0.0.1".into(), CRASH_DELAY);
     let gang = StepSpec {
         gang: true,
         ..step(4, 2_000)
@@ -242,7 +245,7 @@
     assert_eq!(world.job_state("g"), Some(JobState::Failed));
 }
 
-/// At most a quarter of the workers is isolated for suspects, so that other tasks go on.
+/// At most a quarter of the workers runs suspects at a time, so that other tasks go on.
 #[test]
 fn many_suspects_are_started_a_few_at_a_time() {
     let mut world = World::new(8);
@@ -250,7 +253,7 @@
         let id = format!("bad-{number}");
         world
             .crashes
-            .by_task
+            .crash_delays
             .insert(format!("{id}.0.0.0"), CRASH_DELAY);
         world.submit(&id, job(vec![step(1, 2_500)]));
     }
--- a/src/sched/tests/incarnation.rs
+++ b/src/sched/tests/incarnation.rs
@@ -135,8 +135,10 @@
 }
 
 /// A start is delayed by six seconds. The worker has meanwhile answered a stop of that run, so
-/// the task runs elsewhere. Then the worker restarts under its id. The new incarnation has
-/// received no stop, carried out the late start and ran the task a second time.
+/// the task runs elsewhere. Then the worker restarts under its id. The new incarnation had
+/// received no stop, carried out the late start and ran the task a second time. In a soak run,
+/// the stop was answered 2.5 s after the start, run 2 was done on another worker, and then run 1
+/// ended as done on the restarted one (`event=unknown-end`).
 #[test]
 fn an_incarnation_that_begins_after_a_stop_refuses_the_late_start() {
     let mut world = World::new(1);
@@ -253,7 +255,7 @@
 }
 
 /// While the store is away, the listing stays that of the earlier incarnation. The worker is
-/// polled at the usual rate meanwhile.
+/// meanwhile polled at the usual rate rather than without a pause, and its tasks stay held.
 #[test]
 fn a_worker_with_an_outdated_listing_is_polled_at_the_usual_rate() {
     let mut world = World::new(1);
@@ -262,7 +264,8 @@
     assert!(world.last_polls["w0"].wait > 0);
 }
 
-/// One member of a gang has begun on a restarted worker, and the start of another has no answer.
+/// Of the members of a gang on a restarted worker, one has begun and the start of another has no
+/// answer.
 #[test]
 fn a_gang_with_a_doubtful_member_is_not_left_incomplete() {
     for lost in [0.0, 0.5, 1.0] {
@@ -290,9 +293,9 @@
 /// Seed of the random sequences.
 const SEED: u64 = 36;
 
-/// What may happen after the restart of a worker, in any order.
+/// An event after the restart of a worker. Such events may come in any order.
 #[derive(Clone, Copy, Debug)]
-enum Step {
+enum RestartStep {
     /// The last listing of the earlier incarnation arrives.
     OldListing,
     /// The listing of the later incarnation arrives.
@@ -312,20 +315,20 @@
     Takeover,
 }
 
-const STEPS: [Step; 8] = [
-    Step::OldListing,
-    Step::NewListing,
-    Step::OldReport,
-    Step::Reachable,
-    Step::LateStart,
-    Step::Pause,
-    Step::LeasesEnd,
-    Step::Takeover,
+const STEPS: [RestartStep; 8] = [
+    RestartStep::OldListing,
+    RestartStep::NewListing,
+    RestartStep::OldReport,
+    RestartStep::Reachable,
+    RestartStep::LateStart,
+    RestartStep::Pause,
+    RestartStep::LeasesEnd,
+    RestartStep::Takeover,
 ];
 
-impl Arbitrary for Step {
+impl Arbitrary for RestartStep {
     fn arbitrary(g: &mut Gen) -> Self {
-        *g.choose(&STEPS).expect("some")
+        *g.choose(&STEPS).expect("there are steps")
     }
 }
 
@@ -365,34 +368,36 @@
         restart
     }
 
-    fn apply(&mut self, step: Step) {
+    fn apply(&mut self, step: RestartStep) {
         let world = &mut self.world;
         match step {
-            Step::OldListing => {
+            RestartStep::OldListing => {
                 let entry = DirectoryEntry::Listed(self.old_listing.clone());
                 world.handle(Event::DirectoryChanged(vec![("w0".into(), entry)]));
             }
-            Step::NewListing => world.send_directory(),
-            Step::OldReport => {
+            RestartStep::NewListing => world.send_directory(),
+            RestartStep::OldReport => {
                 let poll = world.last_polls["w0"].clone();
                 world.handle(Event::Polled(poll, Reply::Ok(self.old_report.clone())));
             }
-            Step::Reachable => world.workers.get_mut("w0").expect("worker").disconnected = false,
-            Step::LateStart => {
+            RestartStep::Reachable => {
+                world.workers.get_mut("w0").expect("worker").disconnected = false
+            }
+            RestartStep::LateStart => {
                 let ordered = world.last_starts.get("w0").cloned();
                 let in_flight = |(sent, _): &(u64, _)| world.now < sent + CALL_TIMEOUT;
                 if let Some((_, start)) = ordered.filter(in_flight) {
                     world.deliver_start(&start);
                 }
             }
-            Step::Pause => world.run(500),
-            Step::LeasesEnd => world.run(6_000),
-            Step::Takeover => world.take_over(5_000),
+            RestartStep::Pause => world.run(500),
+            RestartStep::LeasesEnd => world.run(6_000),
+            RestartStep::Takeover => world.take_over(5_000),
         }
         world.run(3);
     }
 
-    /// Returns the faults that are found some time after the last step.
+    /// Lets time pass after the last step and returns the faults found then.
     fn faults(mut self) -> Vec<String> {
         let world = &mut self.world;
         world.workers.get_mut("w0").expect("worker").disconnected = false;
@@ -417,7 +422,7 @@
 }
 
 /// Returns all permutations of some steps.
-fn permutations(steps: &[Step]) -> Vec<Vec<Step>> {
+fn permutations(steps: &[RestartStep]) -> Vec<Vec<RestartStep>> {
     if steps.is_empty() {
         return vec![Vec::new()];
     }
@@ -434,7 +439,7 @@
 }
 
 /// Returns the faults that are found after these steps.
-fn faults_after(steps: &[Step]) -> Vec<String> {
+fn faults_after(steps: &[RestartStep]) -> Vec<String> {
     let mut restart = Restart::new();
     for step in steps {
         restart.apply(*step);
@@ -452,7 +457,7 @@
 
 #[test]
 fn no_random_steps_after_a_restart_run_a_task_twice() {
-    fn property(steps: Vec<Step>) -> TestResult {
+    fn property(steps: Vec<RestartStep>) -> TestResult {
         let faults = faults_after(&steps);
         match faults.is_empty() {
             true => TestResult::passed(),
@@ -462,5 +467,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(9, SEED))
         .tests(SEQUENCES)
-        .quickcheck(property as fn(Vec<Step>) -> TestResult);
+        .quickcheck(property as fn(Vec<RestartStep>) -> TestResult);
 }
--- a/src/sched/tests/random.rs
+++ b/src/sched/tests/random.rs
@@ -1,4 +1,5 @@
-//! Randomised simulations with faults: no task runs twice at a time, and all jobs end.
+//! Randomised simulations with faults, which check that no task runs twice at a time and that all
+//! jobs end.
 
 use super::world::{Faults, World, job, step};
 use crate::sched::job::JobState;
@@ -16,10 +17,10 @@
 const CALM_TIME: u64 = 40_000;
 /// A task that crashes its workers.
 const CRASHING_TASK: &str = "job-1.0.0.0";
-/// Most workers that the task may crash: after its third crash at most two more starts.
+/// Most workers that `CRASHING_TASK` may crash: after its third crash at most two more starts.
 const MAX_CRASHES: usize = 5;
-/// A seed with updates of a worker's resources while the box is suspended. Delivered out of
-/// order, they left the worker with 4,000 where it had 2,500.
+/// A seed with updates of a worker's capacity while the box is suspended. Delivered out of order,
+/// they left the owner with 4,000 thousandths of cores where the worker had 2,500.
 const ORDERED_UPDATES_SEED: u64 = 24;
 /// Jobs submitted at the start of one simulation.
 const JOBS: u64 = 6;
@@ -38,7 +39,7 @@
     final_state: Option<JobState>,
 }
 
-/// Submits a job.
+/// Submits a job and returns what the simulation knows of it.
 fn submit_job(world: &mut World, id: String, spec: JobSpec) -> SubmittedJob {
     let ticket = world.submit(&id, spec.clone());
     SubmittedJob {
@@ -125,7 +126,7 @@
 }
 
 /// Applies a random fault or change.
-fn change(world: &mut World, random: &mut Random) {
+fn apply_change(world: &mut World, random: &mut Random) {
     let worker = random_worker(world, random);
     match random.below(8) {
         0 | 1 => {
@@ -216,14 +217,14 @@
 
 /// Simulates jobs under random changes drawn from a seed; returns true without errors.
 fn simulate(seed: u64, extra: ExtraChanges) -> bool {
-    let machines = extra == ExtraChanges::Machines;
+    let with_machines = extra == ExtraChanges::Machines;
     let mut random = Random::new(seed);
     let mut world = World::new(4);
     world.seed(seed ^ 1);
     world.settings.retention = RETENTION;
     world.owner.change_settings(world.settings);
-    if machines {
-        world.crashes.by_task.insert(CRASHING_TASK.into(), 10);
+    if with_machines {
+        world.crashes.crash_delays.insert(CRASHING_TASK.into(), 10);
     }
     let (mut jobs, mut queries) = (Vec::new(), Vec::new());
     world.script = |task, run| {
@@ -243,7 +244,7 @@
         world.run(200);
     }
     for number in 0..CHANGES {
-        change(&mut world, &mut random);
+        apply_change(&mut world, &mut random);
         match extra {
             ExtraChanges::Nothing => {}
             ExtraChanges::Machines => change_machines(&mut world, &mut random),
@@ -263,7 +264,7 @@
         .workers
         .values_mut()
         .for_each(|w| w.disconnected = false);
-    if machines {
+    if with_machines {
         world.run(CALM_TIME / 4);
         restore_capacity(&mut world);
     }
@@ -306,7 +307,7 @@
 }
 
 #[test]
-fn the_same_holds_with_worker_crashes_resizing_and_suspended_boxes() {
+fn no_task_runs_twice_despite_worker_crashes_resizing_and_suspended_boxes() {
     let seeds = seeds().chain([ORDERED_UPDATES_SEED]);
     let failed: Vec<u64> = seeds
         .filter(|seed| !simulate(*seed, ExtraChanges::Machines))
@@ -315,9 +316,9 @@
 }
 
 #[test]
-fn the_same_holds_with_workers_that_restart_under_their_ids() {
+fn no_task_runs_twice_despite_workers_that_restart_under_their_ids() {
     let failed: Vec<u64> = seeds()
-        .filter(|s| !simulate(*s, ExtraChanges::Restarts))
+        .filter(|seed| !simulate(*seed, ExtraChanges::Restarts))
         .collect();
     assert!(failed.is_empty(), "seeds {failed:?}");
 }
--- a/src/sched/tests/throttling.rs
+++ b/src/sched/tests/throttling.rs
@@ -1,7 +1,7 @@
 //! Throttling of best-effort tasks: how long serving tasks beside them exceed their targets.
 
 use super::random::seeds;
-use super::world::{InterferenceModel, World, job, lasting, step};
+use super::world::{SimulatedInterference, World, job, lasting, step};
 use crate::sched::job::parse_task_name;
 use crate::sched::message::{ActiveRun, RunOutcome};
 use crate::sched::spec::StepSpec;
@@ -16,7 +16,7 @@
 const LARGE_SERVICE: u64 = 490;
 
 /// Interference between tasks, as far as a test does not set it.
-const INTERFERING: InterferenceModel = InterferenceModel {
+const INTERFERING: SimulatedInterference = SimulatedInterference {
     base_load: 0.7,
     factor: 0.5,
     amplitude: 0.0,
@@ -25,7 +25,7 @@
 };
 
 /// Returns a world in which only one worker has the label that the tasks below require.
-fn shared_world(interference: InterferenceModel) -> World {
+fn shared_world(interference: SimulatedInterference) -> World {
     let mut world = World::new(2);
     let worker = world.workers.get_mut("w0").expect("worker");
     worker.listing.labels.push(LABEL.into());
@@ -77,7 +77,7 @@
 #[test]
 fn consecutive_short_best_effort_tasks_keep_no_serving_task_over_its_target() {
     for (base_load, factor, amplitude) in [(0.7, 0.5, 0.0), (0.6, 1.0, 1.0), (0.76, 0.3, 1.0)] {
-        let mut world = shared_world(InterferenceModel {
+        let mut world = shared_world(SimulatedInterference {
             base_load,
             factor,
             amplitude,
@@ -98,7 +98,7 @@
     for lost in [0, 4, 8, 12] {
         for (base_load, factor, amplitude) in [(0.76, 0.3, 1.0), (0.74, 0.2, 0.5), (0.75, 0.1, 0.0)]
         {
-            let mut world = shared_world(InterferenceModel {
+            let mut world = shared_world(SimulatedInterference {
                 base_load,
                 factor,
                 amplitude,
@@ -132,7 +132,7 @@
     world.submit("filler", job(vec![best_effort(1)]));
     world.run(2_500);
     assert!(wait(&world) > 590, "{} ms", wait(&world));
-    world.interference = InterferenceModel {
+    world.interference = SimulatedInterference {
         base_load: 0.75,
         simulated_workers: 0,
         ..INTERFERING
@@ -211,7 +211,7 @@
 
 /// Returns a world in which the owner receives no reports except those of the test.
 fn silent_world() -> World {
-    let mut world = shared_world(InterferenceModel::default());
+    let mut world = shared_world(SimulatedInterference::default());
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("serving", job(vec![serving(1)]));
     world.run(100);
@@ -245,7 +245,7 @@
 /// best-effort tasks caused, in milliseconds.
 fn random_run(seed: u64) -> Millis {
     let mut random = Random::new(seed);
-    let mut world = shared_world(InterferenceModel {
+    let mut world = shared_world(SimulatedInterference {
         base_load: 0.5 + 0.28 * random.unit(),
         factor: 0.1 + 0.9 * random.unit(),
         amplitude: random.unit(),
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -12,7 +12,7 @@
 pub use self::calls::{CALL_TIMEOUT, Faults};
 use self::calls::{Call, Scheduled};
 pub use self::crashes::Crashes;
-pub use self::interference::InterferenceModel;
+pub use self::interference::SimulatedInterference;
 pub use self::workers::FakeWorker;
 use crate::cordons::Halls;
 use crate::sched::job::{JobRow, JobState, Queue};
@@ -55,6 +55,7 @@
     pub cordons_withheld: bool,
     /// True while no page of the finished jobs can be read.
     pub history_withheld: bool,
+    /// Settings of the next owner.
     pub settings: OwnerSettings,
     /// Returns duration and outcome of a run by task name and run number.
     pub script: fn(&str, u32) -> (Millis, RunOutcome),
@@ -78,7 +79,7 @@
     /// Speeds that the owner ordered, in percent of full speed.
     pub ordered_speeds: Vec<u32>,
     /// How tasks on one worker slow each other down.
-    pub interference: InterferenceModel,
+    pub interference: SimulatedInterference,
     /// Longest time that interference kept a serving task over its latency target.
     pub longest_breach: Millis,
     /// Tasks whose successful end under a lease was acknowledged.
@@ -220,7 +221,7 @@
             overcommits: Vec::new(),
             unfit_starts: 0,
             ordered_speeds: Vec::new(),
-            interference: InterferenceModel::default(),
+            interference: SimulatedInterference::default(),
             longest_breach: 0,
             acknowledged: BTreeSet::new(),
             acknowledged_failures: BTreeMap::new(),
@@ -247,6 +248,7 @@
         world
     }
 
+    /// Restarts the random numbers of the simulation from a seed.
     pub fn seed(&mut self, seed: u64) {
         self.random = Random::new(seed);
     }
@@ -256,6 +258,7 @@
             .insert((OWNER_TABLE, OWNER_KEY.into()), encode(row));
     }
 
+    /// Adds a worker; the owner learns of it from `send_directory`.
     pub fn add_worker(&mut self, id: &str, port: u16) {
         let worker = FakeWorker::new(listing(id, port));
         self.workers.insert(id.into(), worker);
--- a/src/sched/tests/world/calls.rs
+++ b/src/sched/tests/world/calls.rs
@@ -39,10 +39,10 @@
     pub delayed_calls: f64,
     /// Probability that a commit is executed and its reply is lost.
     pub lost_commit_replies: f64,
-    /// Number of the next throttle orders that are lost.
+    /// How many of the next throttle orders are lost.
     pub lost_throttles: u32,
-    /// Number of the throttle orders after those that are executed late, without a reply, and
-    /// their delay in milliseconds.
+    /// How many of the throttle orders after the lost ones are executed late, without a reply,
+    /// and their delay in milliseconds.
     pub delayed_throttles: (u32, Millis),
 }
 
@@ -55,7 +55,7 @@
     Commit(u64, u64, Vec<Write>),
 }
 
-/// Something that happens at a later time.
+/// A call or event at a later time.
 pub enum Scheduled {
     /// A call arrives; false when its reply is lost.
     Call(Call, bool),
@@ -85,12 +85,12 @@
             );
             return self.schedule(CALL_TIMEOUT, Scheduled::Event(self.epoch, event));
         }
-        let order = !matches!(call, Call::Commit(..));
+        let is_order = !matches!(call, Call::Commit(..));
         let lost = match call {
             Call::Commit(..) => self.random.chance(self.faults.lost_commit_replies),
             _ => self.random.chance(self.faults.lost_replies),
         };
-        if order && self.random.chance(self.faults.delayed_calls) {
+        if is_order && self.random.chance(self.faults.delayed_calls) {
             let event = lost_reply(&call);
             let delay = 2_000 + self.random.below(10_000);
             let incarnation = self.incarnation_of(&call);
@@ -170,9 +170,9 @@
                 Event::Stopped(stop.key, stop.run, stop.incarnation, reply)
             }
         };
-        let lost = timed_out(&event);
+        let is_lost = is_timeout(&event);
         if answered {
-            let after = if lost { CALL_TIMEOUT } else { ONE_WAY_DELAY };
+            let after = if is_lost { CALL_TIMEOUT } else { ONE_WAY_DELAY };
             self.schedule(after, Scheduled::Event(self.epoch, event));
         }
     }
@@ -187,11 +187,11 @@
             .filter(|w| self.permitted.contains(*w));
         let issued = permitted.map(permit).collect();
         let valid = ADVICE_VALIDITY;
-        let done = Reply::Ok(Advice {
+        let advice = Reply::Ok(Advice {
             permits: issued,
             valid_for: valid,
         });
-        let event = Event::Advised(request.step, request.workers, done);
+        let event = Event::Advised(request.step, request.workers, advice);
         self.schedule(ADVICE_DELAY, Scheduled::Event(self.epoch, event));
     }
 
@@ -200,7 +200,7 @@
         format!("{worker} until {}", self.now + ADVICE_VALIDITY).into()
     }
 
-    /// Schedules something to happen `after` ms from now, or later if the owner is suspended.
+    /// Schedules a call or event `after` ms from now, or later if the owner is suspended.
     pub(super) fn schedule(&mut self, after: Millis, due: Scheduled) {
         self.last_serial += 1;
         let mut at = self.now + after;
@@ -223,7 +223,7 @@
         let shift = |((at, serial), due): ((Millis, u64), Scheduled)| {
             let at = match &due {
                 Scheduled::Call(..) | Scheduled::Delayed(..) => at,
-                Scheduled::Event(_, event) if timed_out(event) => at + span,
+                Scheduled::Event(_, event) if is_timeout(event) => at + span,
                 Scheduled::Event(..) | Scheduled::History(..) => at.max(resumed),
             };
             ((at, serial), due)
@@ -299,8 +299,8 @@
     }
 }
 
-/// Returns true for events that the owner's timeouts cause.
-fn timed_out(event: &Event) -> bool {
+/// Returns true if an event reports that a call of the owner timed out.
+fn is_timeout(event: &Event) -> bool {
     matches!(
         event,
         Event::Polled(_, Reply::Lost)
@@ -311,7 +311,7 @@
     )
 }
 
-/// Returns the event that reports a call as lost.
+/// Returns the event that reports that a call got no reply.
 fn lost_reply(call: &Call) -> Event {
     match call {
         Call::Poll(poll) => Event::Polled(poll.clone(), Reply::Lost),
--- a/src/sched/tests/world/crashes.rs
+++ b/src/sched/tests/world/crashes.rs
@@ -18,8 +18,8 @@
 
 /// Tasks that crash workers, and the crashes so far.
 pub struct Crashes {
-    /// Milliseconds after its start when a task crashes its worker, by task.
-    pub by_task: BTreeMap<String, Millis>,
+    /// Milliseconds from the start of a task to the crash of its worker, for each crashing task.
+    pub crash_delays: BTreeMap<String, Millis>,
     /// Milliseconds from a crash until the next incarnation is listed.
     pub restart_delay: Millis,
     /// Tasks that ran on the worker, for each crash so far.
@@ -31,7 +31,7 @@
 impl Default for Crashes {
     fn default() -> Self {
         Self {
-            by_task: BTreeMap::new(),
+            crash_delays: BTreeMap::new(),
             restart_delay: RESTART_DELAY,
             victims: Vec::new(),
             directory_changes: VecDeque::new(),
@@ -42,8 +42,8 @@
 impl Crashes {
     /// Returns the number of crashes of workers that ran a task.
     pub fn count_with(&self, task: &str) -> usize {
-        let under = |tasks: &&Victims| tasks.iter().any(|t| t == task);
-        self.victims.iter().filter(under).count()
+        let ran_task = |tasks: &&Victims| tasks.iter().any(|t| t == task);
+        self.victims.iter().filter(ran_task).count()
     }
 
     /// Schedules a change of a directory entry.
@@ -76,10 +76,14 @@
     /// Crashes workers whose tasks are due to crash them, and applies due changes of entries.
     pub(super) fn apply_due_crashes(&mut self) {
         let now = self.now;
-        let by_task = &self.crashes.by_task;
+        let crash_delays = &self.crashes.crash_delays;
         let fatal = |worker: &FakeWorker| {
             let mut runs = worker.start_times();
-            runs.any(|(task, began)| by_task.get(task).is_some_and(|d| began + d <= now))
+            runs.any(|(task, began)| {
+                crash_delays
+                    .get(task)
+                    .is_some_and(|delay| began + delay <= now)
+            })
         };
         let crashing = self.workers.values().filter(|w| fatal(w));
         let crashing: Vec<Name> = crashing.map(|w| w.listing.id.clone()).collect();
--- a/src/sched/tests/world/interference.rs
+++ b/src/sched/tests/world/interference.rs
@@ -26,24 +26,24 @@
 /// Highest utilization of a server in the model; keeps tail latency finite.
 const MAX_UTILIZATION: f64 = 0.98;
 
-/// How much tasks on a worker interfere; the default is no interference.
+/// Simulated interference between the tasks on a worker; the default is none.
 #[derive(Clone, Copy, Default)]
-pub struct InterferenceModel {
+pub struct SimulatedInterference {
     /// Utilization of a server by its serving task alone.
     pub base_load: f64,
-    /// Utilization that a best-effort task adds to each server when it uses all processors of
-    /// its worker.
+    /// Utilization that a best-effort task adds to each serving task when it uses all processors
+    /// of its worker.
     pub factor: f64,
     /// Amplitude of the oscillation of `factor`, as a share of it.
     pub amplitude: f64,
     /// Period of the oscillation in milliseconds.
     pub period: Millis,
-    /// Number of workers to simulate by the rate of polls: with more workers, each is polled less
-    /// often. 0 turns this off, and polls do not wait.
+    /// Number of workers whose poll rate is simulated: with more workers, each is polled less
+    /// often. With 0, polls are answered at once.
     pub simulated_workers: u64,
 }
 
-impl InterferenceModel {
+impl SimulatedInterference {
     /// Returns how long a poll waits, given its wait at the full rate. Workers with a breach of a
     /// latency target are always polled at the full rate.
     pub(super) fn poll_wait(self, wait: Millis, in_breach: bool) -> Millis {
@@ -113,21 +113,24 @@
 impl FakeWorker {
     /// Returns true when a report would show a serving task over its latency target.
     pub(super) fn reports_breach(&self) -> bool {
-        let serving = self.loads.values().filter(|s| s.step.latency_target > 0);
-        let mut over = serving.filter(|s| s.gauge() > s.step.latency_target);
+        let serving = self
+            .loads
+            .values()
+            .filter(|load| load.step.latency_target > 0);
+        let mut over = serving.filter(|load| load.gauge() > load.step.latency_target);
         over.next().is_some()
     }
 
     /// Measures all runs, and returns the duration of the longest present breach of a latency
     /// target that interference causes.
-    fn measure(&mut self, model: InterferenceModel, now: Millis) -> Millis {
+    fn measure(&mut self, model: SimulatedInterference, now: Millis) -> Millis {
         let capacity = self.listing.capacity.cpu.max(1) as f64;
         let running = &self.running;
         self.loads.retain(|task, _| running.contains_key(task));
-        self.loads.values_mut().for_each(|s| s.advance(now));
-        let used = |s: &RunLoad| s.step.resources.cpu as f64 * f64::from(s.speed) / 100.0;
-        let best_effort = self.loads.values().filter(|s| s.step.best_effort);
-        let share: f64 = best_effort.map(|s| used(s) / capacity).sum();
+        self.loads.values_mut().for_each(|load| load.advance(now));
+        let used = |load: &RunLoad| load.step.resources.cpu as f64 * f64::from(load.speed) / 100.0;
+        let best_effort = self.loads.values().filter(|load| load.step.best_effort);
+        let share: f64 = best_effort.map(|load| used(load) / capacity).sum();
         let interference = model.factor_at(now) * share;
         let tail = |busy: f64, target: f64| IDLE_TAIL * target / (1.0 - busy.min(MAX_UTILIZATION));
         let mut longest = 0;
@@ -150,7 +153,7 @@
 }
 
 impl World {
-    /// Starts to measure a task that a worker has started.
+    /// Starts to measure the load of a task that a worker has started.
     pub(super) fn track_load(&mut self, id: &Name, task: &str) {
         let Some(step) = self.step_of(task) else {
             return;
@@ -167,6 +170,7 @@
         own.map(|(_, load)| load.speed).collect()
     }
 
+    /// Returns the step of a task, by its job's stored specification.
     fn step_of(&self, task: &str) -> Option<StepSpec> {
         let (id, _, step, _) = parse_task_name(task)?;
         let row = self.rows.get(&(SPEC_TABLE, id.into()))?;
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -1,4 +1,4 @@
-//! Fake workers that follow the platform's rules and check that the owner does.
+//! Fake workers that follow the platform's rules and record where the owner violates them.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 
 /// A run on a fake worker, with the outcome that its script sets.
 #[derive(Clone, Debug)]
-pub(super) struct Run {
+pub(super) struct FakeRun {
     pub(super) run: u32,
     started_at: Millis,
     ends_at: Millis,
@@ -42,14 +42,14 @@
     pub reports_checkpoints: bool,
     /// Refuses tasks whose name starts with "bad", as a worker refuses a start it cannot decode.
     pub rejects_bad_tasks: bool,
-    /// When the owner was last told that the capacity had shrunk.
+    /// When the owner was last notified of a reduced capacity.
     pub shrunk_at: Millis,
     /// When this incarnation started; its clock counts from here.
     pub(super) started_at: Millis,
     pub(super) epoch: u64,
     lease_end: Millis,
-    pub(super) running: BTreeMap<String, Run>,
-    /// Load and measurements of the same runs.
+    pub(super) running: BTreeMap<String, FakeRun>,
+    /// Loads and measurements of the running tasks.
     pub(super) loads: Loads,
     /// Highest run of each task that ended or was stopped here; starts up to it are refused.
     closed_runs: BTreeMap<String, u32>,
@@ -144,7 +144,7 @@
             run: run.run,
             checkpoint: self.checkpoint(task, run.run),
             progress: 100,
-            gauge: self.loads.get(task).map_or(0, |s| s.gauge()),
+            gauge: self.loads.get(task).map_or(0, |load| load.gauge()),
         });
         Report {
             clock: now - self.started_at,
@@ -208,8 +208,8 @@
                 *self.acknowledged_failures.entry(task).or_default() += 1;
                 continue;
             }
-            let again = self.starts.iter().find(|s| s.0 == task && s.3 > at);
-            if let Some(start) = again {
+            let repeated = self.starts.iter().find(|s| s.0 == task && s.3 > at);
+            if let Some(start) = repeated {
                 let text = format!("{task} was done at {at} and run {} at {}", start.1, start.3);
                 self.duplicates.push(text);
             }
@@ -247,8 +247,8 @@
         if worker.lease_end <= now {
             return Reply::Refused(Refusal::Late);
         }
-        let present = worker.running.get(&start.task);
-        if present.is_some_and(|r| r.run == start.run) {
+        let active = worker.running.get(&start.task);
+        if active.is_some_and(|r| r.run == start.run) {
             return Reply::Ok(worker.ack(now));
         }
         let closed = worker.closed_runs.get(&start.task);
@@ -256,7 +256,7 @@
             return Reply::Refused(Refusal::Old);
         }
         let ack = worker.ack(now);
-        let run = Run {
+        let run = FakeRun {
             run: start.run,
             started_at: now,
             ends_at: now + span,
@@ -278,7 +278,7 @@
         let now = self.now;
         let worker = self.workers.get_mut(worker).expect("worker");
         worker.lease_end = now + span;
-        let run = Run {
+        let run = FakeRun {
             run: 9,
             started_at: now,
             ends_at: now + span,
@@ -319,8 +319,8 @@
         let worker = &self.workers[&start.incarnation.id];
         let sizes = worker.tasks().filter_map(|task| self.resources_of(task));
         let used = sizes.fold(Resources::default(), Resources::plus);
-        let known = self.now > worker.shrunk_at + IN_FLIGHT;
-        if known && !used.within(worker.listing.capacity) {
+        let is_known = self.now > worker.shrunk_at + IN_FLIGHT;
+        if is_known && !used.within(worker.listing.capacity) {
             let text = format!("{} on {} at {}", start.task, start.incarnation.id, self.now);
             self.overcommits.push(text);
         }
