--- a/src/sched/tests/admission.rs
+++ b/src/sched/tests/admission.rs
@@ -4,6 +4,7 @@
 use crate::sched::message::Answer;
 use crate::sched::spec::StepSpec;
 
+/// Returns a step that needs a worker with a label.
 fn labelled(label: &str) -> StepSpec {
     StepSpec {
         label: label.into(),
--- a/src/sched/tests/cordon.rs
+++ b/src/sched/tests/cordon.rs
@@ -9,8 +9,8 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Longest time in milliseconds from a cordon to the arrival of the last start that was sent
-/// before it: an order takes one millisecond.
+/// Upper bound of the milliseconds from a cordon to the arrival of the last start that was sent
+/// before it. An order takes one millisecond, and no start is sent after the cordon.
 const ORDER_DELAY: Millis = 10;
 
 /// Returns a world of `workers` workers, every second of them in hall `h2`.
@@ -39,13 +39,14 @@
 /// Returns the halls in which tasks of a job run.
 fn halls_of(world: &World, id: &str) -> BTreeSet<Name> {
     let running = world.running().into_iter();
-    let own = running.filter(|(task, _)| task.starts_with(id));
-    own.map(|(_, w)| world.workers[&w].listing.hall.clone())
+    let of_job = running.filter(|(task, _)| task.starts_with(id));
+    of_job
+        .map(|(_, w)| world.workers[&w].listing.hall.clone())
         .collect()
 }
 
-/// Submits a steady load of short jobs that takes more than half of the capacity.
-fn load(world: &mut World, name: &str, span: Millis) {
+/// Submits short jobs for `span` ms; they use more than half of the capacity.
+fn submit_load(world: &mut World, name: &str, span: Millis) {
     for number in 0..span / 100 {
         world.submit(&format!("{name}{number}"), job(vec![step(3, 500)]));
         world.run(100);
@@ -55,11 +56,11 @@
 #[test]
 fn nothing_starts_in_a_cordoned_hall_until_it_is_uncordoned() {
     let mut world = two_halls(4);
-    load(&mut world, "before", 2_000);
+    submit_load(&mut world, "before", 2_000);
     assert!(!started_in(&world, "h2", 0).is_empty());
     world.cordon(&["h2"]);
     let from = world.now + ORDER_DELAY;
-    load(&mut world, "during", 6_000);
+    submit_load(&mut world, "during", 6_000);
     assert_eq!(started_in(&world, "h2", from), Vec::<String>::new());
     assert!(
         !started_in(&world, "h", from).is_empty(),
@@ -67,7 +68,7 @@
     );
     world.cordon(&[]);
     let from = world.now;
-    load(&mut world, "after", 2_000);
+    submit_load(&mut world, "after", 2_000);
     assert!(!started_in(&world, "h2", from).is_empty());
 }
 
@@ -168,7 +169,7 @@
 }
 
 #[test]
-fn all_halls_but_one_and_then_all_are_cordoned() {
+fn jobs_run_in_the_last_open_hall_and_wait_once_it_is_cordoned() {
     let mut world = two_halls(6);
     world.workers.get_mut("w5").expect("worker").listing.hall = "h3".into();
     world.send_directory();
--- a/src/sched/tests/crashes.rs
+++ b/src/sched/tests/crashes.rs
@@ -1,15 +1,14 @@
 //! Tests of tasks that crash the workers on which they start.
 //!
-//! They guard against a task that crashes one worker after the other. The owner used to requeue every
-//! task of a worker that was gone and counted only runs that a worker reports as failed; a crashed
-//! worker reports nothing. Such tasks crashed each worker that started them, 12 ms after the start
-//! order, and workers became silent 200 times in 100 s. Tasks that ran beside them were restarted
-//! five times through no fault of their own.
+//! They guard against a task that crashes one worker after the other. The owner used to requeue
+//! every task of a worker that was gone, and counted only runs that a worker reports as failed; a
+//! crashed worker reports nothing. Such tasks crashed each worker that started them, 12 ms after
+//! the start order, and workers became silent 200 times in 100 s. Tasks that ran beside them were
+//! restarted five times through no fault of their own.
 
 use super::world::{World, job, lasting, step};
 use crate::sched::job::JobState;
-use crate::sched::message::RunOutcome;
-use crate::sched::message::{DirectoryEntry, Event};
+use crate::sched::message::{DirectoryEntry, Event, RunOutcome};
 use crate::sched::spec::StepSpec;
 use crate::utils::clock::Millis;
 
--- a/src/sched/tests/directory.rs
+++ b/src/sched/tests/directory.rs
@@ -62,8 +62,8 @@
     assert!(lost > 0);
     world.workers.get_mut("w0").expect("worker").disconnected = true;
     world.run(12_000);
-    let here = world.running().iter().filter(|(_, w)| &**w == "w1").count();
-    assert_eq!(here, 2, "unanswered polls must not extend leases");
+    let moved = world.running().iter().filter(|(_, w)| &**w == "w1").count();
+    assert_eq!(moved, 2, "unanswered polls must not extend leases");
     assert_eq!(
         world.owner.lapsed_runs(),
         lost as u64,
@@ -118,14 +118,14 @@
     )]));
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(1_000);
-    let begun = world.starts.len();
+    let starts_before = world.starts.len();
     assert!(
         !world.starts.iter().any(|s| s.0.starts_with("j1")),
         "an unlisted worker may end soon"
     );
     world.send_directory();
     world.run(300);
-    assert!(world.starts.len() > begun);
+    assert!(world.starts.len() > starts_before);
     assert!(world.starts.iter().any(|s| s.0.starts_with("j1")));
 }
 
@@ -135,25 +135,25 @@
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     world.submit("j0", job(vec![lasting(2, 1_000)]));
     world.run(300);
-    let begun = world.starts.len();
+    let starts_before = world.starts.len();
     world.handle(Event::DirectoryChanged(vec![(
         "w0".into(),
         DirectoryEntry::Unusable,
     )]));
     world.submit("j1", job(vec![step(2, 1_000)]));
     world.run(500);
-    let new = &world.starts[begun..];
+    let new = &world.starts[starts_before..];
     assert_eq!(new.len(), 2, "all run on the other worker");
     assert!(new.iter().all(|s| &*s.2 == "w1"));
     world.run(12_000);
-    let held = world.running();
-    assert!(held.iter().any(|(_, w)| &**w == "w0"), "its run goes on");
+    let running = world.running();
+    assert!(running.iter().any(|(_, w)| &**w == "w0"), "its run goes on");
     assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
     world.send_directory();
-    let begun = world.starts.len();
+    let starts_before = world.starts.len();
     world.submit("j2", job(vec![step(2, 1_000)]));
     world.run(500);
-    assert!(world.starts[begun..].iter().any(|s| &*s.2 == "w0"));
+    assert!(world.starts[starts_before..].iter().any(|s| &*s.2 == "w0"));
 }
 
 #[test]
@@ -181,8 +181,8 @@
         DirectoryEntry::Unusable,
     )]));
     world.run(12_000);
-    let here = world.running().iter().filter(|(_, w)| &**w == "w1").count();
-    assert_eq!(here, 2);
+    let moved = world.running().iter().filter(|(_, w)| &**w == "w1").count();
+    assert_eq!(moved, 2);
     assert_eq!(world.owner.sizes().1, 1);
     assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
@@ -201,7 +201,7 @@
     world.send_directory();
     assert_eq!(
         world.owner.next_pass, next,
-        "waiting tasks are not examined"
+        "unchanged listings trigger no placement"
     );
     let mut grown = world.workers["w0"].listing.clone();
     grown.capacity.cpu *= 2;
@@ -209,5 +209,8 @@
         "w0".into(),
         DirectoryEntry::Listed(grown),
     )]));
-    assert_ne!(world.owner.next_pass, next, "a change has them examined");
+    assert_ne!(
+        world.owner.next_pass, next,
+        "a larger capacity triggers a placement"
+    );
 }
--- a/src/sched/tests/failover.rs
+++ b/src/sched/tests/failover.rs
@@ -44,11 +44,12 @@
     assert_eq!(smaller_box_delay(500, &weak), 0);
 }
 
-/// Progress of an owner that served at 1,000 ms, and of an owner that had loaded three pages.
+/// Progress of an owner that served at 1,000 ms.
 const SERVED: OwnerProgress = OwnerProgress {
     at: 1_000,
     pages: None,
 };
+/// Progress of an owner that had loaded three pages at 1,000 ms.
 const LOADED: OwnerProgress = OwnerProgress {
     at: 1_000,
     pages: Some(3),
@@ -59,6 +60,7 @@
     assess_owner(500, 7, last, pong, now)
 }
 
+/// Returns the answer of an owner of epoch 7 that loads.
 fn loads(pages: u64, cores: u32) -> Option<Pong> {
     Some(Pong::Loads {
         epoch: 7,
--- a/src/sched/tests/history.rs
+++ b/src/sched/tests/history.rs
@@ -55,7 +55,7 @@
     world.history_withheld = true;
     world.take_over(INHERITED);
     world.run(100);
-    let over = world.request(JobRequest::Show("over-001".into()));
+    let finished = world.request(JobRequest::Show("over-001".into()));
     let nobody = world.request(JobRequest::Show("nobody".into()));
     let cancel = world.request(JobRequest::Cancel("nobody".into()));
     let count = world.request(JobRequest::Count("q".into()));
@@ -64,7 +64,7 @@
     let twice = world.submit("new", job(vec![step(1, 1_000)]));
     world.run(500);
     assert_eq!(world.answers[&count], Answer::Waiting(0));
-    for ticket in [over, nobody, cancel, again, new, twice] {
+    for ticket in [finished, nobody, cancel, again, new, twice] {
         assert!(
             !world.answers.contains_key(&ticket),
             "request {ticket} was answered early"
@@ -76,7 +76,7 @@
     for ticket in [again, new, twice] {
         assert_eq!(world.answers[&ticket], Answer::Accepted);
     }
-    assert_eq!(world.answers[&over], Answer::State(JobState::Completed));
+    assert_eq!(world.answers[&finished], Answer::State(JobState::Completed));
     for ticket in [nobody, cancel] {
         assert_eq!(world.answers[&ticket], Answer::Unknown);
     }
@@ -138,7 +138,7 @@
 fn parked_requests_are_answered_once_the_owner_is_confirmed() {
     let mut world = World::new(2);
     world.run(1_000);
-    let mut waited = 0;
+    let mut parked = 0;
     for span in (0..400).step_by(10) {
         world.store_down = true;
         world.run(span);
@@ -147,9 +147,9 @@
         world.store_down = false;
         world.run(1_500);
         assert_eq!(world.answers.get(&ticket), Some(&Answer::Unknown), "{span}");
-        waited += u32::from(!at_once);
+        parked += u32::from(!at_once);
     }
-    assert!(waited > 0, "at least one request had to wait");
+    assert!(parked > 0, "at least one request had to wait");
 }
 
 #[test]
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn finished_jobs_in_the_job_table_of_an_earlier_version_are_archived() {
+fn finished_jobs_that_an_earlier_version_left_in_the_job_table_are_archived() {
     let mut world = World::new(2);
     let spec = job(vec![step(1, 1_000)]);
     for number in 0..50 {
--- a/src/sched/tests/interference.rs
+++ b/src/sched/tests/interference.rs
@@ -1,4 +1,4 @@
-//! Interference between images: learning, storing, and halting of best-effort tasks.
+//! Tests of the learned interference between images, and of best-effort tasks halted because of it.
 
 use super::world::{World, job, serving, step};
 use crate::sched::interference::InterferenceModel;
@@ -6,12 +6,13 @@
 use crate::sched::spec::StepSpec;
 use crate::sched::worker::ImageShares;
 
+/// Returns a mix of best-effort tasks: the share of each image in the processors of a worker.
 fn mix(shares: &[(&str, f64)]) -> ImageShares {
     shares.iter().map(|(i, s)| ((*i).into(), *s)).collect()
 }
 
 /// Returns a model that has learned a noisy and a quiet image beside a serving image.
-fn learned() -> InterferenceModel {
+fn learned_model() -> InterferenceModel {
     let mut model = InterferenceModel::default();
     for _ in 0..40 {
         model.learn(&"serving".into(), &mix(&[("noisy", 0.1)]), 0.2, 0.0);
@@ -22,25 +23,25 @@
     model
 }
 
-/// Returns the factor of an image on the serving image, without caution.
+/// Returns the mean interference factor of an image on the serving image.
 fn factor(model: &InterferenceModel, image: &str) -> f64 {
     model.mix_load("serving", &mix(&[(image, 1.0)])).0
 }
 
 #[test]
 fn factors_are_learned_from_the_added_load() {
-    let model = learned();
+    let model = learned_model();
     assert!((factor(&model, "noisy") - 2.0).abs() < 0.2);
     assert!(factor(&model, "quiet").abs() < 0.2);
 }
 
 #[test]
 fn the_next_owner_adopts_the_learned_factors() {
-    let mut before = learned();
-    let mut after = InterferenceModel::default();
-    after.import(before.export().expect("something was learned"));
-    assert_eq!(factor(&before, "noisy"), factor(&after, "noisy"));
-    assert!(before.export().is_none(), "nothing new was learned");
+    let mut learned = learned_model();
+    let mut adopted = InterferenceModel::default();
+    adopted.import(learned.export().expect("something was learned"));
+    assert_eq!(factor(&learned, "noisy"), factor(&adopted, "noisy"));
+    assert!(learned.export().is_none(), "nothing new was learned");
 }
 
 #[test]
@@ -72,7 +73,7 @@
         run: 1,
         checkpoint: "".into(),
         progress: 100,
-        // Below the tail at which the learned factors slow best-effort tasks.
+        // Below the tail latency at which the learned factors slow best-effort tasks.
         gauge: 97,
     };
     for _ in 0..5 {
--- a/src/sched/tests/jobs.rs
+++ b/src/sched/tests/jobs.rs
@@ -156,13 +156,13 @@
 #[test]
 fn a_job_without_steps_or_with_a_cycle_is_refused_with_its_errors() {
     let mut world = World::new(1);
-    let none = world.submit("j1", job(vec![]));
+    let empty = world.submit("j1", job(vec![]));
     let cycle = crate::sched::spec::StepSpec {
         depends_on: vec![0],
         ..step(0, 1_000)
     };
     let cycle = world.submit("j2", job(vec![cycle]));
-    assert!(matches!(&world.answers[&none], Answer::Invalid(text) if text.contains("step")));
+    assert!(matches!(&world.answers[&empty], Answer::Invalid(text) if text.contains("step")));
     assert!(matches!(&world.answers[&cycle], Answer::Invalid(text) if text.contains("; ")));
 }
 
--- a/src/sched/tests/journal.rs
+++ b/src/sched/tests/journal.rs
@@ -4,6 +4,7 @@
 use crate::sched::message::{CommitOutcome, Write};
 use crate::table::encode;
 
+/// Returns the owner row that a box writes.
 fn row(name: &str, incarnation: u64) -> OwnerRow {
     OwnerRow {
         name: name.into(),
@@ -125,16 +126,16 @@
         key: "j".into(),
         value: None,
     };
-    for each in 0..=3 {
+    for rows_per_job in 0..=3 {
         let mut journal = Journal::new(row("a", 1), 1, 0);
         (0..300).for_each(|job| journal.mark_changed(job));
-        let rows = |_| vec![write.clone(); each];
-        let (_, _, writes) = journal.build_commit(10, rows).expect("a commit is due");
+        let job_rows = |_| vec![write.clone(); rows_per_job];
+        let (_, _, writes) = journal.build_commit(10, job_rows).expect("a commit is due");
         assert!(
             spare_entries(&writes) >= 1,
             "no entry left for the estimates"
         );
         let entries = writes.len() + 1 + spare_entries(&writes);
-        assert_eq!(entries, 100, "entries with the condition");
+        assert_eq!(entries, 100, "entries, including the condition");
     }
 }
--- a/src/sched/tests/loads.rs
+++ b/src/sched/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Estimates of the own loads of serving tasks.
+//! Tests of the estimated loads that serving tasks have without interference.
 
 use crate::sched::job::StepKey;
 use crate::sched::loads::OwnLoads;
--- a/src/sched/tests/order.rs
+++ b/src/sched/tests/order.rs
@@ -71,11 +71,11 @@
         world.submit(&format!("busy{number}"), job(vec![step(2, 1_000)]));
         world.run(100);
     }
-    let again = world
+    let restarted = world
         .starts
         .iter()
         .find(|s| s.0 == "last.0.0.0" && s.1 == 2);
-    let (_, _, _, at) = again.expect("the lasting task runs again");
+    let (_, _, _, at) = restarted.expect("the lasting task runs again");
     assert!(*at < 1_000 + 300 + 5_000, "it started at {at}");
 }
 
@@ -105,28 +105,28 @@
     };
     world.submit("last", job(vec![lasting(24, 1_000)]));
     world.run(4_000);
-    let mut idle: std::collections::BTreeMap<String, u64> = Default::default();
+    let mut idle_times: std::collections::BTreeMap<String, u64> = Default::default();
     for number in 0..200 {
         world.submit(&format!("ends{number}"), job(vec![step(1, 1_000)]));
         world.run(100);
         for index in 0..24 {
             let task = format!("last.0.0.{index}");
-            let runs = world.running().iter().any(|(t, _)| *t == task);
-            let spent = idle.entry(task).or_insert(0);
-            *spent = if runs { 0 } else { *spent + 100 };
+            let is_running = world.running().iter().any(|(t, _)| *t == task);
+            let idle_time = idle_times.entry(task).or_insert(0);
+            *idle_time = if is_running { 0 } else { *idle_time + 100 };
             assert!(
-                *spent < 5_000,
-                "not running for {spent} ms at round {number}"
+                *idle_time < 5_000,
+                "not running for {idle_time} ms at round {number}"
             );
         }
     }
-    let ends = world.starts.iter().filter(|s| s.0.starts_with("ends"));
-    let ends = ends.count();
-    assert!(ends > 20, "only {ends} tasks that end were started");
+    let started = world.starts.iter().filter(|s| s.0.starts_with("ends"));
+    let started = started.count();
+    assert!(started > 20, "only {started} tasks that end were started");
 }
 
 #[test]
-fn few_lasting_tasks_are_interrupted_at_once() {
+fn few_lasting_tasks_are_interrupted_at_the_same_time() {
     let mut world = World::new(6);
     world.script = |task, _| match task.starts_with("last") {
         true => (600_000, RunOutcome::Done),
@@ -187,7 +187,7 @@
 fn a_job_that_is_nearly_done_is_finished_before_new_ones_begin() {
     let mut world = World::new(1);
     world.script = |_, _| (1_000, RunOutcome::Done);
-    // All jobs can be on time, so that only the remaining work gives the old one precedence.
+    // All jobs can end in time, so that only its small remaining work gives the old one precedence.
     world.submit(
         "old",
         job(vec![
@@ -223,7 +223,7 @@
     for number in 0..12 {
         world.submit(&format!("small{number}"), job(vec![step(4, 1_000)]));
     }
-    // Twice the second that a task runs, and half a second.
+    // The jobs have to end in twice the second that a task runs, plus half a second.
     world.run(2_500);
     let done = |world: &mut World, name: &str, count: u32| {
         let ids = (0..count).map(|n| format!("{name}{n}"));
--- a/src/sched/tests/overload.rs
+++ b/src/sched/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Overload: starts and throttling while more work is submitted than the workers can run.
+//! Tests of starts and throttling while more work is submitted than the workers can run.
 
 use super::world::{World, job, serving, step};
 use crate::sched::job::JobState;
@@ -59,9 +59,9 @@
     world
 }
 
-/// Returns the lowest speed that is ordered while the serving task has this tail.
-///
-/// Reports without a tail, which the fake worker sends in between, raise the speed again.
+/// Returns the lowest speed in percent that is ordered while the serving task reports this tail
+/// latency in milliseconds. Reports without a tail latency, which the fake worker sends in
+/// between, raise the speed again.
 fn speed_at(world: &mut World, tail: u64) -> u32 {
     let run = ActiveRun {
         task: "serving.0.0.0".into(),
@@ -81,25 +81,26 @@
 
 #[test]
 fn a_backlog_raises_the_load_of_serving_tasks_but_never_beyond_their_target() {
-    let (mut calm, mut strained) = (beside_serving(0), beside_serving(40));
+    let (mut idle, mut backlogged) = (beside_serving(0), beside_serving(40));
     assert_eq!(
-        (calm.owner.backlog_level, strained.owner.backlog_level),
+        (idle.owner.backlog_level, backlogged.owner.backlog_level),
         (0.0, 1.0)
     );
     let tails = [25, 30, 35, 40, 45, 50, 55, 60, 65, 70, 75, 80];
-    let calm_speeds: u32 = tails.iter().map(|t| speed_at(&mut calm, *t)).sum();
-    let strained_speeds: u32 = tails.iter().map(|t| speed_at(&mut strained, *t)).sum();
+    let idle_speeds: u32 = tails.iter().map(|t| speed_at(&mut idle, *t)).sum();
+    let backlog_speeds: u32 = tails.iter().map(|t| speed_at(&mut backlogged, *t)).sum();
     assert!(
-        strained_speeds > calm_speeds,
-        "{strained_speeds}, {calm_speeds}"
+        backlog_speeds > idle_speeds,
+        "{backlog_speeds}, {idle_speeds}"
     );
-    assert_eq!(speed_at(&mut strained, 110), 0, "over its target");
+    assert_eq!(speed_at(&mut backlogged, 110), 0, "over its target");
 }
 
 #[test]
 fn jobs_whose_value_is_lost_do_not_count_as_backlog() {
     let mut world = beside_serving(40);
-    // More than three times the goal of the jobs, 500 ms plus twice the run time, has passed.
+    // More than three times the time in which a job has to end has passed: 500 ms plus twice its
+    // run time.
     world.run(9_000);
     assert!(!world.owner.ready.is_empty());
     assert_eq!(world.owner.backlog_level, 0.0);
--- a/src/sched/tests/pass_cost.rs
+++ b/src/sched/tests/pass_cost.rs
@@ -1,5 +1,5 @@
-//! Tests of the cost of placement passes on full workers, in examined workers. Owners of many
-//! workers spend most of their processor time on these.
+//! Tests of how many workers a placement pass examines while all are full. Owners of many workers
+//! spend most of their processor time on these passes.
 
 use super::world::{World, job, lasting, step};
 use crate::sched::message::RunOutcome;
--- a/src/sched/tests/permits.rs
+++ b/src/sched/tests/permits.rs
@@ -1,8 +1,9 @@
-//! Tests of permits for queues whose steps may only run where the advisor allows.
+//! Tests of queues whose steps may run only on workers that the advisor permits.
 
 use super::world::{World, job, queue, step};
 use crate::sched::job::{JobState, Queue};
 
+/// Returns a queue whose tasks need permits.
 fn advised() -> Queue {
     Queue {
         advised: true,
@@ -10,13 +11,14 @@
     }
 }
 
-fn world(workers: u16, good: &[&str]) -> World {
+/// Returns a world whose workers require permits, which the advisor issues for some of them.
+fn world(workers: u16, permitted: &[&str]) -> World {
     let mut world = World::new(workers);
     world
         .workers
         .values_mut()
         .for_each(|w| w.requires_permit = true);
-    world.permitted = good.iter().map(|id| (*id).into()).collect();
+    world.permitted = permitted.iter().map(|id| (*id).into()).collect();
     world
 }
 
@@ -26,8 +28,8 @@
     world.submit_to(advised(), "j1", job(vec![step(4, 1_000)]));
     world.run(300);
     assert_eq!(world.starts.len(), 4);
-    let good = ["w2", "w5"];
-    assert!(world.starts.iter().all(|s| good.contains(&&*s.2)));
+    let permitted = ["w2", "w5"];
+    assert!(world.starts.iter().all(|s| permitted.contains(&&*s.2)));
     assert_eq!(
         world.advice_requests,
         [6],
--- a/src/sched/tests/rolling_restart.rs
+++ b/src/sched/tests/rolling_restart.rs
@@ -1,5 +1,5 @@
-//! Simulates rolling restarts of boxes with different numbers of cores, in virtual time: which
-//! box owns the cell by the decisions of `failover`.
+//! Tests which box owns the cell in simulated rolling restarts of boxes with different numbers of
+//! cores, in virtual time. Only the decisions of `failover` are under test.
 
 use std::ops::Range;
 
@@ -11,12 +11,13 @@
 use crate::sched::journal::OwnerRow;
 use crate::utils::clock::Millis;
 
-/// Thousandths of cores of strong and weak boxes.
+/// Thousandths of cores of a strong box.
 const STRONG: u32 = 500;
+/// Thousandths of cores of a weak box.
 const WEAK: u32 = 120;
 /// Pages that a new owner loads.
 const PAGES: u64 = 30;
-/// Milliseconds between two pings of a box, and of one with fewer cores than the owner.
+/// Milliseconds between two pings of a box, and of a box with fewer cores than the owner.
 const PING_INTERVALS: (Millis, Millis) = (200, 600);
 /// Milliseconds between two writes of the owner's row.
 const WRITE_INTERVAL: Millis = 300;
@@ -41,7 +42,7 @@
     cores: u32,
     epoch: u64,
     /// When its restart ends; the box does not take over before.
-    restarted: Millis,
+    restart_end: Millis,
     state: NodeState,
     /// The owner's row as last read.
     seen: OwnerRow,
@@ -55,17 +56,17 @@
     row: OwnerRow,
     version: u64,
     nodes: Vec<Node>,
-    /// Milliseconds for which no box has served now.
+    /// Milliseconds since a box served last.
     unserved: Millis,
     /// Maximum of `unserved` so far.
     max_unserved: Millis,
     /// How often a weak box became the owner.
     weak_owners: usize,
-    /// Milliseconds for which each box has now followed another than the serving one.
+    /// Milliseconds for which each box has followed a box other than the serving owner.
     stale: Vec<Millis>,
     /// Maximum of `stale` so far.
     max_stale: Millis,
-    /// A box whose pings get no answer, and the time in which they don't.
+    /// A box whose pings get no answer, and the time in which that lasts.
     lost_pings: (usize, Range<Millis>),
 }
 
@@ -84,7 +85,7 @@
         let node = |(number, cores): (usize, &u32)| Node {
             cores: *cores,
             epoch: 0,
-            restarted: 0,
+            restart_end: 0,
             // The pings of the boxes are spread over the interval between two pings.
             state: NodeState::Following(number as Millis * 37 % PING_INTERVALS.0),
             seen: row.clone(),
@@ -113,7 +114,7 @@
             if self.now.is_multiple_of(gap) {
                 // Every seventh box rather than in the order of the list.
                 let number = (self.now / gap * 7) as usize % self.nodes.len();
-                self.nodes[number].restarted = self.now + RESTART_TIME;
+                self.nodes[number].restart_end = self.now + RESTART_TIME;
             }
             for number in 0..self.nodes.len() {
                 self.advance(number);
@@ -128,13 +129,13 @@
         }
     }
 
-    /// Counts for how long boxes follow another box than the serving one.
+    /// Updates for how long each box has followed a box other than the serving owner.
     fn count_stale(&mut self) {
         let serves = |n: &&Node| matches!(n.state, NodeState::Serving(..));
         let epoch = self.nodes.iter().find(serves).map(|n| n.epoch);
         for (node, stale) in self.nodes.iter().zip(&mut self.stale) {
-            let wrong = epoch.is_some_and(|e| e != node.seen.epoch);
-            *stale = if wrong { *stale + 1 } else { 0 };
+            let is_stale = epoch.is_some_and(|e| e != node.seen.epoch);
+            *stale = if is_stale { *stale + 1 } else { 0 };
             self.max_stale = self.max_stale.max(*stale);
         }
     }
@@ -142,7 +143,7 @@
     /// Carries out what a box has to do now.
     fn advance(&mut self, number: usize) {
         let now = self.now;
-        let stopping = now < self.nodes[number].restarted;
+        let stopping = now < self.nodes[number].restart_end;
         match self.nodes[number].state {
             NodeState::Following(at) if now >= at => self.ping(number),
             NodeState::Waiting(at, version) if now >= at => self.acquire(number, version, stopping),
@@ -181,7 +182,7 @@
         let now = self.now;
         let node = &self.nodes[number];
         let (cores, seen) = (node.cores, node.seen.clone());
-        let stopping = now < node.restarted;
+        let stopping = now < node.restart_end;
         let lost = self.lost_pings.0 == number && self.lost_pings.1.contains(&now);
         let pong = (!lost).then(|| self.pong(&seen));
         if matches!(pong, Some(Pong::Serves { .. })) {
@@ -226,15 +227,15 @@
         let (now, version) = (self.now, self.version);
         let row = self.row.clone();
         let node = &mut self.nodes[number];
-        let same = node.seen.epoch == row.epoch;
-        if !same {
+        let same_owner = node.seen.epoch == row.epoch;
+        if !same_owner {
             node.progress = OwnerProgress {
                 at: now,
                 pages: None,
             };
         }
         node.seen = row.clone();
-        if !stopping && (row.released || suspected && same) {
+        if !stopping && (row.released || suspected && same_owner) {
             let stagger = number as Millis * 13 % 120;
             let at = now + takeover_delay(node.cores, &row, row.released, stagger);
             node.state = NodeState::Waiting(at, version);
@@ -340,7 +341,7 @@
 #[test]
 fn a_strong_box_that_returns_takes_the_cell_over_from_a_weak_one() {
     let mut simulation = Simulation::new(&boxes(1, 6));
-    simulation.nodes[0].restarted = 9_000;
+    simulation.nodes[0].restart_end = 9_000;
     simulation.run(20_000, 100_000);
     let serves = |n: &Node| matches!(n.state, NodeState::Serving(..));
     assert!(serves(&simulation.nodes[0]), "{:?}", simulation.row);
@@ -350,7 +351,7 @@
 #[test]
 fn boxes_that_follow_a_loading_owner_notice_its_successor() {
     let mut simulation = Simulation::new(&boxes(1, 6));
-    simulation.nodes[0].restarted = 1_000;
+    simulation.nodes[0].restart_end = 1_000;
     simulation.run(10_000, 100_000);
     assert_eq!(
         simulation.weak_owners, 1,
--- a/src/sched/tests/suspension.rs
+++ b/src/sched/tests/suspension.rs
@@ -1,11 +1,11 @@
-//! Tests of a box whose machine is suspended: its timers stop while time goes on.
+//! Tests of a box whose machine is suspended: its timers stop, but leases go on to expire.
 
 use super::world::{SETTINGS, World, job, lasting, step};
 use crate::sched::job::JobState;
 use crate::sched::message::{Action, Event, RunOutcome};
 use crate::sched::owner::Now;
 
-/// Returns a world of three workers with six tasks that end and three that last.
+/// Returns a world of three workers that run six tasks of 9 s and three lasting tasks.
 fn world() -> World {
     let mut world = World::new(3);
     world.script = |task, _| match task.starts_with('a') {
@@ -59,11 +59,11 @@
 fn an_owner_that_resumes_on_an_old_confirmation_extends_and_starts_nothing() {
     let mut world = world();
     let later = world.now + SETTINGS.max_unconfirmed + 100;
-    let woken = Now {
+    let resumed = Now {
         steady: later,
         wall: later,
     };
-    let actions = world.owner.handle_event(Event::Tick, woken);
+    let actions = world.owner.handle_event(Event::Tick, resumed);
     for action in actions {
         match action {
             Action::Poll(poll) => assert_eq!(poll.lease, None, "{poll:?}"),
--- a/src/sched/tests/swaps.rs
+++ b/src/sched/tests/swaps.rs
@@ -1,4 +1,4 @@
-//! Swaps of serving tasks between workers.
+//! Tests of swaps of serving tasks between workers.
 
 use super::world::{World, job, lasting, step};
 use crate::sched::message::RunOutcome;
@@ -29,8 +29,8 @@
     }])
 }
 
-/// Returns two workers that each run a serving task of both images, beside which best-effort tasks
-/// interfere by these factors, while many best-effort tasks wait.
+/// Returns a world of two workers that each run one serving task of either image. Best-effort
+/// tasks interfere with the images by these factors, and many of them wait.
 fn mixed_world(factors: [f64; 2]) -> World {
     let mut world = World::new(2);
     world.script = |task, _| match task.starts_with("blocker") {
@@ -61,8 +61,8 @@
 fn mixed_workers(world: &World) -> usize {
     let runs = |prefix: &str, tasks: &[&String]| tasks.iter().any(|t| t.starts_with(prefix));
     let tasks = world.workers.values().map(|w| w.tasks().collect());
-    let mixed = |tasks: &Vec<&String>| runs("even", tasks) && runs("odd", tasks);
-    tasks.filter(mixed).count()
+    let is_mixed = |tasks: &Vec<&String>| runs("even", tasks) && runs("odd", tasks);
+    tasks.filter(is_mixed).count()
 }
 
 #[test]
--- a/src/sched/tests/throttling.rs
+++ b/src/sched/tests/throttling.rs
@@ -1,4 +1,5 @@
-//! Throttling of best-effort tasks: how long serving tasks beside them exceed their targets.
+//! Tests of how long serving tasks exceed their latency targets until best-effort tasks beside them
+//! are throttled.
 
 use super::random::seeds;
 use super::world::{SimulatedInterference, World, job, lasting, step};
@@ -12,10 +13,10 @@
 const MAX_BREACH: Millis = 4_500;
 /// Label of the worker on which all tasks run.
 const LABEL: &str = "shared";
-/// Workers of a large service, of which each reports about once a second.
+/// Number of workers of a large service, each of which reports about once a second.
 const LARGE_SERVICE: u64 = 490;
 
-/// Interference between tasks, as far as a test does not set it.
+/// Default interference between tasks in these tests.
 const INTERFERING: SimulatedInterference = SimulatedInterference {
     base_load: 0.7,
     factor: 0.5,
@@ -38,7 +39,7 @@
     world
 }
 
-/// Returns how long a best-effort task runs: lengths differ, so that the tasks do not end at once.
+/// Returns how long a best-effort task runs. The times differ, so that tasks do not end together.
 fn best_effort_time(task: &str) -> Millis {
     let index = parse_task_name(task).map_or(0, |(_, _, _, index)| index);
     600 + u64::from(index * 37 % 7) * 150
@@ -84,10 +85,10 @@
             ..INTERFERING
         });
         run_beside_stream(&mut world);
-        let over = world.longest_breach;
+        let breach = world.longest_breach;
         assert!(
-            over < MAX_BREACH,
-            "{base_load} {factor} {amplitude}: {over} ms"
+            breach < MAX_BREACH,
+            "{base_load} {factor} {amplitude}: {breach} ms"
         );
     }
 }
@@ -107,10 +108,10 @@
             world.faults.lost_throttles = lost;
             world.script = |_, _| (1_000_000, RunOutcome::Done);
             run_beside_stream(&mut world);
-            let over = world.longest_breach;
+            let breach = world.longest_breach;
             assert!(
-                over < MAX_BREACH,
-                "{base_load} {factor} {amplitude}, {lost} lost: {over} ms"
+                breach < MAX_BREACH,
+                "{base_load} {factor} {amplitude}, {lost} lost: {breach} ms"
             );
         }
     }
@@ -121,11 +122,11 @@
     let mut world = World::new(300);
     world.script = |_, _| (1_000_000, RunOutcome::Done);
     let wait = |world: &World| world.last_polls["w0"].wait;
-    let label = |world: &mut World| {
+    let add_label = |world: &mut World| {
         let worker = world.workers.get_mut("w0").expect("worker");
         worker.listing.labels.push(LABEL.into());
     };
-    label(&mut world);
+    add_label(&mut world);
     world.send_directory();
     world.submit("serving", job(vec![serving(1)]));
     world.run(100);
@@ -137,12 +138,12 @@
         simulated_workers: 0,
         ..INTERFERING
     };
-    let mut least = wait(&world);
+    let mut min_wait = wait(&world);
     for _ in 0..70 {
         world.run(10);
-        least = least.min(wait(&world));
+        min_wait = min_wait.min(wait(&world));
     }
-    assert!(least <= 400, "{least} ms");
+    assert!(min_wait <= 400, "{min_wait} ms");
 }
 
 #[test]
@@ -179,20 +180,21 @@
     world.interference.base_load = 0.79;
     world.run(6_000);
     assert!(world.speeds_of("stream").contains(&0));
-    // The tails fall while the worker is cut off and no owner sees its reports.
-    let cut = |world: &mut World, cut| {
-        world.workers.get_mut("w0").expect("worker").disconnected = cut;
+    // The tail latencies fall while the worker is disconnected and no owner sees its reports.
+    let set_disconnected = |world: &mut World, disconnected| {
+        world.workers.get_mut("w0").expect("worker").disconnected = disconnected;
     };
-    cut(&mut world, true);
+    set_disconnected(&mut world, true);
     world.interference.base_load = 0.2;
     world.run(1_000);
-    cut(&mut world, false);
+    set_disconnected(&mut world, false);
     world.take_over(14_500);
     world.run(6_000);
     assert_eq!(world.speeds_of("stream"), [100; 4]);
 }
 
-/// Reports these tails of a serving task to the owner, one every 300 ms; the target is 100 ms.
+/// Reports these tail latencies of a serving task to the owner, one every 300 ms; the target is
+/// 100 ms.
 fn report_tails(world: &mut World, tails: &[u64]) {
     for tail in tails {
         let run = ActiveRun {
@@ -241,8 +243,8 @@
     assert!(!world.owner.workers["w0"].is_over_target());
 }
 
-/// Runs a random interference and number of lost orders, and returns the longest breach that
-/// best-effort tasks caused, in milliseconds.
+/// Simulates random interference with a random number of lost orders. Returns the longest breach
+/// that best-effort tasks caused, in milliseconds.
 fn random_run(seed: u64) -> Millis {
     let mut random = Random::new(seed);
     let mut world = shared_world(SimulatedInterference {
@@ -264,7 +266,7 @@
 #[test]
 fn random_best_effort_load_keeps_no_serving_task_over_its_target() {
     for seed in seeds() {
-        let over = random_run(seed);
-        assert!(over < MAX_BREACH, "seed {seed}: {over} ms");
+        let breach = random_run(seed);
+        assert!(breach < MAX_BREACH, "seed {seed}: {breach} ms");
     }
 }
