--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -16,7 +16,7 @@
 /// Shortest and longest time in milliseconds after which a refused caller may retry.
 const RETRY_AFTER_RANGE: (Millis, Millis) = (20, 5_000);
 
-/// Class of a request; the first is served first.
+/// Class of a request; requests of the first class are served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
     /// Latency-critical.
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -179,7 +179,7 @@
         self.allocated = add(self.allocated, request.size);
         self.requests.insert(ticket, request);
         let fits = self.used_slots() <= self.shape.slots && self.is_within_capacity();
-        let detail = || format!("{} has {} requests", self.name, self.used_slots());
+        let detail = || format!("worker {} has {} requests", self.name, self.used_slots());
         invariant::check(fits, Rule::Room, detail);
     }
 
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -130,7 +130,7 @@
         self.entries = entries;
         self.known = true;
         invariant::check(self.version >= before, Rule::Config, || {
-            format!("version {version} after {before}")
+            format!("configuration version {version} replaces version {before}")
         });
         self.rebuild_index();
         true
--- a/src/demo/deployment.rs
+++ b/src/demo/deployment.rs
@@ -56,8 +56,9 @@
 
 /// A running deployment.
 pub struct Deployment {
-    platform: SocketAddr,
-    table: Platform,
+    /// Address of the platform's RPC service.
+    platform_address: SocketAddr,
+    platform: Platform,
     endpoints: Vec<SocketAddr>,
     halls: usize,
     boxes: Vec<RunningBox>,
@@ -68,20 +69,20 @@
 impl Deployment {
     /// Starts a platform, workers and entry boxes on free ports.
     pub fn start(size: DeploymentSize) -> eyre::Result<Self> {
-        let platform = free_address()?;
-        let service = Platform::new(TABLE_RATES);
+        let platform_address = free_address()?;
+        let served_platform = Platform::new(TABLE_RATES);
         let mut endpoints = Vec::new();
         for index in 0..size.workers {
-            let endpoint = start_worker(&service, index, size)?;
+            let endpoint = start_worker(&served_platform, index, size)?;
             endpoints.push(endpoint);
         }
-        let table = service.clone();
+        let platform = served_platform.clone();
         spawn_thread("platform", move || {
-            block_on(platform::serve(service, platform))?
+            block_on(platform::serve(served_platform, platform_address))?
         })?;
         let mut deployment = Self {
+            platform_address,
             platform,
-            table,
             endpoints,
             halls: size.halls,
             boxes: Vec::new(),
@@ -96,7 +97,7 @@
 
     fn start_box(&mut self, index: usize) -> eyre::Result<RunningBox> {
         self.generation += 1;
-        let settings = box_settings(index, self.halls, self.generation, self.platform)?;
+        let settings = box_settings(index, self.halls, self.generation, self.platform_address)?;
         let stop_flag = StopFlag::default();
         let (thread_settings, thread_flag) = (settings.clone(), stop_flag.clone());
         let thread = spawn_thread("entry", move || {
@@ -111,7 +112,7 @@
 
     /// Returns the numbers of rows that the platform's table has read and written.
     pub fn table_rows(&self) -> (u64, u64) {
-        let counts = self.table.counts();
+        let counts = self.platform.counts();
         (counts.reads, counts.writes)
     }
 
@@ -310,11 +311,11 @@
     index: usize,
     halls: usize,
     generation: usize,
-    platform: SocketAddr,
+    platform_address: SocketAddr,
 ) -> eyre::Result<EntrySettings> {
     let text = format!(
         "[box]\nname = \"e{index}-{generation}\"\nhall = \"h{}\"\nweb = \"{}\"\nrpc = \"{}\"\n\
-         admin = \"{}\"\n[platform]\nrpc = \"{platform}\"\n",
+         admin = \"{}\"\n[platform]\nrpc = \"{platform_address}\"\n",
         index % halls,
         free_address()?,
         free_address()?,
--- a/src/engine/cells.rs
+++ b/src/engine/cells.rs
@@ -65,7 +65,7 @@
         let owned = self.claims.owned().get(cell);
         let allowed =
             self.lease.may_act(now.millis) && owned.is_some_and(|owned| owned.epoch == epoch);
-        let detail = || format!("{} acts for {cell} under epoch {epoch}", self.id());
+        let detail = || format!("{} may not act for {cell} under epoch {epoch}", self.id());
         invariant::check(allowed, Rule::Owner, detail)
     }
 
--- a/src/entry/driver.rs
+++ b/src/entry/driver.rs
@@ -97,7 +97,7 @@
     },
 }
 
-/// State shared by all tasks of a box; of the engine's state only the time limit for sends.
+/// Settings, connections and the engine's time limit for sends, shared by all tasks of a box.
 pub struct Context {
     /// Settings of the box.
     pub settings: EntrySettings,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -45,7 +45,8 @@
 /// Label of an outgoing call.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct ProtocolLabel {
-    /// `http` for calls to the store, workers and the advisor, `grpc` for calls to boxes.
+    /// `http` or `grpc`. The `serve` daemon calls the store, workers and the advisor over HTTP, and
+    /// boxes over gRPC.
     pub by: &'static str,
 }
 
