--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -11,7 +11,7 @@
 
 use prost::Message;
 use willowpoint::cell::{
-    Action, CallOutcome, Cell, Class, ListedWorker, PendingRequest, Policy, PollOutcome, PollReply,
+    Action, CallOutcome, Cell, CellRequest, Class, ListedWorker, Policy, PollOutcome, PollReply,
     SendOutcome, SentPoll, Shape, Size, Timings,
 };
 use willowpoint::config::{Config, EntryRow};
@@ -206,7 +206,7 @@
     let mut ticket = 0;
     let took = best_nanos(20_000, || {
         ticket += 1;
-        let request = PendingRequest {
+        let request = CellRequest {
             ticket,
             service: "stock".into(),
             class: Class::Critical,
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use willowpoint::cell::{
-    Action, CallOutcome, Cell, Class, ListedWorker, PendingRequest, Policy, PollOutcome, PollReply,
+    Action, CallOutcome, Cell, CellRequest, Class, ListedWorker, Policy, PollOutcome, PollReply,
     RunState, Sample, Selection, SendOutcome, SentPoll, Shape, Size, Timings,
 };
 use willowpoint::job::{JobShardRow, Spec, TaskRow, VersionedShard};
@@ -227,7 +227,7 @@
             self.outcome.issued += 1;
         }
         self.issued.insert(self.ticket, self.now);
-        let request = PendingRequest {
+        let request = CellRequest {
             ticket: self.ticket,
             service: SERVICE.into(),
             class: Class::Critical,
--- a/src/cell.rs
+++ b/src/cell.rs
@@ -18,7 +18,7 @@
 mod tests;
 
 pub use crate::interference::{InterferenceEstimates, Sample};
-pub use requests::{Class, PendingRequest, SendOutcome};
+pub use requests::{CellRequest, Class, SendOutcome};
 pub use runs::{CallOutcome, Run, RunId, RunPhase, RunReport, RunState};
 pub use shard::{JobShard, TaskState};
 pub use state::{Cell, ListedWorker, PollOutcome, PollReply, Quota, SentPoll, Timings};
--- a/src/cell/outcome.rs
+++ b/src/cell/outcome.rs
@@ -120,7 +120,7 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return Vec::new();
         };
-        // After a lost or refused stop, the next poll tells whether the run goes on.
+        // After a lost or refused stop, the next poll shows whether the run continues.
         if let CallOutcome::Done(saved) = outcome
             && let Some(run) = worker.end_run(now, id)
         {
--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -25,9 +25,9 @@
     Batch,
 }
 
-/// A request that waits for a worker of the cell.
+/// A request to a service, as a cell admits and queues it.
 #[derive(Clone, Debug)]
-pub struct PendingRequest {
+pub struct CellRequest {
     /// Number of the request on this box.
     pub ticket: u64,
     /// Requested service.
@@ -46,7 +46,7 @@
 /// Waiting requests, ordered by class and deadline.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    waiting: BTreeMap<QueueKey, PendingRequest>,
+    waiting: BTreeMap<QueueKey, CellRequest>,
 }
 
 impl Queue {
@@ -55,17 +55,17 @@
         self.waiting.len()
     }
 
-    fn push(&mut self, request: PendingRequest) {
+    fn push(&mut self, request: CellRequest) {
         let key = (request.class, request.deadline, request.ticket);
         self.waiting.insert(key, request);
     }
 
-    fn pop(&mut self) -> Option<PendingRequest> {
+    fn pop(&mut self) -> Option<CellRequest> {
         self.waiting.pop_first().map(|(_, request)| request)
     }
 
     /// Removes the last request if it is a batch request.
-    fn shed_batch(&mut self) -> Option<PendingRequest> {
+    fn shed_batch(&mut self) -> Option<CellRequest> {
         let entry = self.waiting.last_entry()?;
         (entry.key().0 == Class::Batch).then(|| entry.remove())
     }
@@ -77,12 +77,12 @@
     }
 
     /// Removes and returns all requests.
-    pub fn drain(&mut self) -> Vec<PendingRequest> {
+    pub fn drain(&mut self) -> Vec<CellRequest> {
         std::mem::take(&mut self.waiting).into_values().collect()
     }
 
     /// Removes and returns the requests that are too late by `late`.
-    fn take_expired(&mut self, late: impl Fn(&PendingRequest) -> bool) -> Vec<PendingRequest> {
+    fn take_expired(&mut self, late: impl Fn(&CellRequest) -> bool) -> Vec<CellRequest> {
         let keys: Vec<QueueKey> = self
             .waiting
             .iter()
@@ -113,7 +113,7 @@
 
 impl Cell {
     /// Sends, queues or refuses a new request.
-    pub fn admit(&mut self, now: Millis, micros: u64, request: PendingRequest) -> Vec<Action> {
+    pub fn admit(&mut self, now: Millis, micros: u64, request: CellRequest) -> Vec<Action> {
         let mut actions = Vec::new();
         self.record_use(now, &request.service);
         if self.leaving {
@@ -149,7 +149,7 @@
 
     /// Queues a request, or refuses it when it cannot be answered in time or the queue is
     /// full. In a full queue a critical request replaces the last batch request.
-    fn enqueue(&mut self, now: Millis, request: PendingRequest, actions: &mut Vec<Action>) {
+    fn enqueue(&mut self, now: Millis, request: CellRequest, actions: &mut Vec<Action>) {
         let wait = self.expected_wait(now, request.class, &request.service);
         let expected = self.expected_latency(&request.service);
         let open = self.workers.values().any(|w| w.accepts_work(now));
@@ -181,7 +181,7 @@
     }
 
     /// Sends a request to the best worker with free resources, if there is one.
-    fn dispatch(&mut self, now: Millis, micros: u64, request: &PendingRequest) -> Option<Action> {
+    fn dispatch(&mut self, now: Millis, micros: u64, request: &CellRequest) -> Option<Action> {
         let name = self.select_worker(now, request)?;
         let worker = self.workers.get_mut(&name)?;
         if !worker.check_not_leaving() {
@@ -203,7 +203,7 @@
     }
 
     /// Returns the worker for a request, by the policy's selection.
-    fn select_worker(&mut self, now: Millis, request: &PendingRequest) -> Option<Name> {
+    fn select_worker(&mut self, now: Millis, request: &CellRequest) -> Option<Name> {
         let open = self.workers.values().filter(|w| w.accepts_work(now));
         let (total, healthy) = open.fold((0, 0), |(total, healthy), worker| {
             (
@@ -298,7 +298,7 @@
                 return Vec::new();
             }
             SendOutcome::Unknown { until } => {
-                // The request may still use its slot; a later poll tells whether it does.
+                // The request may still use its slot; a later poll shows whether it does.
                 if let Some(request) = worker.requests.get_mut(&ticket) {
                     request.start_deadline = Some(until + self.margin);
                 }
@@ -330,12 +330,12 @@
     /// Refuses queued requests that can no longer be answered in time.
     pub fn refuse_expired(&mut self, now: Millis) -> Vec<Action> {
         let means = &self.mean_latencies;
-        let late = |request: &PendingRequest| {
+        let late = |request: &CellRequest| {
             let mean = means.get(&request.service).copied().unwrap_or(0.0);
             now + (mean / 1_000.0) as Millis > request.deadline
         };
         let expired = self.queue.take_expired(late);
-        let refusal = |request: &PendingRequest| {
+        let refusal = |request: &CellRequest| {
             refuse(
                 request,
                 Reason::Deadline,
@@ -387,7 +387,7 @@
     }
 }
 
-fn refuse(request: &PendingRequest, reason: Reason, after: Millis) -> Action {
+fn refuse(request: &CellRequest, reason: Reason, after: Millis) -> Action {
     Action::Refuse {
         ticket: request.ticket,
         reason,
--- a/src/cell/tests.rs
+++ b/src/cell/tests.rs
@@ -60,8 +60,8 @@
     cell
 }
 
-fn request(ticket: u64, class: Class, deadline: Millis) -> PendingRequest {
-    PendingRequest {
+fn request(ticket: u64, class: Class, deadline: Millis) -> CellRequest {
+    CellRequest {
         ticket,
         service: "s".into(),
         class,
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -4,7 +4,7 @@
 use super::ownership::dedup_shard_name;
 use super::state::Engine;
 use super::{Action, Now, Verdict};
-use crate::cell::{PendingRequest, Reason};
+use crate::cell::{CellRequest, Reason};
 use crate::constants::DEDUP_SHARDS;
 use crate::dedup::Admission;
 use crate::invariant::{self, Rule};
@@ -282,7 +282,7 @@
         let Some(size) = self.config.size(&request.meta.service) else {
             return self.handle_refusal(now, ticket, Reason::NoService, RETRY_AFTER, out);
         };
-        let pending = PendingRequest {
+        let pending = CellRequest {
             ticket,
             service: request.meta.service.clone(),
             class: request.meta.class,
--- a/src/entry/driver.rs
+++ b/src/entry/driver.rs
@@ -156,7 +156,7 @@
     }
 }
 
-/// Request that has not been answered.
+/// A request that is not answered yet, with the receiver of its outcome.
 struct PendingRequest {
     request: Rc<TracedRequest>,
     endpoint_reply: Option<Reply>,
@@ -278,7 +278,7 @@
         Some(event)
     }
 
-    /// Performs an action; one that waits for I/O runs in a task of its own.
+    /// Performs an action. An action that waits for I/O runs in a task of its own.
     fn execute(&mut self, action: Action) {
         let context = self.context.clone();
         match action {
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Sets the faults to simulate; `down_ms` 0 does not end an outage that goes on.
+    /// Sets the faults to simulate; a `down_ms` of 0 does not end an outage in progress.
     pub fn set_faults(&self, fault: &proto::PlatformFault) {
         let mut state = self.state();
         if fault.down_ms > 0 {
--- a/src/utils/suspension.rs
+++ b/src/utils/suspension.rs
@@ -6,7 +6,7 @@
 /// reading the two clocks one after the other.
 const MIN_SUSPENSION: Millis = 50;
 
-/// Detects suspensions by the offset of a clock that goes on during a suspension from one that
+/// Detects suspensions by the offset between a clock that advances during a suspension and one that
 /// stops.
 pub struct SuspensionDetector {
     offset: Millis,
