--- a/src/daemon/follower.rs
+++ b/src/daemon/follower.rs
@@ -60,7 +60,7 @@
 /// Checks the owner once: finds it if none is known, else pings it, and takes over if needed.
 async fn check_owner(shared: &Rc<Shared>) {
     let Some(known) = shared.owner() else {
-        if peers_know_later_owner(shared).await {
+        if learn_later_owner_from_peers(shared).await {
             return;
         }
         match read_owner(shared).await {
@@ -111,7 +111,7 @@
 
 /// Reads the owner's row again, and acquires the cell if the row is vacant.
 async fn acquire_if_vacant(shared: &Rc<Shared>) {
-    if peers_know_later_owner(shared).await || !refresh_owner(shared).await {
+    if learn_later_owner_from_peers(shared).await || !refresh_owner(shared).await {
         return;
     }
     if let Some(known) = shared.owner().filter(|s| is_vacant(shared, &s.row)) {
@@ -119,9 +119,9 @@
     }
 }
 
-/// Asks other boxes for a later owner if the store does not serve this box; returns true when
-/// one was found.
-async fn peers_know_later_owner(shared: &Shared) -> bool {
+/// Asks other boxes for a later owner if the store does not serve this box, and follows the latest;
+/// returns true when one was found.
+async fn learn_later_owner_from_peers(shared: &Shared) -> bool {
     let epoch = shared.owner().map_or(0, |known| known.row.epoch);
     !shared.store_serves() && pings::query_peers(shared, epoch).await
 }
@@ -154,7 +154,7 @@
 
 /// Takes over from the owner `before`, unless another box has done so.
 async fn replace_owner(shared: &Rc<Shared>, before: &KnownOwner) {
-    if peers_know_later_owner(shared).await || !refresh_owner(shared).await {
+    if learn_later_owner_from_peers(shared).await || !refresh_owner(shared).await {
         return;
     }
     let same = |s: &KnownOwner| s.row.epoch == before.row.epoch;
--- a/src/daemon/owner_task.rs
+++ b/src/daemon/owner_task.rs
@@ -23,8 +23,8 @@
 /// Bounds of the wait for a commit's answer, in milliseconds, before its outcome is looked up:
 /// many times the usual answer time, and the answer time of a slow store.
 const ANSWER_WAIT: std::ops::RangeInclusive<Millis> = 120..=900;
-/// The next commit is expected to take at most this many times as long as the last one.
-const ANSWER_SPREAD: Millis = 3;
+/// The answer to a commit is awaited for this many times as long as the last commit took.
+const ANSWER_WAIT_FACTOR: Millis = 3;
 
 /// The owner in this process, its term and its pending requests and commit.
 struct LocalOwner {
@@ -187,7 +187,7 @@
         crate::metrics::get().commit_seconds.observe(seconds);
         let wanted = match outcome {
             CommitOutcome::Unknown => self.answer_wait,
-            _ => took * ANSWER_SPREAD,
+            _ => took * ANSWER_WAIT_FACTOR,
         };
         self.answer_wait = wanted.clamp(*ANSWER_WAIT.start(), *ANSWER_WAIT.end());
     }
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -16,6 +16,7 @@
 use crate::utils::clock;
 use crate::utils::drain::Drain;
 
+/// gRPC service that other boxes call.
 struct Service {
     bridge: Bridge<Shared>,
 }
--- a/src/sched.rs
+++ b/src/sched.rs
@@ -16,8 +16,8 @@
 //!   `interference` learns from them how best-effort tasks slow serving tasks beside them
 //!   (`colocation`), and `throttling` and `swaps` limit that interference. While the `backlog` is
 //!   long, a little more of it is allowed.
-//! - Owners: `predecessors` describes what earlier owners may still do, `failover` decides which box
-//!   takes over next, and `mechanisms` lists which parts of the scheduler are enabled.
+//! - Owners: `predecessors` describes what earlier owners may still do, `failover` decides which
+//!   box takes over next, and `mechanisms` lists which parts of the scheduler are enabled.
 
 mod addresses;
 mod admission;
--- a/src/sched/backlog.rs
+++ b/src/sched/backlog.rs
@@ -15,8 +15,8 @@
 const CORE_SECOND: f64 = 1_000_000.0;
 
 impl Owner {
-    /// Updates the backlog level from the waiting tasks. Jobs whose value is lost do not count,
-    /// since they are no reason to load serving tasks higher.
+    /// Updates the backlog level from the waiting tasks. Jobs that have no value left do not
+    /// count, since they are no reason to load serving tasks higher.
     pub(super) fn update_backlog_level(&mut self) {
         let capacity: u64 = self.workers.values().map(|w| w.listing.capacity.cpu).sum();
         let waiting = self.waiting_work() / CORE_SECOND;
@@ -24,8 +24,8 @@
         self.backlog_level = (seconds / FULL_BACKLOG).min(1.0);
     }
 
-    /// Returns the declared work of the waiting best-effort tasks that can still earn value, in
-    /// millicore milliseconds.
+    /// Returns the declared work of the waiting best-effort tasks whose rounds still have a value,
+    /// in millicore milliseconds.
     fn waiting_work(&self) -> f64 {
         let mut last: Option<(StepKey, f64)> = None;
         let mut work = 0.0;
@@ -42,15 +42,15 @@
     }
 
     /// Returns the declared work of one task of a step, in millicore milliseconds; 0 for a task
-    /// that is not best-effort, is lasting or can earn no value any more.
+    /// that is not best-effort, is lasting, or whose round has no value left.
     fn countable_work(&self, step: StepKey) -> f64 {
         let Some(job) = self.jobs.get(&step.job) else {
             return 0.0;
         };
         let spec = job.step(step.task(0));
-        let can_earn =
+        let has_value =
             || prospect(job, step.round as usize, self.now.wall).0 != Prospect::Worthless;
-        match spec.best_effort && !spec.lasting && can_earn() {
+        match spec.best_effort && !spec.lasting && has_value() {
             true => spec.resources.cpu as f64 * spec.estimate as f64,
             false => 0.0,
         }
--- a/src/sched/breaches.rs
+++ b/src/sched/breaches.rs
@@ -31,8 +31,8 @@
     /// the target.
     ///
     /// Gauges are imprecise: a tail latency below the target ends a breach only a gauge window
-    /// after the last one above it, or once the breach has lasted `halt_after` milliseconds, when everything
-    /// beside the serving task is halted.
+    /// after the last one above it, or once the breach has lasted `halt_after` milliseconds, when
+    /// all best-effort tasks beside the serving task are halted.
     pub fn after_report(
         previous: Option<Self>,
         over: bool,
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Handles a report of a serving task without a tail latency, as when the task has no users or does
-    /// not run yet. Without this its breach would never end, and its worker would never get
+    /// Handles a report of a serving task without a tail latency, as when the task has no users or
+    /// does not run yet. Without this its breach would never end, and its worker would never get
     /// best-effort tasks again.
     pub(super) fn record_missing_tail(&mut self, name: &Name, run: &ReportedRun<'_>) {
         let now = self.now.steady;
--- a/src/sched/crashes.rs
+++ b/src/sched/crashes.rs
@@ -3,9 +3,9 @@
 //! A run that is lost with its worker is never reported as ended, so the crash is attributed to
 //! the runs that may have caused it: those that started shortly before the worker's last answer
 //! or after it. Their tasks become suspects. A suspect runs on a worker on which no other task is
-//! started until the run has lasted for a while, so a crash there is its own. A task that crashes
-//! its workers is thus found at its second crash, and tasks that merely ran beside it go on. The
-//! counts are stored with the task, so that the next owner continues them.
+//! started until the run has lasted for a while, so a crash there is attributed to it alone. A task
+//! that crashes its workers is thus found at its second crash, and tasks that merely ran beside it
+//! go on. The counts are stored with the task, so that the next owner continues them.
 //!
 //! A crash counts as a crash of a task if the worker had listed the task's run and another
 //! incarnation has replaced the worker. Otherwise the worker may be out of reach, or the run may
@@ -47,7 +47,7 @@
 /// crashed and that are not back yet. The others stay available for other tasks.
 const ISOLATION_DIVISOR: usize = 4;
 
-/// How it was noticed that an incarnation of a worker ended without notice.
+/// How the owner noticed that an incarnation of a worker ended unannounced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CrashEvidence {
     /// Another incarnation has taken its place.
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -19,8 +19,7 @@
 /// Milliseconds within which a worker lists itself again after that; by the platform's
 /// documentation it takes about 2 s.
 const RELIST_TIMEOUT: Millis = 2_500;
-/// Milliseconds without an answer in which a listing can't have lapsed: less than two
-/// heartbeats.
+/// A listing can't lapse within this many milliseconds after an answer: less than two heartbeats.
 const LAPSE_SILENCE: Millis = 1_900;
 /// Milliseconds before the end of a worker at which its runs are stopped: a stop takes up to
 /// 900 ms, and the report of its outcome some more.
