--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -153,16 +153,16 @@
 fn measure_time() {
     let points = [94, 469, 938].map(|n| {
         let mut router = router(n);
-        let took = best_nanos(100_000, || {
+        let nanos = best_nanos(100_000, || {
             if let Some(cell) = router.choose(&[]) {
                 router.end_request(&cell);
             }
         });
         println!(
-            "{:44} {took:>9.0} ns",
+            "{:44} {nanos:>9.0} ns",
             format!("time: choice among {n} cells")
         );
-        (n as f64, took)
+        (n as f64, nanos)
     });
     print_line("time: cell more in a choice", "ns", &points);
     let points = [8, 32, 128].map(|n| (n as f64, measure_admission(n)));
@@ -172,30 +172,30 @@
     let points = [13, 52, 104].map(|n| {
         let mut all = cells(n, RUNS_PER_WORKER);
         let mut now = 2_000;
-        let took = best_nanos(200, || {
+        let nanos = best_nanos(200, || {
             now += 1;
             all.iter_mut().for_each(|c| drop(c.tick(now, now * 1_000)));
         });
-        ((n * RACK_WORKERS) as f64, took)
+        ((n * RACK_WORKERS) as f64, nanos)
     });
     print_line("time: worker in a tick", "ns", &points);
     let points = [13, 52, 104].map(|n| {
         let mut all = cells(n, RUNS_PER_WORKER);
-        let took = best_nanos(20, || {
+        let nanos = best_nanos(20, || {
             for cell in &mut all {
                 poll_workers(cell, 2_000, RUNS_PER_WORKER);
             }
         });
-        ((n * RACK_WORKERS) as f64, took)
+        ((n * RACK_WORKERS) as f64, nanos)
     });
     print_line("time: exchange's reply with 6 runs", "ns", &points);
     let points = [1, 26, 104].map(|n| {
         let message = greeting(n).encode_to_vec();
-        let took = best_nanos(2_000, || {
+        let nanos = best_nanos(2_000, || {
             let decoded = proto::Greeting::decode(&message[..]);
             assert!(decoded.is_ok());
         });
-        (n as f64, took)
+        (n as f64, nanos)
     });
     print_line("time: cell in a greeting, decoded", "ns", &points);
 }
@@ -204,7 +204,7 @@
 fn measure_admission(workers: usize) -> f64 {
     let mut cell = cell(0, workers, RUNS_PER_WORKER);
     let mut ticket = 0;
-    let took = best_nanos(20_000, || {
+    let nanos = best_nanos(20_000, || {
         ticket += 1;
         let request = CellRequest {
             ticket,
@@ -222,10 +222,10 @@
         cell.finish_send(1_000, 1_001_000, ticket, SendOutcome::Answered);
     });
     println!(
-        "{:44} {took:>9.0} ns",
+        "{:44} {nanos:>9.0} ns",
         format!("time: admission among {workers} workers")
     );
-    took
+    nanos
 }
 
 /// Returns the duration of the placement of a task in nanoseconds.
--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -292,11 +292,11 @@
         let kind = event.kind();
         let start = Instant::now();
         let actions = self.owner.handle_event(event, now);
-        let took = start.elapsed();
+        let elapsed = start.elapsed();
         if self.now >= WARM_UP {
             let spent = self.spent.entry(kind).or_default();
             spent.0 += 1;
-            spent.1 += took;
+            spent.1 += elapsed;
         }
         for action in actions {
             self.execute(action);
@@ -508,13 +508,13 @@
             load.workers, load.lasting_jobs
         );
         let mut total = Duration::ZERO;
-        for (kind, (count, took)) in &world.spent {
-            total += *took;
+        for (kind, (count, elapsed)) in &world.spent {
+            total += *elapsed;
             println!(
                 "  {kind:<10} {:>8.0}/s {:>8.1} us each {:>6.2} % of a core",
                 *count as f64 / seconds,
-                took.as_secs_f64() * 1e6 / *count as f64,
-                took.as_secs_f64() / seconds * 100.0
+                elapsed.as_secs_f64() * 1e6 / *count as f64,
+                elapsed.as_secs_f64() / seconds * 100.0
             );
         }
         println!(
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -34,7 +34,7 @@
 const TASK_WORK: u64 = 4_000;
 const SEED: u64 = 11;
 
-/// Results of a policy after the warm-up.
+/// Results of a policy. All but the evictions are counted after the warm-up only.
 #[derive(Default)]
 struct Outcome {
     /// Latencies of the answered requests in ms.
--- a/tools/trial/src/world/load.rs
+++ b/tools/trial/src/world/load.rs
@@ -1,4 +1,4 @@
-//! Callers, operators and jobs.
+//! Generates the load: callers' requests, operators' changes and jobs, and checks the final state.
 
 use std::collections::BTreeMap;
 
