--- a/tools/trial/src/world/messages.rs
+++ b/tools/trial/src/world/messages.rs
@@ -456,8 +456,8 @@
     fn check_start(&mut self, worker: usize, run: &Run) {
         let mut copies: Vec<(usize, RunId)> = Vec::new();
         for (index, host) in self.hosts.iter_mut().enumerate() {
-            // The tasks of a frozen worker stand still during the freeze; advancing the worker ends those
-            // whose lease has lapsed, so that they are not counted as running.
+            // The tasks of a frozen worker stand still during the freeze. Advancing the worker ends
+            // those whose lease has lapsed, so that they are not counted as running.
             host.worker.advance(self.now);
             let same =
                 host.worker.runs.values().filter(|t| {
