--- a/src/cell/tests.rs
+++ b/src/cell/tests.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Answers a poll of a worker that was sent at `now`.
+/// Has a worker answer a poll that was sent at `now`.
 fn answer(cell: &mut Cell, now: Millis, worker: usize, reply: PollReply) -> Vec<Action> {
     let poll = SentPoll {
         sent: now,
@@ -101,6 +101,7 @@
     }
 }
 
+/// Returns the starts among actions: worker and run.
 fn starts(actions: &[Action]) -> Vec<(Name, Run)> {
     let start = |a: &Action| match a {
         Action::Start { worker, run, .. } => Some((worker.clone(), run.clone())),
@@ -172,7 +173,7 @@
             .is_empty()
     );
     let actions = cell.admit(10, 10_000, request(3, Class::Critical, 9_000));
-    let shed = |a: &Action| {
+    let is_shed = |a: &Action| {
         matches!(
             a,
             Action::Refuse {
@@ -182,7 +183,7 @@
             }
         )
     };
-    assert!(actions.iter().any(shed), "{actions:?}");
+    assert!(actions.iter().any(is_shed), "{actions:?}");
 }
 
 #[test]
@@ -193,7 +194,7 @@
     }
     cell.finish_send(510, 510_000, 0, SendOutcome::Answered);
     let actions = cell.admit(510, 510_000, request(5, Class::Critical, 600));
-    let late = |a: &Action| {
+    let is_late = |a: &Action| {
         matches!(
             a,
             Action::Refuse {
@@ -202,7 +203,7 @@
             }
         )
     };
-    assert!(actions.iter().any(late), "{actions:?}");
+    assert!(actions.iter().any(is_late), "{actions:?}");
 }
 
 #[test]
@@ -231,9 +232,9 @@
     assert_ne!(again[0].1.id, run.id);
 }
 
-/// Starts the only task of a cell for 60 s, with workers that never report its runs. Returns
-/// the number of starts.
-fn lose_runs(outcome: CallOutcome) -> usize {
+/// Simulates 60 s of a cell with one task and workers that never report its runs. Each start
+/// order ends with `outcome`. Returns the number of starts.
+fn count_starts_of_lost_task(outcome: CallOutcome) -> usize {
     let mut cell = cell(2);
     cell.add_new_shard(0, shard("j", 1, 1_000));
     let mut count = 0;
@@ -258,8 +259,8 @@
 /// such a task was started 300 times in 60 s.
 #[test]
 fn a_task_whose_runs_are_lost_with_their_workers_fails() {
-    assert_eq!(lose_runs(CallOutcome::Done(0)), 8);
-    assert_eq!(lose_runs(CallOutcome::Lost), 8);
+    assert_eq!(count_starts_of_lost_task(CallOutcome::Done(0)), 8);
+    assert_eq!(count_starts_of_lost_task(CallOutcome::Lost), 8);
 }
 
 #[test]
@@ -293,10 +294,10 @@
     cell.load_shards(0, vec![stored]);
     answer(&mut cell, 10, 0, idle_reply());
     assert!(starts(&cell.tick(20, 20_000)).is_empty());
-    let after = TIMINGS.run_lease + TIMINGS.margin;
-    answer(&mut cell, after, 0, idle_reply());
-    answer(&mut cell, after + 250, 0, idle_reply());
-    assert_eq!(starts(&cell.tick(after + 250, 1)).len(), 1);
+    let lease_end = TIMINGS.run_lease + TIMINGS.margin;
+    answer(&mut cell, lease_end, 0, idle_reply());
+    answer(&mut cell, lease_end + 250, 0, idle_reply());
+    assert_eq!(starts(&cell.tick(lease_end + 250, 1)).len(), 1);
 }
 
 #[test]
@@ -341,7 +342,7 @@
 fn interference_is_learned_from_noisy_samples() {
     let mut estimates = InterferenceEstimates::default();
     let mut random = crate::utils::random::Random::new(7);
-    let truth = |kind: &str| if kind == "loud" { 1.0 } else { 0.05 };
+    let added_slowdown = |kind: &str| if kind == "loud" { 1.0 } else { 0.05 };
     for _ in 0..400 {
         let mut others: Vec<Name> = Vec::new();
         for kind in ["loud", "calm"] {
@@ -349,7 +350,7 @@
                 others.push(kind.into());
             }
         }
-        let sum: f64 = others.iter().map(|k| truth(k)).sum();
+        let sum: f64 = others.iter().map(|k| added_slowdown(k)).sum();
         let noise = (random.unit() - 0.5) * 0.4;
         estimates.learn(&Sample {
             kind: "s".into(),
@@ -372,8 +373,8 @@
     }
 }
 
-/// Lets a worker report a run at `adopted` and fall silent, and checks that the run stays for
-/// the length of its lease. The cell is owned since `begin`.
+/// Has a worker report a run at `adopted` and then become silent, and checks that the run is kept
+/// for the length of its lease. The cell is owned since `begin`.
 fn check_adopted_run(begin: Millis, adopted: Millis) {
     let mut cell = Cell::new("h/r".into(), 2, begin, Policy::default(), TIMINGS);
     cell.set_workers(&[listed_worker(0)], &Default::default());
--- a/src/claim/tests.rs
+++ b/src/claim/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the assignment, claims and releases of cells.
+//! Tests of how cells are assigned to boxes, claimed and released.
 
 use super::*;
 use crate::lease::WriteOutcome;
@@ -60,6 +60,7 @@
     claims
 }
 
+/// Returns the release among actions: the expected version and the row.
 fn release(actions: Vec<Action>) -> (u64, CellRow) {
     let write = actions.into_iter().find_map(|a| match a {
         Action::Release { expect, row, .. } => Some((expect, row)),
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,10 +1,11 @@
-//! Tests of concurrent changes, lost replies and the order of versions.
+//! Tests of concurrent changes of the configuration, lost replies and the order of versions.
 
 use super::*;
 use crate::lease::WriteOutcome;
 use crate::standin::table::Table;
 use crate::table::{Call, Outcome};
 
+/// Returns a change of one entry, under the condition that the entry has the version `expect`.
 fn row(id: &str, expect: Option<u64>, value: &str) -> ChangeRow {
     let edit = Edit {
         key: "service/stock".into(),
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn an_outage_is_not_reached_before_the_commit_and_unknown_after_it() {
+fn an_outage_counts_as_not_reached_before_the_commit_and_as_unknown_after_it() {
     let (mut a, _) = ConfigTransaction::new(row("a", None, VALUE));
     assert_eq!(
         a.advance(Outcome::Failed),
--- a/src/cordons/tests.rs
+++ b/src/cordons/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the known cordons with changes that arrive in any order.
+//! Tests of the list of cordoned halls, whose changes and reads arrive in any order.
 
 use super::{CordonChange, Cordons, Halls};
 
@@ -60,7 +60,7 @@
 
 quickcheck::quickcheck! {
     /// The newest change of each hall counts in whichever order changes arrive.
-    fn the_newest_change_counts(entries: Vec<(u8, bool)>, turn: usize) -> bool {
+    fn the_newest_change_counts(entries: Vec<(u8, bool)>, shift: usize) -> bool {
         let mut changes: Vec<CordonChange> = entries
             .iter()
             .enumerate()
@@ -73,7 +73,7 @@
             in_order.apply_change(change);
         }
         let count = changes.len().max(1);
-        changes.rotate_left(turn % count);
+        changes.rotate_left(shift % count);
         for change in changes {
             rotated.apply_change(change);
         }
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -17,6 +17,7 @@
 use crate::sched::spec::{JobSpec, StepSpec};
 use crate::table::{Row, encode};
 
+/// Returns a row of the store with a key and a value.
 fn row(key: &str, value: bytes::Bytes) -> Row {
     Row {
         key: key.into(),
@@ -55,12 +56,12 @@
         row("alone", state),
     ];
     let stored = decode_jobs(&specs, &rows);
-    let ids: Vec<&str> = stored.jobs.iter().map(|k| &*k.id).collect();
+    let ids: Vec<&str> = stored.jobs.iter().map(|job| &*job.id).collect();
     assert_eq!(ids, ["good"]);
     assert_eq!(stored.unreadable, ["torn".into(), "alone".into()]);
 }
 
-/// Returns the row of an owner of an epoch.
+/// Returns the owner row of a box that serves under an epoch.
 fn owner_row(epoch: u64) -> OwnerRow {
     OwnerRow {
         name: "a".into(),
@@ -172,7 +173,7 @@
 }
 
 /// Returns the state of a box without a configuration.
-fn shared() -> Shared {
+fn shared_state() -> Shared {
     let text = "[box]\nname = \"b\"\nhall = \"h1\"\nweb = \"127.0.0.1:1\"\n\
         admin = \"127.0.0.1:2\"\nrpc = \"127.0.0.1:3\"\n[platform]\nstore = \"127.0.0.1:4\"\n";
     let settings = daemon::parse("b.toml", text).expect("settings");
@@ -185,23 +186,23 @@
 /// ping has aborted the load, and a box that the store refuses could not find that owner again.
 #[test]
 fn a_box_whose_load_fails_keeps_a_later_owner_that_it_was_told_of() {
-    let shared = shared();
-    let seen = |epoch| KnownOwner {
+    let shared = shared_state();
+    let known_owner = |epoch| KnownOwner {
         row: owner_row(epoch),
         version: epoch,
         progress: OwnerProgress { at: 0, pages: None },
     };
-    let known = || shared.owner().map(|s| s.row.epoch);
-    shared.set_owner(Some(seen(6)));
+    let known_epoch = || shared.owner().map(|s| s.row.epoch);
+    shared.set_owner(Some(known_owner(6)));
     shared.forget_owner(7);
     assert_eq!(
-        known(),
+        known_epoch(),
         None,
         "an owner before its own epoch is read anew from the store"
     );
-    shared.set_owner(Some(seen(8)));
+    shared.set_owner(Some(known_owner(8)));
     shared.forget_owner(7);
-    assert_eq!(known(), Some(8), "the later owner stays known");
+    assert_eq!(known_epoch(), Some(8), "the later owner stays known");
 }
 
 #[test]
@@ -218,11 +219,14 @@
     returned.sort();
     returned.dedup();
     let expected: Vec<_> = [3, 4, 6, 7, 8, 9, 10].map(address).into();
-    assert_eq!(returned, expected, "all but the excepted address");
+    assert_eq!(
+        returned, expected,
+        "the latest eight without the excluded address"
+    );
     addresses.add_reply(&[], 1_000);
     assert!(
         addresses.needs_refresh(1_000),
-        "an empty reply names no address"
+        "an empty reply does not count as a refresh"
     );
     addresses.add_reply(&[address(1)], 1_000);
     assert!(!addresses.needs_refresh(5_999));
--- a/src/dedup/tests.rs
+++ b/src/dedup/tests.rs
@@ -36,9 +36,9 @@
         shard.admit(5_005, &"a".into(), 5_010, 0),
         Admission::PredatesOwner
     );
-    let sole_send = shard.admit(5_005, &"a".into(), 5_010, 5_015);
+    let sent_once = shard.admit(5_005, &"a".into(), 5_010, 5_015);
     assert_eq!(
-        sole_send,
+        sent_once,
         Admission::Admitted,
         "the caller promised to send it only once"
     );
--- a/src/explain/tests.rs
+++ b/src/explain/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of finding a job's history in log lines.
+//! Tests of finding the events of a job in log lines.
 
 use super::find_events;
 
--- a/src/load/tests.rs
+++ b/src/load/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the results of a load.
+//! Tests of the report of the load generator.
 
 use super::*;
 
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the names and the order of metrics in the text.
+//! Tests of the names and the order of metrics in the text of `/metrics`.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 /// Bytes of a reply that every collector keeps.
 const COLLECTED_BYTES: usize = 3_500;
-/// Metrics about the owner and its health.
+/// Metrics about the owner and its health, which precede the histograms.
 const OWNER_METRICS: [&str; 26] = [
     "owner_epoch",
     "followed_epoch",
@@ -46,7 +46,7 @@
 #[test]
 fn owner_metrics_come_within_the_bytes_that_collectors_keep() {
     let metrics = Metrics::new();
-    // Values as long as they get in practice.
+    // Values with as many digits as they have in practice.
     for gauge in [
         &metrics.unconfirmed_time,
         &metrics.jobs,
@@ -100,13 +100,13 @@
         .lines()
         .filter_map(|l| l.strip_prefix("# TYPE willowpoint_"));
     let named = types.filter_map(|l| l.split_once(' '));
-    let first = named.take_while(|(_, kind)| *kind != "histogram");
-    let names: BTreeSet<&str> = first.map(|(name, _)| name).collect();
+    let before_histograms = named.take_while(|(_, kind)| *kind != "histogram");
+    let names: BTreeSet<&str> = before_histograms.map(|(name, _)| name).collect();
     assert_eq!(names, documented_names());
     assert_eq!(
         names.len(),
         OWNER_METRICS.len(),
-        "the first test checks all of them"
+        "OWNER_METRICS lists every documented metric"
     );
 }
 
--- a/src/options/tests.rs
+++ b/src/options/tests.rs
@@ -30,13 +30,16 @@
                 rpc = \"127.0.0.1:9\"\nadmin = \"127.0.0.1:9\"\n\
                 [lease]\nlenght = \"10s\"\nmargin = 5\n";
     let findings = parse("b.toml", text).expect_err("findings");
-    let got: Vec<_> = findings.iter().map(|f| (f.line, f.key.as_str())).collect();
-    assert!(got.contains(&(2, "box.name")), "{got:?}");
-    assert!(got.contains(&(4, "box.web")), "{got:?}");
-    assert!(got.contains(&(6, "box.admin")), "{got:?}");
-    assert!(got.contains(&(8, "lease.lenght")), "{got:?}");
-    assert!(got.contains(&(9, "lease.margin")), "{got:?}");
-    assert!(got.iter().any(|(_, key)| *key == "platform.rpc"), "{got:?}");
+    let found: Vec<_> = findings.iter().map(|f| (f.line, f.key.as_str())).collect();
+    assert!(found.contains(&(2, "box.name")), "{found:?}");
+    assert!(found.contains(&(4, "box.web")), "{found:?}");
+    assert!(found.contains(&(6, "box.admin")), "{found:?}");
+    assert!(found.contains(&(8, "lease.lenght")), "{found:?}");
+    assert!(found.contains(&(9, "lease.margin")), "{found:?}");
+    assert!(
+        found.iter().any(|(_, key)| *key == "platform.rpc"),
+        "{found:?}"
+    );
     let typo = findings.iter().find(|f| f.key == "lease.lenght").unwrap();
     assert_eq!(typo.hint, "did you mean `lease.length`?");
 }
@@ -60,7 +63,7 @@
 }
 
 /// Settings of the `serve` daemon.
-const PLATFORM: &str = r#"
+const SERVE: &str = r#"
 [box]
 name = "e1"
 hall = "leon-1"
@@ -72,7 +75,8 @@
 store = "10.0.9.1:8000"
 "#;
 
-/// Fills in the placeholders of the template in `deploy/` as the platform does.
+/// Fills in the placeholders of the template in `deploy/` as the platform does. Without an
+/// advisor, the optional sections are left out.
 fn fill_template(advisor: &str) -> String {
     let template = include_str!("../../deploy/settings.toml");
     let values = [
@@ -92,11 +96,11 @@
         ("bounds.harm_ms", "4500"),
         ("advice", advisor),
     ];
-    let section = |text: &str, name: &str, given: bool| {
+    let section = |text: &str, name: &str, is_given: bool| {
         let (open, close) = (format!("{{{{#{name}}}}}"), format!("{{{{/{name}}}}}"));
         let (before, rest) = text.split_once(&open).expect("a section");
         let (inner, after) = rest.split_once(&close).expect("its end");
-        format!("{before}{}{after}", if given { inner } else { "" })
+        format!("{before}{}{after}", if is_given { inner } else { "" })
     };
     let text = section(template, "advice", !advisor.is_empty());
     let text = section(&text, "limits.cpuShare", !advisor.is_empty());
@@ -118,8 +122,8 @@
             (&*settings.name, settings.owner.lease_length),
             ("front-1", 4_000)
         );
-        let over = if port.is_some() { 4_500 } else { 4_000 };
-        assert_eq!(settings.owner.max_breach, over);
+        let max_breach = if port.is_some() { 4_500 } else { 4_000 };
+        assert_eq!(settings.owner.max_breach, max_breach);
         assert_eq!(settings.cores, if port.is_some() { 250 } else { 1_000 });
         assert_eq!(
             settings.idle_connections,
@@ -130,28 +134,28 @@
 
 #[test]
 fn all_findings_of_the_serve_daemon_are_reported() {
-    let text = PLATFORM
+    let text = SERVE
         .replace("10.0.0.1:8003", "10.0.0.1:8002")
         .replace("10.0.9.1", "0.0.0.0")
         + "grace = \"1s\"\n[workers]\nunconfirmed = \"1s\"\nleese = \"2s\"\n";
     let findings = daemon::parse("c.toml", &text).expect_err("findings");
     let keys: Vec<&str> = findings.iter().map(|f| f.key.as_str()).collect();
-    let wrong = [
+    let expected = [
         "box.admin",
         "platform.store",
         "platform.grace",
         "workers.unconfirmed",
         "workers.leese",
     ];
-    for key in wrong {
-        assert!(keys.contains(&key), "{key} in {keys:?}");
+    for key in expected {
+        assert!(keys.contains(&key), "{key} missing in {keys:?}");
     }
-    assert!(daemon::parse("c.toml", PLATFORM).is_ok());
+    assert!(daemon::parse("c.toml", SERVE).is_ok());
 }
 
 #[test]
 fn cores_and_mechanisms_are_read_and_checked() {
-    let text = PLATFORM.replace("hall =", "cores = 0.12\nhall =");
+    let text = SERVE.replace("hall =", "cores = 0.12\nhall =");
     let settings = daemon::parse("c.toml", &text).expect("no findings");
     assert_eq!(settings.cores, 120);
     assert_eq!(settings.owner.mechanisms, Mechanisms::ON);
@@ -170,12 +174,12 @@
         .iter()
         .chain(&["mechanisms.pace", "mechanisms.speed"])
     {
-        assert!(keys.contains(key), "{key} in {keys:?}");
+        assert!(keys.contains(key), "{key} missing in {keys:?}");
     }
 }
 
-/// Prints the help of a command and of all its subcommands; returns how many were printed.
-fn count_helps(path: &mut Vec<String>) -> usize {
+/// Asserts that a command and all its subcommands have a help text; returns their number.
+fn count_help_texts(path: &mut Vec<String>) -> usize {
     let mut words = path.clone();
     words.push("--help".into());
     let failure = args::command().run_inner(bpaf::Args::from(&words[..]));
@@ -189,7 +193,7 @@
     let mut count = 1;
     for name in names {
         path.push(name.into());
-        count += count_helps(path);
+        count += count_help_texts(path);
         path.pop();
     }
     count
@@ -197,7 +201,7 @@
 
 #[test]
 fn every_command_has_a_help() {
-    assert!(count_helps(&mut Vec::new()) > 25);
+    assert!(count_help_texts(&mut Vec::new()) > 25);
 }
 
 #[test]
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -38,6 +38,7 @@
     }
 }
 
+/// Returns the reply to a request that is refused.
 fn refused(method: Method, path: &str, body: &str) -> Reply {
     let request = request(method, path, body);
     *ingress::parse_request(&request, &queues()).expect_err("refused")
@@ -121,8 +122,8 @@
     assert_eq!(post("/q/5c0e7a21d94b36f8", "{"), StatusCode::BAD_REQUEST);
     let long = format!("{{\"spec\":\"{}\",\"steps\":[]}}", "x".repeat(4_001));
     assert_eq!(post("/q/5c0e7a21d94b36f8", &long), StatusCode::BAD_REQUEST);
-    let put = refused(Method::PUT, "/q/5c0e7a21d94b36f8", "");
-    assert_eq!(put.status, StatusCode::METHOD_NOT_ALLOWED);
+    let put_reply = refused(Method::PUT, "/q/5c0e7a21d94b36f8", "");
+    assert_eq!(put_reply.status, StatusCode::METHOD_NOT_ALLOWED);
 }
 
 #[test]
@@ -130,8 +131,8 @@
     let refused = ingress::to_reply(&Answer::Refused(500));
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(refused.headers[http::header::RETRY_AFTER], "1");
-    let doubt = ingress::to_reply(&Answer::InDoubt);
-    assert_eq!(doubt.status, StatusCode::GATEWAY_TIMEOUT);
+    let in_doubt = ingress::to_reply(&Answer::InDoubt);
+    assert_eq!(in_doubt.status, StatusCode::GATEWAY_TIMEOUT);
     assert_eq!(ingress::to_reply(&Answer::Unknown).status, StatusCode::GONE);
     assert_eq!(
         ingress::to_reply(&Answer::Waiting(12)).body,
@@ -141,6 +142,7 @@
 
 const ENTRY: &str = r#"{"service":"s1","address":"10.1.0.9:80","zone":"z","version":"v1","slots":8,"state":"draining","remainingMs":900,"capacity":{"cpu":16000,"memMb":100},"labels":["a","r1-3"],"seq":4}"#;
 
+/// Decodes a page of the directory with these rows, after a deleted entry.
 fn entries(rows: Vec<Row>) -> Vec<(Name, DirectoryEntry)> {
     let page = Page {
         rows,
@@ -225,12 +227,12 @@
 
 #[test]
 fn the_boot_time_in_an_entry_is_optional() {
-    for (start, born) in [
+    for (prefix, born) in [
         ("", None),
         ("\"born\":7,", Some(7)),
         ("\"born\":null,", None),
     ] {
-        let text = ENTRY.replacen('{', &format!("{{{start}"), 1);
+        let text = ENTRY.replacen('{', &format!("{{{prefix}"), 1);
         let entries = entries(vec![row("i-0", &text)]);
         let DirectoryEntry::Listed(listing) = &entries[1].1 else {
             panic!("{text}: {entries:?}");
@@ -240,15 +242,15 @@
 }
 
 #[test]
-fn a_service_without_a_queue_still_counts_as_named() {
-    let named = CONFIG.replacen("{\"name\":\"s1\"}", "{\"name\":\"s3\"}", 1);
-    let queues = config::decode_queues(&row(config::KEY, &named)).expect("decodes");
+fn a_configured_service_without_a_queue_is_known() {
+    let config = CONFIG.replacen("{\"name\":\"s1\"}", "{\"name\":\"s3\"}", 1);
+    let queues = config::decode_queues(&row(config::KEY, &config)).expect("decodes");
     assert!(["s1", "s2", "s3"].iter().all(|s| queues.has_service(s)));
     assert!(!queues.has_service("s4"));
 }
 
 quickcheck::quickcheck! {
-    /// Arbitrary bytes in place of an entry decode as unusable and hide no other entry.
+    /// Arbitrary bytes or a truncated entry decode as unusable and hide no other entry.
     fn arbitrary_bytes_are_unusable_and_hide_no_other_entry(bytes: Vec<u8>, length: usize) -> bool {
         let cut = ENTRY.as_bytes()[..length % ENTRY.len()].to_vec();
         let value = |bytes: Vec<u8>| Row { value: bytes.into(), ..row("i-1", "") };
--- a/src/request/tests.rs
+++ b/src/request/tests.rs
@@ -1,4 +1,4 @@
-//! Tests for parsing request headers.
+//! Tests of parsing request headers.
 
 use super::*;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn reports_all_invalid_headers_at_once() {
+fn all_invalid_headers_are_reported_at_once() {
     let headers = headers(&[
         (constants::SERVICE, "no name"),
         (constants::CLASS, "quick"),
@@ -27,7 +27,7 @@
         (constants::DEADLINE, "-1"),
     ]);
     let errors = parse(&headers, &Policy::default()).expect_err("invalid headers");
-    let names: Vec<_> = errors.iter().map(|f| f.header).collect();
+    let names: Vec<_> = errors.iter().map(|error| error.header).collect();
     let expected = [
         constants::SERVICE,
         constants::ID,
--- a/src/route/tests.rs
+++ b/src/route/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+/// Returns the reported load of a cell.
 fn load(cell: &str, epoch: u64, free_slots: u32) -> CellLoad {
     CellLoad {
         cell: cell.into(),
@@ -27,8 +28,8 @@
         vec![load("h/1", 1, 2), load("h/2", 1, 4)],
     );
     let chosen: Vec<Name> = (0..6).filter_map(|_| router.choose(&[])).collect();
-    let second = chosen.iter().filter(|c| &***c == "h/2").count();
-    assert_eq!(second, 4, "{chosen:?}");
+    let second_cell_count = chosen.iter().filter(|c| &***c == "h/2").count();
+    assert_eq!(second_cell_count, 4, "{chosen:?}");
 }
 
 #[test]
--- a/src/rpc/tests.rs
+++ b/src/rpc/tests.rs
@@ -1,4 +1,4 @@
-//! Tests for gRPC calls that fail.
+//! Tests of gRPC calls to draining and to silent servers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -33,23 +33,23 @@
 }
 
 #[test]
-fn draining_server_answers_received_calls_and_disclaims_later_ones() {
-    let run = async {
+fn a_draining_server_answers_received_calls_and_proves_that_later_ones_did_not_run() {
+    let test = async {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let channel = Channel::new(listener.local_addr().unwrap());
         let (trigger, drain) = Drain::new();
         let calls = Rc::new(Cell::new(0));
         let late_calls = Cell::new(0);
-        let (arrived_sender, arrived) = oneshot::channel::<()>();
+        let (arrival_sender, arrived) = oneshot::channel::<()>();
         let (release, released) = oneshot::channel::<()>();
-        let gates = Rc::new(Cell::new(Some((arrived_sender, released))));
+        let gates = Rc::new(Cell::new(Some((arrival_sender, released))));
         let counted = calls.clone();
         monoio::spawn(server::serve(listener, drain, move |_| {
             let (gates, calls) = (gates.clone(), counted.clone());
             async move {
                 calls.set(calls.get() + 1);
-                if let Some((arrived_sender, released)) = gates.take() {
-                    arrived_sender.send(()).unwrap();
+                if let Some((arrival_sender, released)) = gates.take() {
+                    arrival_sender.send(()).unwrap();
                     released.await.unwrap();
                 }
                 server::unimplemented()
@@ -71,7 +71,7 @@
         assert!(was_run(&first), "{first:?}");
         assert_eq!(calls.get(), 1 + late_calls.get());
     };
-    block_on(run).unwrap();
+    block_on(test).unwrap();
 }
 
 /// Accepts connections on a thread and never answers; returns the address.
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn unanswered_call_on_an_open_connection_is_counted() {
+fn an_unanswered_call_on_an_open_connection_is_counted() {
     let channel = Channel::new(silent_server());
     let metrics = metrics::get();
     let count = || {
--- a/src/utils/tests.rs
+++ b/src/utils/tests.rs
@@ -45,11 +45,11 @@
 
 #[test]
 fn bind_waits_for_an_address_in_use() {
-    let held = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = held.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("an address");
     let holder = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(200));
-        drop(held);
+        drop(listener);
     });
     let bound = block_on(async { listen::bind(address).map(drop) });
     holder.join().expect("the holder ends");
@@ -58,8 +58,8 @@
 
 #[test]
 fn bind_fails_for_an_address_that_stays_in_use() {
-    let held = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = held.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("an address");
     let bound = block_on(async { listen::bind(address).map(drop) });
     let text = format!("{:#}", bound.expect("a runtime").expect_err("in use"));
     assert!(text.contains("cannot listen on 127.0.0.1"), "{text}");
@@ -86,12 +86,13 @@
     assert_eq!(peak.recent(), 3);
 }
 
-/// Number of listeners that are closed one after the other, and of callers that keep connecting to
-/// each. These are enough to see resets if a listener is closed that still accepts connections.
+/// Number of listeners that are closed one after the other. Together with `CALLERS`, it is large
+/// enough to show resets if a listener is closed while it still accepts connections.
 const LISTENERS: usize = 300;
+/// Number of callers that keep connecting to each listener.
 const CALLERS: usize = 4;
 /// Time for which a listener accepts connections before it is closed.
-const OPEN: Duration = Duration::from_millis(5);
+const OPEN_TIME: Duration = Duration::from_millis(5);
 /// Longest wait for an answer, in seconds.
 const ANSWER_TIMEOUT: u64 = 60;
 
@@ -99,11 +100,11 @@
 /// established but not answered.
 fn start_caller(address: SocketAddr) -> JoinHandle<usize> {
     std::thread::spawn(move || {
-        let mut lost = 0;
+        let mut unanswered = 0;
         loop {
             match TcpStream::connect(address) {
-                Ok(stream) => lost += usize::from(!is_answered(stream)),
-                Err(e) if e.kind() == ErrorKind::ConnectionRefused => return lost,
+                Ok(stream) => unanswered += usize::from(!is_answered(stream)),
+                Err(e) if e.kind() == ErrorKind::ConnectionRefused => return unanswered,
                 // Reset before it was established: nothing was sent, as with a refusal.
                 Err(e) => assert_eq!(e.kind(), ErrorKind::ConnectionReset),
             }
@@ -128,8 +129,13 @@
 /// Returns an address of its own for each listener, so that a caller that connects after the
 /// listener was closed is refused.
 fn listener_address(number: usize) -> SocketAddr {
-    let run = 64 + (std::process::id() % 64) as u8;
-    let host = [127, run, (number / 250) as u8, (number % 250 + 1) as u8];
+    let test_run = 64 + (std::process::id() % 64) as u8;
+    let host = [
+        127,
+        test_run,
+        (number / 250) as u8,
+        (number % 250 + 1) as u8,
+    ];
     SocketAddr::from((host, 0))
 }
 
@@ -143,7 +149,7 @@
         listen::accept_all(listener, &drain, serve).await;
     });
     let callers = (0..CALLERS).map(|_| start_caller(address)).collect();
-    monoio::time::sleep(OPEN).await;
+    monoio::time::sleep(OPEN_TIME).await;
     assert!(
         trigger.finish(ANSWER_TIMEOUT * 1_000).await,
         "the shutdown completes"
@@ -153,16 +159,20 @@
 
 #[test]
 fn closing_a_listener_resets_no_connection() {
-    let all = async {
+    let test = async {
         let mut callers = Vec::new();
         for number in 0..LISTENERS {
             callers.extend(open_and_close(number).await);
         }
         callers
     };
-    let callers = block_on(all).expect("a runtime");
-    let lost = callers
+    let callers = block_on(test).expect("a runtime");
+    let unanswered = callers
         .into_iter()
         .map(|c| c.join().expect("a caller ends"));
-    assert_eq!(lost.sum::<usize>(), 0, "connections were not answered");
+    assert_eq!(
+        unanswered.sum::<usize>(),
+        0,
+        "connections were not answered"
+    );
 }
--- a/src/web/tests.rs
+++ b/src/web/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of body lengths and of the connection pool.
+//! Tests of the body length of HTTP messages and of the pool of connections.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -19,10 +19,10 @@
 
 #[test]
 fn ambiguous_lengths_are_refused() {
-    let twice = headers(&[("content-length", "3"), ("content-length", "4")]);
-    assert!(content_length(&twice).is_err());
-    let both = headers(&[("content-length", "3"), ("transfer-encoding", "chunked")]);
-    assert!(content_length(&both).is_err());
+    let two_lengths = headers(&[("content-length", "3"), ("content-length", "4")]);
+    assert!(content_length(&two_lengths).is_err());
+    let length_and_encoding = headers(&[("content-length", "3"), ("transfer-encoding", "chunked")]);
+    assert!(content_length(&length_and_encoding).is_err());
     assert!(content_length(&headers(&[("content-length", "+3")])).is_err());
     assert_eq!(
         content_length(&headers(&[("content-length", "3")])).unwrap(),
@@ -41,21 +41,22 @@
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            std::thread::spawn(move || serve_some(stream, replies));
+            std::thread::spawn(move || answer_first(stream, replies));
         }
     });
     address
 }
 
-fn serve_some(mut stream: std::net::TcpStream, replies: usize) {
+/// Answers the first `replies` requests of a connection and only reads the others.
+fn answer_first(mut stream: std::net::TcpStream, replies: usize) {
     let mut buffer = [0; 1_024];
-    let mut served = 0;
+    let mut received = 0;
     while stream.read(&mut buffer).is_ok_and(|n| n > 0) {
-        if served < replies {
+        if received < replies {
             let reply = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
             stream.write_all(reply).unwrap();
         }
-        served += 1;
+        received += 1;
     }
 }
 
@@ -81,8 +82,8 @@
     let before = count();
     let call = async |limit| pool.call(address, request(), limit, || true).await;
     crate::program::block_on(async {
-        let (one, two) = futures::join!(call(REPLY_TIMEOUT), call(REPLY_TIMEOUT));
-        assert!(one.is_ok() && two.is_ok(), "both connections are idle");
+        let (first, second) = futures::join!(call(REPLY_TIMEOUT), call(REPLY_TIMEOUT));
+        assert!(first.is_ok() && second.is_ok(), "both connections are idle");
         assert!(matches!(call(100).await, Err(WebError::Lost(_))));
         assert!(count() > before, "the unanswered call is counted");
         assert!(
@@ -118,7 +119,7 @@
 
 #[test]
 fn idle_connections_above_the_limit_are_closed_except_one_per_address() {
-    let (one, two) = (answering_server(), answering_server());
+    let (first, second) = (answering_server(), answering_server());
     let request = || Request {
         method: http::Method::GET,
         uri: "/".parse().unwrap(),
@@ -128,23 +129,23 @@
     let pool = Pool::new(1 << 10).with_max_idle(3);
     let call = async |address| pool.call(address, request(), REPLY_TIMEOUT, || true).await;
     crate::program::block_on(async {
-        let calls = futures::future::join_all((0..8).map(|_| call(one)));
+        let calls = futures::future::join_all((0..8).map(|_| call(first)));
         assert!(calls.await.iter().all(Result::is_ok));
         assert_eq!(pool.idle_count(), 3);
-        let calls = futures::future::join_all((0..8).map(|_| call(two)));
+        let calls = futures::future::join_all((0..8).map(|_| call(second)));
         assert!(calls.await.iter().all(Result::is_ok));
         assert_eq!(
             pool.idle_count(),
             4,
             "one connection to the second address is kept"
         );
-        assert!(call(one).await.is_ok() && call(two).await.is_ok());
+        assert!(call(first).await.is_ok() && call(second).await.is_ok());
         assert_eq!(
             pool.idle_count(),
             3,
             "connections above the limit are closed after their next use"
         );
-        pool.close_idle(one);
+        pool.close_idle(first);
         assert_eq!(pool.idle_count(), 1);
     })
     .unwrap();
