--- a/tests/platform/cordon.rs
+++ b/tests/platform/cordon.rs
@@ -1,4 +1,4 @@
-//! Tests cordoned halls while owners end, the store forgets its history and refuses calls.
+//! Tests cordoned halls while owners end and the store forgets its history or refuses calls.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 /// Key of the row that cordons the hall of the second worker.
 const CORDON_KEY: &str = "evacuate/h2";
 
-/// Starts two workers in two halls, and boxes that know both.
+/// Starts `boxes` boxes and two workers in different halls, and waits until both run tasks.
 fn two_halls(boxes: usize) -> Deployment {
     let deployment = Deployment::start(boxes, 2, SHORT_DURATION);
     deployment.workers[1].move_to_hall("h2");
@@ -31,7 +31,7 @@
     }
 }
 
-/// Waits until these boxes know `halls` cordoned halls.
+/// Waits until each of these boxes reports `halls` cordoned halls.
 fn wait_cordoned(deployment: &Deployment, boxes: std::ops::Range<usize>, halls: u64) {
     for number in boxes {
         wait_for("the change of the cordons", || {
--- a/tests/platform/deployment.rs
+++ b/tests/platform/deployment.rs
@@ -23,13 +23,15 @@
 };
 use super::worker::{Record, Worker};
 
-/// Host and path of the configured queue.
+/// Host of the configured queue.
 pub const HOST: &str = "shop.example";
+/// Path of the configured queue.
 pub const PATH: &str = "/holds/";
 /// Service that runs the queue's tasks.
 const SERVICE: &str = "stock";
 /// Number of log lines of each box that a failure prints.
 const PRINTED_LINES: usize = 40;
+/// Limits of the servers of the stand-ins.
 const LIMITS: Limits = Limits {
     head: 16 << 10,
     body: 1 << 20,
@@ -79,8 +81,9 @@
 }
 
 impl Deployment {
-    /// Starts boxes and workers, whose tasks run for `span`, and waits until all boxes are ready.
-    pub fn start(boxes: usize, workers: usize, span: Duration) -> Self {
+    /// Starts boxes and workers, whose runs last for `duration`, and waits until all boxes are
+    /// ready.
+    pub fn start(boxes: usize, workers: usize, duration: Duration) -> Self {
         let store = Store::default();
         let record: Arc<Mutex<Record>> = Arc::default();
         let served = store.clone();
@@ -92,7 +95,7 @@
         ));
         std::fs::create_dir_all(&folder).expect("the folder for output can be created");
         let silenced_at: Arc<Mutex<Option<Instant>>> = Arc::default();
-        let shared_silence = silenced_at.clone();
+        let shared_silenced_at = silenced_at.clone();
         let mut deployment = Self {
             store,
             record,
@@ -106,7 +109,7 @@
         };
         for number in 0..boxes {
             let (silenced_at, disconnected) =
-                (shared_silence.clone(), deployment.disconnected.clone());
+                (shared_silenced_at.clone(), deployment.disconnected.clone());
             let proxy = proxy::start(store_address, move |_, opened| {
                 let silenced = *silenced_at.lock().expect("the lock is not poisoned");
                 let disconnected = disconnected
@@ -119,7 +122,7 @@
         }
         deployment.configure(1, &[PATH]);
         for number in 0..workers {
-            deployment.add_worker(&format!("i-{number}"), span);
+            deployment.add_worker(&format!("i-{number}"), duration);
         }
         for number in 0..boxes {
             let process = deployment.start_box(number);
@@ -143,8 +146,8 @@
         self.store.put("op", "config", &config);
     }
 
-    fn add_worker(&mut self, id: &str, span: Duration) {
-        let worker = Worker::new(id, span, self.record.clone(), self.store.clone());
+    fn add_worker(&mut self, id: &str, duration: Duration) {
+        let worker = Worker::new(id, duration, self.record.clone(), self.store.clone());
         let served = worker.clone();
         let address = serve_on_thread(move |request| served.clone().handle(request));
         let listing = json!({ "service": SERVICE, "address": address, "zone": "h1",
@@ -296,7 +299,7 @@
         );
     }
 
-    /// Returns the box whose log has the highest epoch of an owner. Waits for an owner, since log
+    /// Returns the owner: the box whose log has the highest epoch. Waits for an owner, since log
     /// lines are written with a delay and boxes are ready before there is an owner.
     pub fn owner(&self) -> usize {
         let mut latest = None;
@@ -342,8 +345,8 @@
         settings.map(|s| s.with_extension("log")).collect()
     }
 
-    /// Prints the last log lines of all boxes and the folder of the complete logs, which are all
-    /// there is to diagnose a failure that does not recur.
+    /// Prints the last log lines of all boxes and the folder of the complete logs. A failure that
+    /// does not recur can be diagnosed from these only.
     fn print_output(&self) {
         println!(
             "the output of the boxes is kept in {}",
--- a/tests/platform/faults.rs
+++ b/tests/platform/faults.rs
@@ -1,5 +1,5 @@
-//! Tests crashes of workers by a task, changes of their capacity, restarts under the same id, and
-//! a loss of power of all boxes.
+//! Tests workers that a task crashes, that change their capacity or that restart under their id,
+//! and a loss of power of all boxes.
 
 use std::time::Duration;
 
@@ -46,13 +46,13 @@
         deployment.output(0).contains("worker=i-0 event=room")
     });
     deployment.submit_until_accepted("00000000000000d0", 2);
-    let mut most = 0;
+    let mut max_running = 0;
     let done = eventually(|| {
-        most = most.max(deployment.record().running.len());
+        max_running = max_running.max(deployment.record().running.len());
         deployment.state(0, "00000000000000d0") == "completed"
     });
     assert!(done, "{}", deployment.output(0));
-    assert_eq!(most, 1, "only one task fits at a time");
+    assert_eq!(max_running, 1, "only one task fits at a time");
     worker.resize(4_000);
     deployment.submit_until_accepted("00000000000000d1", 4);
     wait_for("all tasks of a step at the same time", || {
@@ -61,7 +61,7 @@
 }
 
 /// Workers restart under their ids while they run tasks, and number their completions from 1 again.
-/// Their directory entries change at once or after a while.
+/// Their directory entries change at once or a second later.
 #[test]
 fn completions_of_restarted_workers_are_accepted() {
     let deployment = Deployment::start(2, 3, TASK_DURATION);
@@ -71,23 +71,23 @@
     for number in 0..6 {
         deployment.wait_completed(&format!("00000000000000e{number}"));
     }
-    for (wave, late) in [(0, 0), (1, 1_000), (2, 0)] {
+    for (wave, delay) in [(0, 0), (1, 1_000), (2, 0)] {
         for number in 0..4 {
             deployment.submit_until_accepted(&format!("0000000000000f{wave}{number}"), 4);
         }
         for worker in &deployment.workers {
             worker.restart();
         }
-        std::thread::sleep(Duration::from_millis(late));
+        std::thread::sleep(Duration::from_millis(delay));
         deployment.workers.iter().for_each(Worker::register_again);
         for number in 0..4 {
             deployment.wait_completed(&format!("0000000000000f{wave}{number}"));
         }
     }
-    let doubled = deployment.record().duplicates.clone();
+    let duplicates = deployment.record().duplicates.clone();
     assert!(
-        doubled.is_empty(),
-        "{doubled:?}; {}",
+        duplicates.is_empty(),
+        "{duplicates:?}; {}",
         deployment.output(deployment.owner())
     );
     let owner = deployment.owner();
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -2,7 +2,7 @@
 //! workers: takeovers, planned stops and faults of the store.
 
 mod cordon;
-#[allow(dead_code)] // the soak uses more of it than these tests
+#[allow(dead_code)] // the soak tool uses more of this module than these tests
 mod deployment;
 mod faults;
 #[path = "../support/proxy.rs"]
@@ -10,7 +10,7 @@
 mod store;
 #[path = "../support/mod.rs"]
 mod support;
-#[allow(dead_code)] // as above
+#[allow(dead_code)] // the soak tool uses more of this module than these tests
 mod worker;
 
 use std::time::Duration;
@@ -19,9 +19,9 @@
 use store::Behavior;
 use support::wait_for;
 
-/// Default duration of tasks.
+/// Default duration of a run of a task.
 const TASK_DURATION: Duration = Duration::from_millis(300);
-/// Time after which an owner counts as settled: longer than any box lets another one load.
+/// Time after which an owner counts as settled: longer than any box lets another box load.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 /// Delay of each answer of a slow store.
 const STORE_DELAY: Duration = Duration::from_millis(300);
@@ -56,8 +56,8 @@
     wait_for("a refusal", || {
         number += 1;
         let (status, text) = deployment.submit(0, &format!("ffff{number:012x}"), 1);
-        let has_retry = text.to_ascii_lowercase().contains("retry-after");
-        status == 503 && has_retry
+        let has_retry_time = text.to_ascii_lowercase().contains("retry-after");
+        status == 503 && has_retry_time
     });
 }
 
@@ -165,10 +165,10 @@
     let mut deployment = Deployment::start(2, 2, LONG_DURATION);
     deployment.submit_until_accepted("00000000000000bb", 2);
     let owner = deployment.owner();
-    let open = deployment.connect(owner);
+    let connection = deployment.connect(owner);
     deployment.signal(owner, libc::SIGTERM);
     wait_for("another owner", || deployment.owner() != owner);
-    let answer = show_job_on(open, "00000000000000bb");
+    let answer = show_job_on(connection, "00000000000000bb");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert_eq!(deployment.wait_end(owner), Some(0));
     deployment.wait_completed("00000000000000bb");
@@ -192,12 +192,12 @@
     wait_for("another owner", || deployment.owner() != owner);
     for number in 0..3 {
         let text = deployment.output(number);
-        let is_failover = |l: &&str| {
+        let shows_failed_load = |l: &&str| {
             ["event=owner-loads", "cause=Stuck"]
                 .iter()
                 .any(|e| l.contains(e))
         };
-        let found = text.lines().find(is_failover);
+        let found = text.lines().find(shows_failed_load);
         assert_eq!(found, None, "box {number}");
     }
 }
@@ -219,8 +219,8 @@
     deployment.submit_until_accepted("00000000000000b1", 1);
     deployment.wait_completed("00000000000000b1");
     let outputs: String = (0..3).map(|n| deployment.output(n)).collect();
-    for sign in ["event=replaced-loading", "cause=Unconfirmed", "cause=Stuck"] {
-        assert!(!outputs.contains(sign), "unexpected {sign} in:\n{outputs}");
+    for text in ["event=replaced-loading", "cause=Unconfirmed", "cause=Stuck"] {
+        assert!(!outputs.contains(text), "unexpected {text} in:\n{outputs}");
     }
 }
 
@@ -269,7 +269,7 @@
         deployment.metric(other, "owner_epoch") > Some(epoch)
     });
     for name in ["owner_epoch", "jobs", "workers", "unconfirmed_ms"] {
-        // The owner ends when its last commit is answered; the process may have exited by then.
+        // The term ends when the last commit is answered; the process may have exited by then.
         wait_for(name, || deployment.metric(owner, name).unwrap_or(0) == 0);
     }
     assert_eq!(deployment.wait_end(owner), Some(0));
@@ -303,9 +303,12 @@
     wait_for("running tasks", || deployment.record().running.len() == 2);
     deployment.store.set_behavior(Behavior::Silent);
     wait_refused(&deployment);
-    let asked = std::time::Instant::now();
+    let submitted = std::time::Instant::now();
     assert_eq!(deployment.submit(1, "00000000000000ee", 1).0, 503);
-    assert!(asked.elapsed() < LONG_DURATION, "a refusal is sent at once");
+    assert!(
+        submitted.elapsed() < LONG_DURATION,
+        "a refusal is sent at once"
+    );
     deployment.store.set_behavior(Behavior::Serving);
     deployment.wait_completed("00000000000000dd");
     assert_ran(&deployment, "00000000000000dd", 2);
@@ -392,7 +395,7 @@
 }
 
 /// Connections from the owner and a follower to the store are blocked, so that only the former
-/// owner can tell the follower about the next one.
+/// owner can tell the follower about its successor.
 #[test]
 fn a_box_without_the_store_follows_the_next_owner() {
     let (deployment, owner, follower) = start_followed("00000000000000e0");
@@ -416,7 +419,7 @@
 #[test]
 fn a_box_without_the_store_finds_the_successor_of_a_dead_owner() {
     let (mut deployment, owner, follower) = start_followed("00000000000000e8");
-    wait_for("boxes that know each other", || {
+    wait_for("the boxes to know each other", || {
         let known = |n| deployment.metric(n, "other_boxes") > Some(0);
         (0..3).filter(|n| *n != owner).all(known)
     });
@@ -486,10 +489,10 @@
     deployment.submit_until_accepted("0000000000000002", 2);
     deployment.wait_completed("0000000000000002");
     assert_ran(&deployment, "0000000000000002", 2);
-    let owner = deployment.output(deployment.owner());
-    let found = |line: &&str| line.contains("event=commit-in-doubt number=");
+    let output = deployment.output(deployment.owner());
+    let is_in_doubt = |line: &&str| line.contains("event=commit-in-doubt number=");
     assert!(
-        owner.lines().any(|l| found(&l)),
-        "no commit was looked up over a new connection:\n{owner}"
+        output.lines().any(|l| is_in_doubt(&l)),
+        "no commit was looked up over a new connection:\n{output}"
     );
 }
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -29,6 +29,7 @@
     DroppingReplies,
 }
 
+/// A row, or what is left of a deleted row.
 #[derive(Clone, Debug)]
 struct Row {
     /// Base64 text; `None` for a deleted row.
@@ -36,8 +37,10 @@
     version: u64,
 }
 
+/// Contents of the store and its simulated faults.
 #[derive(Default)]
-struct State {
+struct StoreState {
+    /// Rows by table, part and key.
     rows: BTreeMap<(String, String, String), Row>,
     version: u64,
     /// Feeds cannot deliver changes up to this version any more.
@@ -54,11 +57,11 @@
 /// The store; clones share it.
 #[derive(Clone, Default)]
 pub struct Store {
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<StoreState>>,
 }
 
 impl Store {
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, StoreState> {
         self.state.lock().expect("the lock is not poisoned")
     }
 
@@ -162,7 +165,7 @@
         };
         let mut state = self.state();
         let conditions = entries(&call, "expectedRevision");
-        let version = |state: &State, entry: &Value| {
+        let version = |state: &StoreState, entry: &Value| {
             let row = state.rows.get(&key_of(entry)).filter(|r| r.value.is_some());
             row.map_or(0, |r| r.version)
         };
@@ -193,21 +196,21 @@
 
     fn get(&self, query: &HashMap<String, String>) -> Reply {
         let mut state = self.state();
-        let wanted = |name: &str| query.get(name).cloned().unwrap_or_default();
-        let (table, part, from) = (wanted("table"), wanted("part"), wanted("from"));
+        let parameter = |name: &str| query.get(name).cloned().unwrap_or_default();
+        let (table, part, from) = (parameter("table"), parameter("part"), parameter("from"));
         if state.unreadable_table.as_ref() == Some(&table) {
             return Reply::text(StatusCode::SERVICE_UNAVAILABLE, "");
         }
         *state.page_reads.entry(table.clone()).or_default() += 1;
-        let limit = wanted("limit").parse().unwrap_or(500);
-        let wanted_key = |p: &&(String, String, String)| p.0 == table && p.1 == part && p.2 >= from;
+        let limit = parameter("limit").parse().unwrap_or(500);
+        let is_in_page = |k: &&(String, String, String)| k.0 == table && k.1 == part && k.2 >= from;
         let keys = state.rows.iter().filter(|(_, r)| r.value.is_some());
-        let keys: Vec<_> = keys.map(|(p, _)| p).filter(wanted_key).collect();
+        let keys: Vec<_> = keys.map(|(k, _)| k).filter(is_in_page).collect();
         let more = keys.len() > limit;
         let rows: Vec<Value> = keys
             .iter()
             .take(limit)
-            .map(|p| row_json(&state, p))
+            .map(|k| row_json(&state, k))
             .collect();
         let answer = json!({ "rows": rows, "more": more, "ver": state.version });
         Reply::text(StatusCode::OK, answer.to_string())
@@ -235,33 +238,36 @@
         let changed = state
             .rows
             .iter()
-            .filter(|(p, r)| p.0 == table && r.version > after);
+            .filter(|(k, r)| k.0 == table && r.version > after);
         let mut changed: Vec<_> = changed.collect();
         changed.sort_by_key(|(_, r)| r.version);
         if changed.is_empty() && !last {
             return None;
         }
-        let rows: Vec<Value> = changed.iter().map(|(p, _)| row_json(&state, p)).collect();
+        let rows: Vec<Value> = changed.iter().map(|(k, _)| row_json(&state, k)).collect();
         let answer = json!({ "rows": rows, "ver": state.version });
         Some(Reply::text(StatusCode::OK, answer.to_string()))
     }
 }
 
+/// Returns the entries of a list in a call; none if the list is missing.
 fn entries(call: &Value, name: &str) -> Vec<Value> {
     call[name].as_array().cloned().unwrap_or_default()
 }
 
+/// Returns table, part and key of an entry.
 fn key_of(entry: &Value) -> (String, String, String) {
     let text = |name: &str| entry[name].as_str().unwrap_or_default().to_string();
     (text("table"), text("part"), text("key"))
 }
 
-fn row_json(state: &State, full_key: &(String, String, String)) -> Value {
+/// Returns a row as calls answer it.
+fn row_json(state: &StoreState, full_key: &(String, String, String)) -> Value {
     let (table, part, key) = full_key;
     let row = json!({ "table": table, "part": part, "key": key });
-    let with = |more: Value| {
+    let extended_by = |fields: Value| {
         let mut row = row.clone();
-        let fields = more.as_object().cloned().unwrap_or_default();
+        let fields = fields.as_object().cloned().unwrap_or_default();
         row.as_object_mut()
             .expect("a row is a JSON object")
             .extend(fields);
@@ -271,12 +277,13 @@
         Some(Row {
             value: Some(value),
             version,
-        }) => with(json!({ "value": value, "ver": version })),
-        Some(Row { version, .. }) => with(json!({ "gone": true, "ver": version })),
-        None => with(json!({ "ver": 0 })),
+        }) => extended_by(json!({ "value": value, "ver": version })),
+        Some(Row { version, .. }) => extended_by(json!({ "gone": true, "ver": version })),
+        None => extended_by(json!({ "ver": 0 })),
     }
 }
 
+/// Returns the parameters of a query string.
 fn parse_query(text: &str) -> HashMap<String, String> {
     let pairs = text.split('&').filter_map(|pair| pair.split_once('='));
     pairs
--- a/tests/platform/worker.rs
+++ b/tests/platform/worker.rs
@@ -76,12 +76,14 @@
     }
 }
 
+/// An active run.
 struct Run {
     run: u64,
     ends_at: Instant,
 }
 
-struct State {
+/// State of an incarnation of a worker.
+struct WorkerState {
     started_at: Instant,
     /// Start of the incarnation in milliseconds since the Unix epoch.
     boot: u64,
@@ -95,14 +97,15 @@
     closed_runs: BTreeMap<String, u64>,
     /// Ended runs that the owner has not acknowledged: number, task, run, outcome.
     unacknowledged: Vec<(u64, String, u64, &'static str)>,
+    /// Number of the next completion.
     next_end: u64,
     /// True from a crash until the next incarnation serves.
     down: bool,
 }
 
-impl State {
+impl WorkerState {
     /// Returns the state of a new incarnation.
-    fn begin() -> Self {
+    fn new() -> Self {
         Self {
             started_at: Instant::now(),
             boot: clock::wall(),
@@ -128,7 +131,7 @@
     store: Store,
     /// Duration of each run.
     duration: Duration,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<WorkerState>>,
     record: Arc<Mutex<Record>>,
     /// Number of starts that all incarnations have executed.
     started: Arc<AtomicU64>,
@@ -144,7 +147,7 @@
             listing: Arc::default(),
             store,
             duration,
-            state: Arc::new(Mutex::new(State::begin())),
+            state: Arc::new(Mutex::new(WorkerState::new())),
             record,
             started: Arc::default(),
             order_delay: Arc::default(),
@@ -158,7 +161,7 @@
         *self.listing.lock().expect("the lock is not poisoned") = listing;
     }
 
-    /// Changes the capacity of processors in the directory entry, in thousandths of cores.
+    /// Changes the processors in the directory entry, in thousandths of cores.
     pub fn resize(&self, cpu: u64) {
         let mut listing = self
             .listing
@@ -193,7 +196,7 @@
     async fn crash(&self, task: &str) {
         sleep(CRASH_DELAY).await;
         let old_id = self.id();
-        let lost = std::mem::replace(&mut *self.state(), State::begin());
+        let lost = std::mem::replace(&mut *self.state(), WorkerState::new());
         {
             let mut record = self.record();
             for name in lost.runs.keys() {
@@ -227,7 +230,7 @@
     /// Restarts the worker under its id without its former state. The directory entry does not
     /// change.
     pub fn restart(&self) {
-        let lost = std::mem::replace(&mut *self.state(), State::begin());
+        let lost = std::mem::replace(&mut *self.state(), WorkerState::new());
         let mut record = self.record();
         for name in lost.runs.keys() {
             record.end(name, &lost.shared_lease);
@@ -236,11 +239,11 @@
     }
 
     /// Delays the execution of orders. Their senders may have given up by then.
-    pub fn delay_orders(&self, by: Duration) {
-        *self.order_delay.lock().expect("the lock is not poisoned") = by;
+    pub fn delay_orders(&self, delay: Duration) {
+        *self.order_delay.lock().expect("the lock is not poisoned") = delay;
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, WorkerState> {
         self.state.lock().expect("the lock is not poisoned")
     }
 
@@ -301,11 +304,11 @@
         self.reply_with_clock(StatusCode::CONFLICT, json!({ "reason": reason }))
     }
 
-    /// Refuses an order with a lower epoch, and otherwise takes over the order's epoch and lease.
+    /// Refuses an order with a lower epoch. Otherwise adopts the epoch and the lease of the order.
     fn reject_fenced(&self, call: &Value) -> Option<Reply> {
         let epoch = call["fence"].as_u64().unwrap_or(0);
-        let known = self.state().epoch;
-        if epoch < known {
+        let known_epoch = self.state().epoch;
+        if epoch < known_epoch {
             return Some(self.conflict("fence"));
         }
         let mut state = self.state();
@@ -431,7 +434,7 @@
             return Reply::text(StatusCode::MISDIRECTED_REQUEST, "");
         }
         if self.state().boot != boot {
-            // The incarnation that was polled has ended.
+            // The polled incarnation has ended.
             return Reply::text(StatusCode::SERVICE_UNAVAILABLE, "");
         }
         let state = self.state();
@@ -450,7 +453,7 @@
         self.reply_with_clock(StatusCode::OK, lists)
     }
 
-    /// Removes acknowledged ends.
+    /// Removes the completions that the owner has acknowledged.
     fn acknowledge(&self, last_seen: u64) {
         let mut state = self.state();
         let acknowledged = state
--- a/tests/support/diagnostics.rs
+++ b/tests/support/diagnostics.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// A pause far above `POLL_INTERVAL` shows that the whole machine stalled; a long
-/// observation shows that a connection was accepted but not answered.
+/// A pause far above `POLL_INTERVAL` shows that the whole machine stalled. A long observation shows
+/// that a connection was accepted but not answered.
 impl std::fmt::Display for Observations {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Self {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the tests with real processes: ports, processes, waits and requests.
+//! Helpers of the tests that start real processes: ports, processes, waits and requests.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,8 @@
 
 /// Generous timeout of every wait for a condition.
 pub const TIMEOUT: Duration = Duration::from_secs(60);
-/// First port of all blocks, number of blocks (one per concurrent test run), and ports per block.
+/// First port of all blocks, number of blocks (one for each concurrent test run), and ports per
+/// block.
 const PORT_BLOCKS: (u16, u32, u16) = (12_000, 60, 300);
 /// Time between two checks of a condition that is waited for.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Time between two checks whether a direction is still blocked.
+/// Time between two checks of whether a direction is still blocked.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Size of the buffer of each direction in bytes.
 const BUFFER_SIZE: usize = 16 << 10;
@@ -35,12 +35,16 @@
             };
             let opened = Instant::now();
             let reverse = (clone(&upstream), clone(&stream));
-            let (first, second) = (is_blocked.clone(), is_blocked.clone());
+            let (is_request_blocked, is_reply_blocked) = (is_blocked.clone(), is_blocked.clone());
             std::thread::spawn(move || {
-                forward(stream, upstream, || first(Direction::ToTarget, opened))
+                forward(stream, upstream, || {
+                    is_request_blocked(Direction::ToTarget, opened)
+                })
             });
             std::thread::spawn(move || {
-                forward(reverse.0, reverse.1, || second(Direction::ToClient, opened))
+                forward(reverse.0, reverse.1, || {
+                    is_reply_blocked(Direction::ToClient, opened)
+                })
             });
         }
     });
