--- a/src/cell/tests.rs
+++ b/src/cell/tests.rs
@@ -74,6 +74,7 @@
     }
 }
 
+/// Returns the shard of a job, all of whose tasks are in this cell and wait.
 fn shard(job: &str, tasks: u32, cores: u32) -> VersionedShard {
     let spec = Spec {
         id: job.into(),
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -25,6 +25,7 @@
     VersionedBox { version, row }
 }
 
+/// Has the lease apply a read of these rows, sent and answered at `now`.
 fn read(lease: &mut Lease, now: Millis, rows: &[(u64, BoxRow)]) -> Vec<Action> {
     let rows = rows.iter().map(|(v, r)| versioned(*v, r.clone()));
     lease.apply_read(now, now, Some(rows.collect()))
--- a/src/sched/tests/admission.rs
+++ b/src/sched/tests/admission.rs
@@ -12,7 +12,7 @@
     }
 }
 
-fn refused(world: &World, ticket: u64) -> bool {
+fn is_refused(world: &World, ticket: u64) -> bool {
     matches!(world.answers.get(&ticket), Some(Answer::Refused(_)))
 }
 
@@ -21,7 +21,7 @@
     let mut world = World::new(3);
     let wide = world.submit("wide", job(vec![step(1, 1_000), step(1, 4_001)]));
     let label = world.submit("label", job(vec![labelled("nowhere")]));
-    assert!(refused(&world, wide) && refused(&world, label));
+    assert!(is_refused(&world, wide) && is_refused(&world, label));
     world.run(5_000);
     assert!(world.starts.is_empty(), "a refused job never runs");
 }
@@ -38,7 +38,7 @@
     let wide = world.submit("wide", job(vec![step(1, 8_000)]));
     let label = world.submit("label", job(vec![labelled("fast")]));
     world.run(3_000);
-    assert!(!refused(&world, wide) && !refused(&world, label));
+    assert!(!is_refused(&world, wide) && !is_refused(&world, label));
     assert_eq!(world.starts.len(), 2);
 }
 
@@ -69,11 +69,11 @@
     world.submit("j1", job(vec![step(1, 1_000)]));
     world.run(740);
     let late = world.submit("j2", job(vec![step(1, 1_000)]));
-    assert!(refused(&world, late), "0.8 s after the last commit");
+    assert!(is_refused(&world, late), "0.8 s after the last commit");
     world.store_down = false;
     world.run(1_000);
-    let back = world.submit("j3", job(vec![step(1, 1_000)]));
+    let after_outage = world.submit("j3", job(vec![step(1, 1_000)]));
     world.run(100);
-    assert_eq!(world.answers.get(&back), Some(&Answer::Accepted));
+    assert_eq!(world.answers.get(&after_outage), Some(&Answer::Accepted));
     assert!(world.starts.iter().all(|s| !s.0.starts_with("j2")));
 }
--- a/src/sched/tests/crashes.rs
+++ b/src/sched/tests/crashes.rs
@@ -30,7 +30,8 @@
     world
 }
 
-fn starts(world: &World, task: &str) -> usize {
+/// Returns how often a task was started.
+fn count_starts(world: &World, task: &str) -> usize {
     world.starts.iter().filter(|s| s.0 == task).count()
 }
 
@@ -39,7 +40,7 @@
     let mut world = world(CRASH_DELAY);
     world.run(40_000);
     assert_eq!(
-        starts(&world, "bad.0.0.0"),
+        count_starts(&world, "bad.0.0.0"),
         2,
         "{:?}",
         world.crashes.victims
@@ -287,6 +288,8 @@
     }
 }
 
+/// Runs the scenario of the test above; each wave of restarts ends with a new owner or with an
+/// update of the directory.
 fn restart_many_workers(new_owner: bool) {
     let mut world = World::new(12);
     world.script = |task, _| match task.starts_with("lasting") {
@@ -297,8 +300,8 @@
     for wave in 0..12 {
         world.submit(&format!("j{wave}"), job(vec![step(20, 1_000)]));
         world.run(3_000);
-        for place in 0..4 {
-            let id = format!("w{}", (wave * 5 + place * 3) % 12);
+        for index in 0..4 {
+            let id = format!("w{}", (wave * 5 + index * 3) % 12);
             world.restart(&id);
         }
         match new_owner {
--- a/src/sched/tests/random.rs
+++ b/src/sched/tests/random.rs
@@ -111,6 +111,7 @@
     Some(query)
 }
 
+/// Returns a job of two steps with a random number of tasks each.
 fn random_spec(random: &mut Random) -> JobSpec {
     let second = StepSpec {
         depends_on: vec![0],
--- a/src/sched/tests/suspension.rs
+++ b/src/sched/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! Tests of a box whose machine is suspended: its timers stop, but leases go on to expire.
+//! Tests of a box whose machine is suspended: its timers stop, while leases still expire.
 
 use super::world::{SETTINGS, World, job, lasting, step};
 use crate::sched::job::JobState;
--- a/src/sched/tests/throttling.rs
+++ b/src/sched/tests/throttling.rs
@@ -45,6 +45,7 @@
     600 + u64::from(index * 37 % 7) * 150
 }
 
+/// Returns a step of serving tasks on the shared worker.
 fn serving(count: u32) -> StepSpec {
     StepSpec {
         latency_target: 100,
--- a/src/sched/tests/world.rs
+++ b/src/sched/tests/world.rs
@@ -106,6 +106,7 @@
     last_ticket: u64,
 }
 
+/// Returns the default queue of the tests.
 pub fn queue() -> Queue {
     Queue {
         name: "q".into(),
@@ -253,6 +254,7 @@
         self.random = Random::new(seed);
     }
 
+    /// Writes the owner row to the store.
     fn put_owner(&mut self, row: &OwnerRow) {
         self.rows
             .insert((OWNER_TABLE, OWNER_KEY.into()), encode(row));
@@ -287,10 +289,12 @@
         self.last_ticket
     }
 
+    /// Submits a job of priority 0 and returns the ticket of the answer.
     pub fn submit(&mut self, id: &str, spec: JobSpec) -> u64 {
         self.submit_with_priority(id, spec, 0)
     }
 
+    /// Submits a job to a queue with this priority and returns the ticket of the answer.
     pub fn submit_with_priority(&mut self, id: &str, spec: JobSpec, priority: u32) -> u64 {
         let queue = Queue {
             priority,
@@ -299,6 +303,7 @@
         self.submit_to(queue, id, spec)
     }
 
+    /// Submits a job to a queue and returns the ticket of the answer.
     pub fn submit_to(&mut self, queue: Queue, id: &str, spec: JobSpec) -> u64 {
         self.request(JobRequest::Submit {
             id: id.into(),
@@ -360,6 +365,7 @@
         rows.map(|(_, id)| id.clone()).collect()
     }
 
+    /// Returns the jobs in the job table of the store, as a new owner loads them.
     fn stored_jobs(&self) -> Vec<StoredJob> {
         let jobs = self
             .rows
--- a/src/sched/tests/world/workers.rs
+++ b/src/sched/tests/world/workers.rs
@@ -154,6 +154,7 @@
         }
     }
 
+    /// Ends the run of a task, if there is one, and keeps its completion for the next reports.
     fn end_run(&mut self, task: &str, outcome: RunOutcome, now: Millis) {
         let Some(run) = self.running.remove(task) else {
             return;
@@ -176,6 +177,7 @@
 }
 
 impl World {
+    /// Executes a poll: extends the lease, drops acknowledged completions and returns a report.
     pub(super) fn poll(&mut self, poll: &Poll) -> Reply<Report> {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&poll.incarnation.id) else {
@@ -222,6 +224,7 @@
         let _ = self.start(start);
     }
 
+    /// Executes a start, and records violations of the rules for starts.
     pub(super) fn start(&mut self, start: &Start) -> Reply<OrderAck> {
         let (span, outcome) = (self.script)(&start.task, start.run);
         let now = self.now;
@@ -356,6 +359,7 @@
         }
     }
 
+    /// Executes a stop; later starts up to its run are refused.
     pub(super) fn stop(&mut self, stop: &Stop) -> Reply<OrderAck> {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&stop.incarnation.id) else {
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -159,6 +159,7 @@
         }
     }
 
+    /// Executes a transaction if all its conditions on versions hold.
     fn transact(&self, body: &[u8]) -> Reply {
         let Ok(call) = serde_json::from_slice::<Value>(body) else {
             return Reply::text(StatusCode::BAD_REQUEST, "no JSON");
@@ -194,6 +195,7 @@
         Reply::text(StatusCode::OK, answer.to_string())
     }
 
+    /// Returns a page of the rows of a part of a table.
     fn get(&self, query: &HashMap<String, String>) -> Reply {
         let mut state = self.state();
         let parameter = |name: &str| query.get(name).cloned().unwrap_or_default();
@@ -216,6 +218,7 @@
         Reply::text(StatusCode::OK, answer.to_string())
     }
 
+    /// Waits for changes of a table after a version and returns them.
     async fn feed(&self, query: &HashMap<String, String>) -> Reply {
         let number = |name: &str| query.get(name).and_then(|v| v.parse().ok()).unwrap_or(0);
         let (after, wait): (u64, u64) = (number("after"), number("waitMs"));
--- a/tests/platform/worker.rs
+++ b/tests/platform/worker.rs
@@ -300,6 +300,7 @@
         Reply::text(status, body.to_string())
     }
 
+    /// Returns the refusal of an order.
     fn conflict(&self, reason: &str) -> Reply {
         self.reply_with_clock(StatusCode::CONFLICT, json!({ "reason": reason }))
     }
@@ -329,6 +330,7 @@
         task.starts_with(prefix).then(|| task.to_string())
     }
 
+    /// Executes a start; refuses old runs and starts after the end of the lease.
     fn start(&self, call: &Value) -> Reply {
         let task = call["task"].as_str().unwrap_or_default().to_string();
         let run = call["run"].as_u64().unwrap_or(0);
@@ -367,6 +369,7 @@
         state.started_at.elapsed().as_millis() as u64 > state.lease_end
     }
 
+    /// Executes a stop; later starts up to its run are refused.
     fn stop(&self, call: &Value) -> Reply {
         let task = call["task"].as_str().unwrap_or_default();
         let run = call["run"].as_u64().unwrap_or(0);
@@ -381,6 +384,7 @@
         self.reply_with_clock(StatusCode::OK, json!({}))
     }
 
+    /// Ends the run of a task, if there is one, and keeps its completion for the next reports.
     fn end(&self, task: &str, outcome: &'static str) {
         let mut state = self.state();
         let Some(run) = state.runs.remove(task) else {
@@ -417,6 +421,7 @@
         }
     }
 
+    /// Executes a poll: waits for a completion as long as the poll allows, then reports all runs.
     async fn poll(&self, call: &Value) -> Reply {
         self.acknowledge(call["lastSeen"].as_u64().unwrap_or(0));
         let wait = Duration::from_millis(call["waitMs"].as_u64().unwrap_or(0));
