--- a/src/sched/tests/incarnation.rs
+++ b/src/sched/tests/incarnation.rs
@@ -1,4 +1,4 @@
-//! Tests of workers that restart, under their id or another one.
+//! Tests of workers that restart under their id or another id.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
@@ -30,8 +30,8 @@
 }
 
 /// A worker restarts under another id and runs tasks when a listing of its earlier incarnation
-/// arrives late. The owner took that for a third incarnation at the address and ended the one
-/// that was there, so its tasks were started elsewhere while they ran.
+/// arrives late. The owner took that for a third incarnation at the address and considered the
+/// present incarnation ended, so its tasks were started elsewhere while they ran.
 #[test]
 fn a_late_listing_of_an_ended_incarnation_ends_no_other() {
     for boot in [None, Some(5_000)] {
@@ -123,7 +123,7 @@
     assert_runs_once(&mut world, "after", 4);
 }
 
-/// Adds a worker, and shrinks the first one so that a task of one core does not fit.
+/// Adds a worker, and shrinks worker `w0` so that a task of one core does not fit.
 fn move_capacity_to_another_worker(world: &mut World) {
     world.add_worker("w1", 7_100);
     world.send_directory();
@@ -195,8 +195,8 @@
     assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
-/// After its clock was set back, a restarted worker reports an earlier start. That is accepted
-/// only once the leases of the earlier incarnation have certainly ended.
+/// After its clock was set back, a restarted worker reports an earlier boot time. The owner accepts
+/// it only once the leases of the earlier incarnation have certainly ended.
 #[test]
 fn a_worker_that_reports_an_earlier_start_is_used_eventually() {
     let mut world = World::new(2);
@@ -264,8 +264,8 @@
     assert!(world.last_polls["w0"].wait > 0);
 }
 
-/// Of the members of a gang on a restarted worker, one has begun and the start of another has no
-/// answer.
+/// Two members of a gang are on a worker that restarts: one has begun, and the start of the other
+/// got no answer.
 #[test]
 fn a_gang_with_a_doubtful_member_is_not_left_incomplete() {
     for lost in [0.0, 0.5, 1.0] {
--- a/src/sched/tests/interference.rs
+++ b/src/sched/tests/interference.rs
@@ -1,4 +1,5 @@
-//! Tests of the learned interference between images, and of best-effort tasks halted because of it.
+//! Tests of learning the interference between images, and of halting best-effort tasks that
+//! interfere.
 
 use super::world::{World, job, serving, step};
 use crate::sched::interference::InterferenceModel;
--- a/src/sched/tests/order.rs
+++ b/src/sched/tests/order.rs
@@ -187,7 +187,7 @@
 fn a_job_that_is_nearly_done_is_finished_before_new_ones_begin() {
     let mut world = World::new(1);
     world.script = |_, _| (1_000, RunOutcome::Done);
-    // All jobs can end in time, so that only its small remaining work gives the old one precedence.
+    // All jobs can end in time, so that the old job precedes only because little of it remains.
     world.submit(
         "old",
         job(vec![
--- a/src/sched/tests/rolling_restart.rs
+++ b/src/sched/tests/rolling_restart.rs
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Has an owner release the cell if a box with so many cores should replace it.
+    /// Has the owner of an epoch release the cell if a box with `cores` should replace it.
     fn offer(&mut self, epoch: u64, cores: u32) {
         let now = self.now;
         let owner = self.nodes.iter().position(|n| n.epoch == epoch);
@@ -269,7 +269,7 @@
         };
     }
 
-    /// Records that a box has loaded so many pages; with the last one it serves.
+    /// Records that a box has loaded `pages` pages; a box that has loaded all pages serves.
     fn load(&mut self, number: usize, pages: u64) {
         let now = self.now;
         let node = &mut self.nodes[number];
@@ -305,7 +305,7 @@
     }
 }
 
-/// Returns the cores of so many strong and weak boxes.
+/// Returns the cores of `strong` strong boxes and `weak` weak boxes.
 fn boxes(strong: usize, weak: usize) -> Vec<u32> {
     [vec![STRONG; strong], vec![WEAK; weak]].concat()
 }
--- a/src/sched/tests/suspension.rs
+++ b/src/sched/tests/suspension.rs
@@ -53,8 +53,8 @@
     assert!(world.duplicates.is_empty(), "{:?}", world.duplicates);
 }
 
-/// An owner without a confirmation must not extend leases, as its successor relies on that. The
-/// limit is in real time and includes the time in which the machine was suspended.
+/// An owner that the store does not confirm must not extend leases: its successor relies on this
+/// rule. The limit is in real time and includes the time in which the machine was suspended.
 #[test]
 fn an_owner_that_resumes_on_an_old_confirmation_extends_and_starts_nothing() {
     let mut world = world();
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -264,7 +264,7 @@
     (text("table"), text("part"), text("key"))
 }
 
-/// Returns a row as calls answer it.
+/// Returns a row in the form in which calls answer it.
 fn row_json(state: &StoreState, full_key: &(String, String, String)) -> Value {
     let (table, part, key) = full_key;
     let row = json!({ "table": table, "part": part, "key": key });
