--- a/src/explain.rs
+++ b/src/explain.rs
@@ -84,7 +84,7 @@
         return parse_json(line);
     }
     let words: Vec<&str> = line.split_ascii_whitespace().collect();
-    // A test bench may prepend its own time and the name of the box.
+    // A log collector may prepend its own time and the name of the box.
     let time_index = words
         .iter()
         .position(|w| w.len() >= 13 && w.parse::<Millis>().is_ok())?;
--- a/src/lease/state.rs
+++ b/src/lease/state.rs
@@ -254,8 +254,8 @@
         let timings = self.timings;
         let unchanged = now.saturating_sub(other.read_at);
         let is_successor = other.row.successors.contains(&self.own.id);
-        // The other box has this box's name and address. Only one process can hold the port, so this
-        // process has replaced the other box.
+        // The other box has this box's name and address. Only one process can hold the port, so
+        // this process has replaced the other box.
         let replaced = other.row.name == self.own.name && other.row.rpc == self.own.rpc;
         let expired = unchanged >= timings.length + timings.margin;
         let abandoned = unchanged >= timings.length + timings.margin + timings.outage;
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -40,9 +40,9 @@
     Usual,
 }
 
-/// Longest time that the critical path takes, in tenths of its declared time. On busy days it
-/// takes 11 to 14: the longest task of a step takes longer than its typical one, starts take
-/// time, and best-effort tasks are throttled.
+/// Longest time that the critical path takes, in tenths of its declared time. Under high
+/// load it takes 11 to 14: the longest task of a step takes longer than its typical one, starts
+/// take time, and best-effort tasks are throttled.
 const RUN_TIME_TENTHS: u64 = 14;
 /// Part of the value of a typical job of a queue that every job has; the rest is proportional to
 /// the job's work.
