--- a/src/daemon/shared.rs
+++ b/src/daemon/shared.rs
@@ -243,7 +243,7 @@
     /// Sets the epoch of the owner in this process.
     pub fn set_local_epoch(&self, epoch: Option<u64>) {
         if self.local_epoch() != epoch {
-            // The owner in this process has served this box until now.
+            // An owner that ends in this process has served this box until now.
             self.record_owner_serving(true);
             self.record_owner_serving(epoch.is_some());
         }
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -68,7 +68,7 @@
     deployment.stop();
     match total_violations() {
         0 => Ok(()),
-        count => Err(eyre::eyre!("{count} invariants were violated")),
+        count => Err(eyre::eyre!("{count} violations of invariants")),
     }
 }
 
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -1,4 +1,4 @@
-//! Invariants that are checked at run time, in release builds, too.
+//! Invariants that are checked at run time, also in release builds.
 //!
 //! A violation is counted and logged as an error, and the caller of the check rejects the operation
 //! that would break the rule. Tests and randomised runs read the counts.
--- a/src/options/daemon.rs
+++ b/src/options/daemon.rs
@@ -39,7 +39,7 @@
 /// Largest number of cores of a box.
 const MAX_CORES: f64 = 1_024.0;
 /// Thousandths in one core.
-const MILLICORES: f64 = 1_000.0;
+const MILLICORES_PER_CORE: f64 = 1_000.0;
 
 /// Default number of file descriptors of a box.
 const DEFAULT_DESCRIPTORS: f64 = 4_096.0;
@@ -111,7 +111,7 @@
     let settings = Settings {
         name: reader.name("box.name").into(),
         hall: reader.name("box.hall").into(),
-        cores: (reader.number("box.cores", 1.0, 0.0..=MAX_CORES) * MILLICORES) as u32,
+        cores: (reader.number("box.cores", 1.0, 0.0..=MAX_CORES) * MILLICORES_PER_CORE) as u32,
         idle_connections: (reader.number("box.descriptors", DEFAULT_DESCRIPTORS, DESCRIPTORS_RANGE)
             * IDLE_SHARE) as usize,
         web: reader.address("box.web"),
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -52,7 +52,7 @@
 /// Logs why an entry names no usable worker.
 fn log_unusable(id: &str, error: &EntryError) {
     match error {
-        // Logged when it was decoded.
+        // `decode` has logged it.
         EntryError::Unreadable => {}
         EntryError::State(state) => {
             log::warn!(target: "directory", "worker={id} event=passed-over reason=state state=\"{state}\"");
--- a/src/utils/drain.rs
+++ b/src/utils/drain.rs
@@ -10,8 +10,8 @@
 
 use super::clock::Millis;
 
-/// Handle of a task: signals that the shutdown begins, and delays its end until the handle is
-/// dropped.
+/// Handle that a task holds: signals to it that the shutdown has begun, and delays the end of the
+/// shutdown until the handle is dropped.
 #[derive(Clone)]
 pub struct Drain {
     begun: Option<Shared<oneshot::Receiver<()>>>,
--- a/src/utils/sockets.rs
+++ b/src/utils/sockets.rs
@@ -1,4 +1,4 @@
-//! Socket options that detect silent connections, and that close a listener without resetting
+//! Socket options that detect dead connections, and that let a listener be closed without resetting
 //! connections.
 
 use std::os::fd::{AsRawFd, RawFd};
