--- a/src/cell.rs
+++ b/src/cell.rs
@@ -73,9 +73,9 @@
 /// Capacity of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shape {
-    /// Concurrent requests.
+    /// Largest number of concurrent requests.
     pub slots: u32,
-    /// Concurrent connections from all boxes.
+    /// Largest number of concurrent connections from all boxes.
     pub connections: u32,
     /// Thousandths of a core.
     pub cores: u32,
@@ -101,7 +101,8 @@
     Learned,
     /// The first by name; a baseline for benchmarks.
     First,
-    /// The one with the fewest requests or the most free cores; a baseline for benchmarks.
+    /// For a request the one with the fewest requests, for a task the one with the most free
+    /// cores; a baseline for benchmarks.
     LeastLoaded,
     /// A random one, from a seeded generator; a baseline for benchmarks.
     Random,
@@ -238,7 +239,7 @@
         /// Milliseconds after which the caller may retry.
         retry_after: Millis,
     },
-    /// Poll a worker for its state, and renew the leases of its runs.
+    /// Poll a worker for its state, and renew the leases of its runs if `renew`.
     Poll {
         /// Name of the worker.
         worker: Name,
@@ -290,7 +291,7 @@
         key: Name,
         /// Version that the row must have.
         expected_version: u64,
-        /// New contents.
+        /// New content.
         row: job::JobShardRow,
     },
 }
--- a/src/cell/outcome.rs
+++ b/src/cell/outcome.rs
@@ -201,7 +201,8 @@
         if !repeated && (worker.failed_jobs.len() < QUARANTINE_FAILURES || jobs.len() < 2) {
             return;
         }
-        // When half of the workers fail, the cause is more likely in the jobs.
+        // When more than half of the workers would be in quarantine, the cause is more likely in
+        // the jobs.
         if (quarantined + 1) * 2 > listed {
             return;
         }
--- a/src/cell/requests.rs
+++ b/src/cell/requests.rs
@@ -81,7 +81,7 @@
         std::mem::take(&mut self.waiting).into_values().collect()
     }
 
-    /// Removes and returns the requests that are too late by `late`.
+    /// Removes and returns the requests for which `late` returns true.
     fn take_expired(&mut self, late: impl Fn(&CellRequest) -> bool) -> Vec<CellRequest> {
         let keys: Vec<QueueKey> = self
             .waiting
@@ -211,8 +211,8 @@
                 healthy + usize::from(worker.ejected_until <= now),
             )
         });
-        // When half of the workers are ejected, the cause is probably not the workers, so
-        // ejections are ignored.
+        // When at least half of the workers are ejected, the cause is probably not the workers,
+        // so ejections are ignored.
         let skip_ejected = healthy * 2 > total;
         let candidates: Vec<&Worker> = self
             .workers
--- a/src/cell/state.rs
+++ b/src/cell/state.rs
@@ -143,7 +143,7 @@
     pub(super) poll_round: u64,
     /// When all leases of an earlier owner's runs have lapsed.
     pub(super) hold_until: Millis,
-    /// When the job shards were read. Reports that arrived earlier settled no task.
+    /// When the job shards were read. Earlier reports changed the state of no task.
     pub(super) loaded_at: Millis,
     /// True once the job shards were read.
     pub(super) loaded: bool,
@@ -209,13 +209,13 @@
             .retain(|_, w| w.listed || !w.runs.is_empty() || !w.requests.is_empty());
     }
 
-    /// Returns the free slots of all workers.
+    /// Returns the free slots of all workers that accept work.
     pub fn free_slots(&self, now: Millis) -> u32 {
         let open = self.workers.values().filter(|w| w.accepts_work(now));
         open.map(Worker::free_slots).sum()
     }
 
-    /// Returns the free cores of all workers in thousandths.
+    /// Returns the free cores of all workers that accept work, in thousandths.
     pub fn free_cores(&self, now: Millis) -> u64 {
         let open = self.workers.values().filter(|w| w.accepts_work(now));
         open.map(|w| u64::from(w.free_cores())).sum()
@@ -391,8 +391,8 @@
     }
 }
 
-/// Returns the runs that are missing from a worker's answer to a poll sent at `sent`,
-/// although they must have started.
+/// Returns the runs that are over because a worker's answer to a poll sent at `sent` does not
+/// contain them: confirmed runs, and runs in doubt whose start can no longer take effect.
 fn missing_runs(
     worker: &Worker,
     sent: Millis,
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -91,7 +91,7 @@
     pub quarantines: u32,
     /// When a run was last evicted.
     pub last_eviction: Millis,
-    /// When the share of a run was last changed.
+    /// When the share of a run was last changed or a run was last evicted.
     pub last_throttle: Millis,
     /// Sum of the sizes of `requests` and `runs`.
     allocated: Size,
--- a/src/claim/state.rs
+++ b/src/claim/state.rs
@@ -233,7 +233,8 @@
         actions
     }
 
-    /// Marks owned cells that are assigned to other boxes as leaving, a few at a time.
+    /// Marks owned cells that are assigned to other boxes as leaving, a few at a time; while
+    /// stopping, marks all owned cells.
     fn mark_leaving(&mut self, now: Millis) {
         if self.stopping {
             for owned_cell in self.owned.values_mut() {
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -54,7 +54,7 @@
     pub dedup_timings: DedupTimings,
 }
 
-/// Time of an event, on three clocks.
+/// Time of an event, on the boot-time clock and the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
     /// Milliseconds since boot, including time in which the machine was suspended.
--- a/src/engine/job_shards.rs
+++ b/src/engine/job_shards.rs
@@ -11,7 +11,7 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Number of rows of job shards from which on no further cell joins a commit.
+/// Number of job shards in a commit at which no further cell's job shards are added.
 const GROUP_SIZE: usize = 64;
 /// Milliseconds between two checks whether the jobs of open job shards were cancelled.
 const JOB_CHECK_INTERVAL: Millis = 30_000;
--- a/src/engine/ownership.rs
+++ b/src/engine/ownership.rs
@@ -97,7 +97,7 @@
     /// Returns the names of all cells: the racks of the listed workers, and the dedup shards.
     fn cell_names(&self) -> BTreeSet<Name> {
         let mut names: BTreeSet<Name> =
-            self.listed_workers.iter().map(|p| p.cell.clone()).collect();
+            self.listed_workers.iter().map(|w| w.cell.clone()).collect();
         names.extend((0..DEDUP_SHARDS).map(dedup_shard_name));
         names
     }
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -19,7 +19,8 @@
 const RETRY_EARNED: f64 = 0.1;
 /// Default time in ms after which a caller may retry.
 pub(super) const RETRY_AFTER: Millis = 200;
-/// Time in ms after which a request without an owner of its dedup shard or of any cell is retried.
+/// Shortest time in ms after which a request is retried whose dedup shard or cells have no owner;
+/// jitter adds less than the same time again.
 const BACKOFF: Millis = 100;
 
 impl Engine {
@@ -97,7 +98,7 @@
             return self.deduplicate(now, ticket, out);
         };
         self.track(now, ticket, meta, Origin::PeerForCell);
-        // A box that was frozen may have lost the dedup shard before it admitted the request.
+        // A box that was suspended may have lost the dedup shard before it admitted the request.
         let known = dedup_shard.and_then(|s| self.claims.owner(&s).map(|(_, epoch)| epoch));
         if known.is_some_and(|known| known > epoch) {
             return self.finish_not_run(now, ticket, Reason::NotOwner, RETRY_AFTER, out);
@@ -207,8 +208,8 @@
         if admission == Admission::Admitted {
             return self.route(now, ticket, out);
         }
-        // An earlier request with this id was admitted. The end of this one must not change its
-        // entry in the dedup shard.
+        // The dedup shard did not admit this request, so the request's end must not change the
+        // shard's entry for the id.
         if let Some(request) = self.in_flight.get_mut(&ticket) {
             request.dedup_shard = None;
         }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -68,7 +68,7 @@
         cell: target.cell.map(|c| c.to_string()).unwrap_or_default(),
         guard: target
             .dedup_shard
-            .map(|g| g.to_string())
+            .map(|s| s.to_string())
             .unwrap_or_default(),
         epoch: target.epoch,
         method: request.method.to_string(),
--- a/src/job.rs
+++ b/src/job.rs
@@ -31,7 +31,7 @@
 pub struct Spec {
     /// Id, chosen by the operator.
     pub id: Name,
-    /// Team to which the job is charged.
+    /// Team whose quota applies to the job.
     pub team: Name,
     /// Kind of work; tasks of the same kind cause the same interference.
     pub kind: Name,
--- a/src/lease/state.rs
+++ b/src/lease/state.rs
@@ -203,8 +203,8 @@
         })
     }
 
-    /// Returns the successors for the next renewal: present ones with a fresh row, then further
-    /// fresh boxes, with those of other halls first.
+    /// Returns the successors for the next renewal: those of the last renewal whose rows are fresh,
+    /// then further boxes with fresh rows, those of other halls first.
     fn choose_successors(&self, now: Millis) -> Vec<Name> {
         let mut chosen: Vec<Name> = self
             .own
@@ -248,14 +248,14 @@
             .collect()
     }
 
-    /// Returns true if this process has replaced another box, or that box has not renewed its row
-    /// for too long.
+    /// Returns true if another box may be declared dead: this process has replaced it, its lease
+    /// has expired and it lists this box as a successor, or the longest outage has passed as well.
     fn may_declare_dead(&self, other: &OtherBox, now: Millis) -> bool {
         let timings = self.timings;
         let unchanged = now.saturating_sub(other.read_at);
         let is_successor = other.row.successors.contains(&self.own.id);
-        // The other box has this box's name and address. Only one process can hold the port, so
-        // this process has replaced the other box.
+        // Only one process can listen on the address, so a box with the same name and address is
+        // an earlier incarnation of this one.
         let replaced = other.row.name == self.own.name && other.row.rpc == self.own.rpc;
         let expired = unchanged >= timings.length + timings.margin;
         let abandoned = unchanged >= timings.length + timings.margin + timings.outage;
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -156,7 +156,7 @@
     read(&mut lease, 2_200, &[(4, row("x.1", &["a.1"]))]);
     assert!(
         !lease.grant_promise(2_300, &"x.1".into()),
-        "the version is the declared one"
+        "the row still has the version that the declaration expects"
     );
     read(&mut lease, 2_400, &[(5, row("x.1", &["a.1"]))]);
     assert!(lease.grant_promise(2_500, &"x.1".into()));
--- a/src/request.rs
+++ b/src/request.rs
@@ -21,7 +21,7 @@
     pub id: Name,
     /// Service that runs the request.
     pub service: Name,
-    /// Team to which the request is charged.
+    /// Team to which the request belongs.
     pub team: Name,
     /// Priority class.
     pub class: Class,
--- a/src/standin/worker/state.rs
+++ b/src/standin/worker/state.rs
@@ -66,7 +66,7 @@
     pub peak_requests: u32,
     /// Starts and requests refused for lack of capacity.
     pub capacity_refusals: u64,
-    /// Calls refused for a lower epoch, an old round or their time.
+    /// Calls refused for a lower epoch, an old round or a time limit that has passed.
     pub fenced_calls: u64,
     /// Starts of a task that was already running here.
     pub duplicate_starts: u64,
--- a/src/web/server.rs
+++ b/src/web/server.rs
@@ -62,7 +62,7 @@
         let (handle, open, drain) = (handle.clone(), open.clone(), drain.clone());
         monoio::spawn(async move {
             if let Err(e) = serve_connection(stream, limits, drain, handle).await {
-                log::debug!(target: "web", "connection ended: {e}");
+                log::debug!(target: "web", "connection closed with an error: {e}");
             }
             open.set(open.get() - 1);
         });
