--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -243,7 +243,7 @@
         }
     }
     Err(Status::unknown(
-        "the table did not answer; the job may have been cancelled",
+        "no attempt to cancel the job was confirmed; the job may have been cancelled",
     ))
 }
 
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -4,7 +4,8 @@
 //! act for its cells until its lease ends, which counts from the *sending* of the last confirmed
 //! renewal. The row lists a few successors. After the end of the lease the box may still act while
 //! an unexpired promise not to take over is held from every listed successor. Only a listed
-//! successor declares a box dead, by deleting its row; after the longest outage any box may.
+//! successor declares a box dead, by deleting its row; after the longest outage any box may. A
+//! restarted box declares its own earlier incarnation dead at once.
 
 mod state;
 
