--- a/src/sched.rs
+++ b/src/sched.rs
@@ -1,6 +1,7 @@
 //! Scheduler of a cell: one owner at a time decides for all jobs and workers.
 //!
-//! All state is plain data without sockets or clocks: `owner` takes events in and returns actions.
+//! All state is plain data without sockets or clocks: `owner` takes events in and returns actions,
+//! both defined in `message`.
 //!
 //! - Jobs: `spec` and `job` hold their descriptions and state, `requests` and `admission` handle
 //!   callers' requests, `journal` and `commits` store changes, and `history` keeps finished jobs.
@@ -9,9 +10,9 @@
 //!   task.
 //! - Runs: `starts` and `late_starts` start and stop them, `reports` reconciles them with what
 //!   workers report, `completions` ends them, and `crashes` finds tasks that crash workers.
-//! - Workers: `directory` and `lost_workers` add and remove them, `incarnation` distinguishes their
-//!   restarts, `poll_schedule` decides when they are polled, `cordon` excludes halls, and
-//!   `addresses` finds workers by address.
+//! - Workers: `worker` holds the state of one, `directory` and `lost_workers` add and remove them,
+//!   `incarnation` distinguishes their restarts, `poll_schedule` decides when they are polled,
+//!   `cordon` excludes halls, and `addresses` finds workers by address.
 //! - Interference: `gauges` records reported loads (with `recently_ended`, `loads` and `breaches`),
 //!   `interference` learns from them how best-effort tasks slow serving tasks beside them
 //!   (`colocation`), and `throttling` and `swaps` limit that interference. While the `backlog` is
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -18,8 +18,8 @@
 /// recognised at once. Longer than the pause between an idle owner's commits, and than it takes
 /// to find the outcome of two commits in a row whose answers were lost, which is no outage.
 const OUTAGE_AFTER_FAILURE: Millis = 450;
-/// Factor on the duration of the last commit: with a slow store, no commit may be confirmed for
-/// this many times that duration.
+/// Factor on the duration of the last commit: a slow store counts as unavailable only after this
+/// many times that duration without a confirmed commit.
 const OUTAGE_COMMITS: Millis = 3;
 /// Upper limit of that time, in milliseconds.
 const MAX_OUTAGE_AFTER: Millis = 2_500;
--- a/src/sched/backlog.rs
+++ b/src/sched/backlog.rs
@@ -11,7 +11,7 @@
 /// Backlog, in seconds of all processors, from which the load of serving tasks is raised by the
 /// full margin.
 const FULL_BACKLOG: f64 = 0.2;
-/// Millicore milliseconds in a core second.
+/// Thousandths of cores times milliseconds in a core second.
 const CORE_SECOND: f64 = 1_000_000.0;
 
 impl Owner {
@@ -25,7 +25,7 @@
     }
 
     /// Returns the declared work of the waiting best-effort tasks whose rounds still have a value,
-    /// in millicore milliseconds.
+    /// in thousandths of cores times milliseconds.
     fn waiting_work(&self) -> f64 {
         let mut last: Option<(StepKey, f64)> = None;
         let mut work = 0.0;
@@ -41,8 +41,8 @@
         work
     }
 
-    /// Returns the declared work of one task of a step, in millicore milliseconds; 0 for a task
-    /// that is not best-effort, is lasting, or whose round has no value left.
+    /// Returns the declared work of one task of a step, in thousandths of cores times milliseconds;
+    /// 0 for a task that is not best-effort, is lasting, or whose round has no value left.
     fn countable_work(&self, step: StepKey) -> f64 {
         let Some(job) = self.jobs.get(&step.job) else {
             return 0.0;
--- a/src/sched/breaches.rs
+++ b/src/sched/breaches.rs
@@ -132,9 +132,9 @@
     }
 
     /// Returns the best-effort tasks of a worker for log lines: task, stage, ordered speed in
-    /// percent and milliseconds since that order, millicores used by the last report over those
-    /// used at full speed. After the speed, `+` means that the order has no answer yet, and `?`
-    /// that the run may have another speed.
+    /// percent and milliseconds since that order, thousandths of cores used by the last report
+    /// over those used at full speed. After the speed, `+` means that the order has no answer yet,
+    /// and `?` that the run may have another speed.
     fn best_effort_text(&self, worker: &Worker) -> String {
         let placements = worker.placements.iter().filter(|(_, p)| p.best_effort);
         let text = |(key, p): (&TaskKey, &Placement)| {
--- a/src/sched/colocation.rs
+++ b/src/sched/colocation.rs
@@ -13,7 +13,7 @@
     pub serving: Vec<ServingTask>,
     /// Tasks whose processors are not reserved.
     pub best_effort: Vec<BestEffortTask>,
-    /// Millicores that serving tasks have reserved and hardly use.
+    /// Thousandths of cores that serving tasks have reserved and hardly use.
     pub idle_cpu: u64,
 }
 
@@ -33,7 +33,7 @@
     key: TaskKey,
     /// Number of its image.
     pub image: ImageNumber,
-    /// Millicores used at full speed.
+    /// Thousandths of cores used at full speed.
     pub cpu: u64,
     /// True when it runs until its job is cancelled.
     pub lasting: bool,
@@ -83,7 +83,8 @@
     }
 }
 
-/// Returns the millicores that a serving task leaves unused: about half of those reserved.
+/// Returns the thousandths of cores that a serving task leaves unused: about half of those
+/// reserved.
 fn unused_cpu(placement: &Placement) -> u64 {
     placement.resources.cpu / 2
 }
--- a/src/sched/commits.rs
+++ b/src/sched/commits.rs
@@ -15,7 +15,7 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Most finished jobs that one pass archives: after an upgrade there may be thousands with
+/// Most finished jobs that one sweep archives: after an upgrade there may be thousands with
 /// large rows, and starts wait behind their writes.
 const MAX_ARCHIVED: usize = 8;
 
--- a/src/sched/directory.rs
+++ b/src/sched/directory.rs
@@ -118,10 +118,10 @@
         }
     }
 
-    /// Resolves that a worker is listed at the address of others; returns false when the others
-    /// have replaced it. If the boot times don't show which worker is the later one, the others are
-    /// polled: the worker at the address refuses polls of others, while an entry of the directory
-    /// may have been written late.
+    /// Handles the listing of a new worker at the address of known ones; returns false when one of
+    /// these has replaced it. If the boot times don't show which worker is the later one, the known
+    /// ones are polled: the worker at the address refuses polls meant for others, while an entry of
+    /// the directory may have been written late.
     fn resolve_shared_address(&mut self, id: &Name, listing: &Listing) -> bool {
         for other in self.others_at_address(listing.address, id) {
             let known = self.workers[&other].boot;
@@ -156,7 +156,7 @@
         others.cloned().collect()
     }
 
-    /// Handles that the entry of a worker became unusable. The worker gets no new tasks, but its
+    /// Handles an entry of a worker that became unusable. The worker gets no new tasks, but its
     /// runs go on, as the worker itself has announced nothing.
     fn mark_unusable(&mut self, id: &Name) {
         let Some(worker) = self.workers.get_mut(id) else {
@@ -169,7 +169,7 @@
         worker.presence = Presence::Unusable;
     }
 
-    /// Handles that a listing is gone: it has lapsed, or the worker has removed it.
+    /// Handles the disappearance of a listing: it has lapsed, or the worker has removed it.
     fn handle_unlisted(&mut self, id: &Name) {
         let now = self.now.steady;
         let after_outage = now < self.last_store_trouble + STORE_OUTAGE_WINDOW;
--- a/src/sched/interference.rs
+++ b/src/sched/interference.rs
@@ -134,8 +134,8 @@
         ImageDistances(self.factors.iter().map(row_distances).collect())
     }
 
-    /// Returns the busy share that a best-effort task of `cpu` millicores adds to a serving task
-    /// at full speed.
+    /// Returns the busy share that a best-effort task of `cpu` thousandths of cores adds to a
+    /// serving task while it runs at full speed.
     fn added_load(
         &self,
         victim: ImageNumber,
--- a/src/sched/message.rs
+++ b/src/sched/message.rs
@@ -77,8 +77,7 @@
     pub run: u32,
     /// Last checkpoint; empty for none.
     pub checkpoint: Name,
-    /// Percent of the work that is done; for a lasting task its speed in percent, from when it is
-    /// ready.
+    /// Percent of the work that is done; for a lasting task, its speed in percent once it is ready.
     pub progress: u32,
     /// Thousandths of cores in use, or the tail latency in milliseconds of a serving task, over
     /// the last half second.
@@ -292,7 +291,7 @@
 /// A poll of a worker: extends its lease and asks for its report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// The worker's incarnation that the order is meant for.
+    /// The worker's incarnation that the poll is meant for.
     pub incarnation: Incarnation,
     /// When the poll was sent, in milliseconds on the clock of this box.
     pub sent: Millis,
@@ -369,7 +368,7 @@
     pub percent: u32,
 }
 
-/// An action that the owner returns for the task that runs it to perform.
+/// An action that the owner returns and the code that drives it carries out.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Answers a caller.
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -29,7 +29,7 @@
     Worthless,
 }
 
-/// Rank of a task before the priority of its queue.
+/// Urgency of a task, which decides before the priority of its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
     /// Resources are reserved for the task and would be idle while others are placed first.
--- a/src/sched/owner.rs
+++ b/src/sched/owner.rs
@@ -24,8 +24,8 @@
 use crate::utils::Name;
 use crate::utils::clock::Millis;
 
-/// Best-effort tasks are halted after one n-th of the longest allowed breach of a latency target;
-/// the rest covers reports and orders that get lost.
+/// Best-effort tasks are halted after this fraction (1/n) of the longest allowed breach of a
+/// latency target; the rest allows for reports and orders that get lost.
 const HALT_DIVISOR: Millis = 4;
 
 /// Durations and mechanisms that the platform and the settings give an owner.
@@ -257,7 +257,7 @@
         self.lapsed_runs
     }
 
-    /// Returns when the last confirmed commit was sent.
+    /// Returns when the last call was sent by which the store confirmed this owner.
     pub fn last_confirmed(&self) -> Millis {
         self.journal.last_confirmed()
     }
@@ -342,7 +342,7 @@
             self.next_sweep = now.steady + SWEEP_INTERVAL;
             self.sweep();
         }
-        // The next owner relies on an owner that releases the cell not extending leases.
+        // An owner that releases the cell extends no leases: the next owner relies on that.
         if !self.deposed && !self.is_releasing() {
             if self.cordoned_halls.is_some() {
                 self.place_ready_tasks();
--- a/src/sched/reports.rs
+++ b/src/sched/reports.rs
@@ -37,7 +37,7 @@
 /// A run in a worker's report.
 #[derive(Clone, Copy)]
 pub(super) struct ReportedRun<'a> {
-    /// Task of the run; none when no open job has such a task.
+    /// Task of the run; none when the owner knows no such task.
     pub key: Option<TaskKey>,
     /// The run as reported.
     pub run: &'a ActiveRun,
--- a/src/sched/scoring.rs
+++ b/src/sched/scoring.rs
@@ -29,12 +29,12 @@
 const CROWDED_LOAD: u64 = 900;
 /// Weight of load above `CROWDED_LOAD`.
 const CROWDED_WEIGHT: u64 = 3;
-/// Score above which a best-effort task is deferred: the worker is so full, or serving tasks
-/// would be slowed so much, that the task would hardly run.
-const DEFER_SCORE: u64 = 1_700;
-/// Milliseconds for which a best-effort task is deferred. A job that could run must not idle for
-/// 3 s.
-const MAX_DEFERRAL: Millis = 1_800;
+/// Score above which a best-effort task waits for a better worker: this one is so full, or serving
+/// tasks would be slowed so much, that the task would hardly run.
+const WAIT_SCORE: u64 = 1_700;
+/// Milliseconds that a best-effort task waits at most for a better worker. A job that could run
+/// must not idle for 3 s.
+const MAX_WAIT: Millis = 1_800;
 /// Weight of a worker's load in the score for a suspect, whose crash would lose all of it.
 const SUSPECT_WEIGHT: u64 = 4;
 /// Load of a fully used worker, in thousandths.
@@ -109,13 +109,12 @@
         }
     }
 
-    /// Returns the best worker for a task, or `None` when the task fits nowhere or should be
-    /// deferred.
+    /// Returns the best worker for a task, or `None` when the task fits nowhere or should wait for
+    /// a better worker.
     pub fn best(&self, request: &PlacementRequest<'_>) -> Option<Name> {
         let Reverse((score, id)) = self.by_score.peek()?;
-        let defer =
-            request.step.best_effort && *score > DEFER_SCORE && request.waited < MAX_DEFERRAL;
-        (!defer).then(|| id.clone())
+        let waits = request.step.best_effort && *score > WAIT_SCORE && request.waited < MAX_WAIT;
+        (!waits).then(|| id.clone())
     }
 }
 
--- a/src/sched/spec.rs
+++ b/src/sched/spec.rs
@@ -171,7 +171,9 @@
         let tasks: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
         let rounds = self.schedule.map_or(1, |s| u64::from(s.rounds));
         if tasks.saturating_mul(rounds) > TASK_LIMIT {
-            errors.push(format!("the job has more than {TASK_LIMIT} tasks"));
+            errors.push(format!(
+                "the job has {tasks} tasks per round and {rounds} rounds: more than {TASK_LIMIT} tasks"
+            ));
         }
         for (index, step) in self.steps.iter().enumerate() {
             if step.count == 0 {
--- a/src/sched/swaps.rs
+++ b/src/sched/swaps.rs
@@ -17,7 +17,7 @@
 
 /// Milliseconds between two searches for swaps.
 const SEARCH_INTERVAL: Millis = 500;
-/// Waiting best-effort tasks from which on swaps are made: with fewer there is enough capacity.
+/// Least number of waiting best-effort tasks for swaps: with fewer there is enough capacity.
 const MIN_WAITING: usize = 20;
 /// Least gain of a swap, as a sum of image distances: that of one pair of images whose
 /// interference factors differ by 1 for two best-effort images.
--- a/src/sched/throttling.rs
+++ b/src/sched/throttling.rs
@@ -104,7 +104,7 @@
 }
 
 impl Placement {
-    /// Records the millicores that a best-effort run uses by a report.
+    /// Records the thousandths of cores that a best-effort run uses by a report.
     ///
     /// Returns true when the report is the first that contradicts the ordered speed, as happens
     /// after an order that took effect late.
--- a/src/sched/worker.rs
+++ b/src/sched/worker.rs
@@ -137,7 +137,7 @@
     pub cordoned: bool,
     /// True while the worker reports runs that the owner does not know.
     pub unknown_runs: bool,
-    /// Resources that are being freed on the worker for a task.
+    /// Resources of the worker that are kept for a waiting task.
     pub reservation: Option<Reservation>,
     /// Job of the suspects on the worker. No other tasks are started beside them: a crash
     /// would end these too and hide which task had caused it.
@@ -344,13 +344,12 @@
         }
     }
 
-    /// Returns the task for which resources are being freed on the worker.
+    /// Returns the task for which resources of the worker are reserved.
     pub fn reserved_task(&self) -> Option<TaskKey> {
         self.reservation.as_ref().map(|r| r.key)
     }
 
-    /// Returns true when a task would fit in place of a run, and nothing is reserved for
-    /// another task.
+    /// Returns true when a task would fit in place of a run, and the worker has no reservation.
     pub fn fits_without(&self, run: &Placement, resources: Resources) -> bool {
         let total = self.allocated.plus(resources);
         self.reservation.is_none() && total.within(self.listing.capacity.plus(run.resources))
@@ -400,8 +399,8 @@
         self.last_answer = now;
     }
 
-    /// Returns the time on the worker's clock at which a lease of `span` milliseconds that is
-    /// granted now ends; none before the clock is known.
+    /// Grants a lease of `span` milliseconds and includes it in `leases_end`. Returns its end on
+    /// the worker's clock; none before the clock is known.
     pub fn grant_lease(&mut self, span: Millis, now: Millis) -> Option<Millis> {
         let reading = self.clock_reading?;
         let clock = reading.clock + (now - reading.received) * MIN_CLOCK_RATE / 100;
