--- a/src/metrics/registration.rs
+++ b/src/metrics/registration.rs
@@ -24,7 +24,11 @@
 
 /// Registers the metrics about the owner and its health.
 pub(super) fn register_owner(registry: &mut Registry, m: &Metrics) {
-    registry.register("owner_epoch", "Epoch of this owner", m.owner_epoch.clone());
+    registry.register(
+        "owner_epoch",
+        "Epoch of the owner here",
+        m.owner_epoch.clone(),
+    );
     registry.register(
         "followed_epoch",
         "Epoch of the owner followed",
@@ -38,7 +42,7 @@
     registry.register("takeovers", "Takeovers", m.takeovers.clone());
     registry.register(
         "unconfirmed_ms",
-        "Milliseconds since the last confirmed commit",
+        "Milliseconds since confirmed",
         m.unconfirmed_time.clone(),
     );
     registry.register(
@@ -53,12 +57,12 @@
     );
     registry.register(
         "worker_lives",
-        "Worker restarts",
+        "Workers that started again",
         m.new_incarnations.clone(),
     );
     registry.register(
         "earlier_lives",
-        "Stale reports ignored",
+        "Late news passed over",
         m.stale_reports.clone(),
     );
     registry.register(
@@ -82,26 +86,26 @@
         "Calls not answered in time",
         m.unanswered_calls.clone(),
     );
-    registry.register(
-        "owner_late_ms",
-        "Delay of the loop in ms",
-        m.loop_delay.clone(),
-    );
+    registry.register("owner_late_ms", "Milliseconds late", m.loop_delay.clone());
     registry.register(
         "owner_leaving_ms",
-        "Milliseconds since release began",
+        "Milliseconds of giving up",
         m.release_time.clone(),
     );
-    registry.register("load_ms", "Duration of the last load", m.load_time.clone());
-    registry.register("owner_ends", "Ended terms", m.owner_ends.clone());
-    registry.register("tasks_waiting", "Tasks waiting", m.waiting_tasks.clone());
+    registry.register(
+        "load_ms",
+        "Milliseconds of the last load",
+        m.load_time.clone(),
+    );
+    registry.register("owner_ends", "Owners that ended here", m.owner_ends.clone());
+    registry.register("tasks_waiting", "Tasks that wait", m.waiting_tasks.clone());
     registry.register(
         "over_target_ms",
-        "Longest ongoing breach",
+        "Longest spell over target",
         m.longest_breach.clone(),
     );
     registry.register("jobs", "Jobs held by the owner", m.jobs.clone());
-    registry.register("workers", "Known workers", m.workers.clone());
+    registry.register("workers", "Workers known", m.workers.clone());
     registry.register(
         "suspended_ms",
         "Milliseconds suspended",
@@ -110,7 +114,7 @@
     registry.register("log_dropped", "Log lines dropped", m.dropped_lines.clone());
     registry.register(
         "config_version",
-        "Configuration version",
+        "Version in force",
         m.config_version.clone(),
     );
     registry.register(
@@ -134,32 +138,28 @@
     );
     registry.register(
         "over_target_seconds",
-        "Breaches of latency targets, by image",
+        "Spells of serving tasks over target, by image",
         m.breach_seconds.clone(),
     );
     registry.register(
         "request_seconds",
-        "Time to the answer of a request",
+        "Time to the answer",
         m.request_seconds.clone(),
     );
-    registry.register(
-        "paces",
-        "Orders that set the speed of tasks",
-        m.throttle_orders.clone(),
-    );
+    registry.register("paces", "Orders on paces", m.throttle_orders.clone());
     registry.register(
         "paces_missed",
-        "Orders that set the speed of tasks and failed",
+        "Orders on paces without a good answer",
         m.failed_throttles.clone(),
     );
     registry.register(
         "owner_spent_us",
-        "Microseconds spent on the owner's decisions",
+        "Microseconds that the owner's decisions took",
         m.decision_time.clone(),
     );
     registry.register(
         "other_boxes",
-        "Boxes that can be asked for the owner",
+        "Boxes that may be asked for the owner",
         m.other_boxes.clone(),
     );
 }
@@ -170,7 +170,7 @@
     registry.register("answers", "Answers to callers", m.answers.clone());
     registry.register(
         "forwards",
-        "Requests forwarded to other boxes",
+        "Requests handed to other boxes",
         m.forwarded_requests.clone(),
     );
     registry.register(
