--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -102,7 +102,7 @@
     let points = [100, 500, 1_000].map(|n| (n as f64, allocated_by(|| router(n))));
     print_line("memory: cell in the view of a router", "B", &points);
     let points = [1_000, 10_000, 50_000].map(|n| (n as f64, allocated_by(|| dedup_shard(n))));
-    print_line("memory: id in a guard", "B", &points);
+    print_line("memory: id in a dedup shard", "B", &points);
     let points = [100, 500, 1_000].map(|n| (n as f64, allocated_by(|| config(n))));
     print_line("memory: entry of the configuration", "B", &points);
 }
@@ -113,7 +113,7 @@
     let points = [1, 26, 104].map(|n| (n as f64, greeting_size(n)));
     print_line("bytes: cell in a greeting", "B", &points);
     let points = [0, 6, 24].map(|n| (n as f64, sync_reply(n).encoded_len() as f64));
-    print_line("bytes: run in an exchange's reply", "B", &points);
+    print_line("bytes: run in a poll's reply", "B", &points);
     let request = proto::SyncRequest {
         cell: "hall-01/rack-01".into(),
         epoch: 7,
@@ -124,7 +124,7 @@
     };
     println!(
         "{:44} {:>9} B",
-        "bytes: exchange's request",
+        "bytes: poll's request",
         request.encoded_len()
     );
     let points = [8, 64, 256].map(|n| {
@@ -188,7 +188,7 @@
         });
         ((n * RACK_WORKERS) as f64, nanos)
     });
-    print_line("time: exchange's reply with 6 runs", "ns", &points);
+    print_line("time: poll's reply with 6 runs", "ns", &points);
     let points = [1, 26, 104].map(|n| {
         let message = greeting(n).encode_to_vec();
         let nanos = best_nanos(2_000, || {
--- a/benches/orders.rs
+++ b/benches/orders.rs
@@ -98,7 +98,7 @@
         (answered, thread_cpu_seconds() - start)
     });
     println!(
-        "{answered} exchanges, {RUNS} runs each: {:.1} us of processor time each",
+        "{answered} polls, {RUNS} runs each: {:.1} us of processor time each",
         cpu_seconds * 1e6 / answered as f64
     );
     Ok(())
--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -50,6 +50,7 @@
     settle_width: u32,
 }
 
+/// The measured loads. In each, half of the lasting jobs allow at most two tasks per worker.
 const LOADS: [Load; 4] = [
     Load {
         workers: 66,
@@ -75,8 +76,7 @@
         settle_rate: 14.9,
         settle_width: 39,
     },
-    // More load than the workers have capacity for. In this load and the others, half of the
-    // lasting jobs allow at most two tasks per worker.
+    // More load than the workers have capacity for.
     Load {
         workers: 890,
         lasting_jobs: 226,
--- a/src/sched/tests/crashes.rs
+++ b/src/sched/tests/crashes.rs
@@ -75,7 +75,10 @@
         world.crashes.restart_delay = restart_delay;
         world.run(60_000);
         let crashes = world.crashes.count_with("bad.0.0.0");
-        assert!(crashes <= 4, "one start after the third crash: {crashes}");
+        assert!(
+            crashes <= 4,
+            "more than one start after the third crash: {crashes} crashes"
+        );
         assert_eq!(
             world.job_state("bad"),
             Some(JobState::Failed),
@@ -113,7 +116,10 @@
     world.script = |_, _| (600_000, RunOutcome::Done);
     world.run(60_000);
     let crashes = world.crashes.count_with("bad.0.0.0");
-    assert!(crashes <= 5, "two starts after the third crash: {crashes}");
+    assert!(
+        crashes <= 5,
+        "more than two starts after the third crash: {crashes} crashes"
+    );
     assert_eq!(world.job_state("bad"), Some(JobState::Failed));
 }
 
@@ -145,7 +151,10 @@
         assert!(world.now < 60_000, "the task is not abandoned");
     }
     let crashes = world.crashes.count_with("bad.0.0.0");
-    assert!(crashes <= 5, "two starts after the third crash: {crashes}");
+    assert!(
+        crashes <= 5,
+        "more than two starts after the third crash: {crashes} crashes"
+    );
 }
 
 #[test]
--- a/src/sched/tests/incarnation.rs
+++ b/src/sched/tests/incarnation.rs
@@ -397,27 +397,27 @@
         world.run(3);
     }
 
-    /// Lets time pass after the last step and returns the faults found then.
-    fn faults(mut self) -> Vec<String> {
+    /// Lets time pass after the last step and returns the errors found then.
+    fn errors(mut self) -> Vec<String> {
         let world = &mut self.world;
         world.workers.get_mut("w0").expect("worker").disconnected = false;
         world.send_directory();
         world.run(500);
         world.submit("after", job(vec![step(4, 500)]));
         world.run(12_000);
-        let mut faults = std::mem::take(&mut world.duplicates);
-        faults.append(&mut world.overcommits);
+        let mut errors = std::mem::take(&mut world.duplicates);
+        errors.append(&mut world.overcommits);
         for id in ["before", "done", "failing", "after"] {
             let shown = world.job_state(id);
             if shown != Some(JobState::Completed) {
-                faults.push(format!("{id} is {shown:?}"));
+                errors.push(format!("{id} is {shown:?}"));
             }
         }
         let running = world.running().len();
         if running != 2 {
-            faults.push(format!("{running} lasting tasks run"));
+            errors.push(format!("{running} lasting tasks run"));
         }
-        faults
+        errors
     }
 }
 
@@ -438,30 +438,30 @@
     all
 }
 
-/// Returns the faults that are found after these steps.
-fn faults_after(steps: &[RestartStep]) -> Vec<String> {
+/// Returns the errors that are found after these steps.
+fn errors_after(steps: &[RestartStep]) -> Vec<String> {
     let mut restart = Restart::new();
     for step in steps {
         restart.apply(*step);
     }
-    restart.faults()
+    restart.errors()
 }
 
 #[test]
 fn no_order_of_steps_after_a_restart_runs_a_task_twice() {
     for steps in permutations(&STEPS[..5]) {
-        let faults = faults_after(&steps);
-        assert!(faults.is_empty(), "{steps:?}: {faults:?}");
+        let errors = errors_after(&steps);
+        assert!(errors.is_empty(), "{steps:?}: {errors:?}");
     }
 }
 
 #[test]
 fn no_random_steps_after_a_restart_run_a_task_twice() {
     fn property(steps: Vec<RestartStep>) -> TestResult {
-        let faults = faults_after(&steps);
-        match faults.is_empty() {
+        let errors = errors_after(&steps);
+        match errors.is_empty() {
             true => TestResult::passed(),
-            false => TestResult::error(format!("{steps:?}: {faults:?}")),
+            false => TestResult::error(format!("{steps:?}: {errors:?}")),
         }
     }
     QuickCheck::new()
--- a/src/sched/tests/random.rs
+++ b/src/sched/tests/random.rs
@@ -13,8 +13,8 @@
 const CHANGE_INTERVAL: u64 = 400;
 /// Random changes in one simulation.
 const CHANGES: u64 = 40;
-/// Milliseconds without faults at the end, in which all jobs end.
-const CALM_TIME: u64 = 40_000;
+/// Milliseconds without faults at the end, in which all jobs have to end.
+const RECOVERY_TIME: u64 = 40_000;
 /// A task that crashes its workers.
 const CRASHING_TASK: &str = "job-1.0.0.0";
 /// Most workers that `CRASHING_TASK` may crash: after its third crash at most two more starts.
@@ -266,11 +266,11 @@
         .values_mut()
         .for_each(|w| w.disconnected = false);
     if with_machines {
-        world.run(CALM_TIME / 4);
+        world.run(RECOVERY_TIME / 4);
         restore_capacity(&mut world);
     }
     world.send_directory();
-    world.run(CALM_TIME);
+    world.run(RECOVERY_TIME);
     let mut errors: Vec<String> = queries.iter().filter_map(|q| q.error(&world)).collect();
     errors.append(&mut world.duplicates);
     errors.extend(worker_errors(&world));
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -328,7 +328,7 @@
     deployment.store.set_behavior(Behavior::Serving);
     assert_ran(&deployment, "00000000000000f1", 2);
     let found = (0..2).any(|n| deployment.output(n).contains("event=commit-found"));
-    assert!(found, "the owner found a commit by its row");
+    assert!(found, "no commit with a lost answer was found by its row");
 }
 
 #[test]
--- a/tests/processes/deployment.rs
+++ b/tests/processes/deployment.rs
@@ -327,15 +327,15 @@
     /// Kills a box.
     pub fn kill(&mut self, index: usize) {
         let child = &mut self.boxes[index].child;
-        child.kill().expect("killed");
-        child.wait().expect("ended");
+        child.kill().expect("the box can be killed");
+        child.wait().expect("the box has ended");
     }
 
     /// Kills a worker.
     pub fn kill_worker(&mut self, index: usize) {
         let worker = &mut self.workers[index];
-        worker.child.kill().expect("killed");
-        worker.child.wait().expect("ended");
+        worker.child.kill().expect("the worker can be killed");
+        worker.child.wait().expect("the worker has ended");
         worker.alive = false;
     }
 
@@ -376,8 +376,11 @@
     pub fn begin_request(&self, index: usize) -> PartialRequest {
         let text = request_text("half", true);
         let (first, rest) = text.split_at(text.len() / 2);
-        let mut stream = TcpStream::connect(self.boxes[index].web).expect("connected");
-        stream.write_all(first.as_bytes()).expect("sent");
+        let mut stream =
+            TcpStream::connect(self.boxes[index].web).expect("the box accepts connections");
+        stream
+            .write_all(first.as_bytes())
+            .expect("the first half can be sent");
         let rest = rest.to_string();
         PartialRequest { stream, rest }
     }
@@ -387,7 +390,7 @@
         let mut code = None;
         let child = &mut self.boxes[index].child;
         wait_for("the planned stop", || {
-            let status = child.try_wait().expect("status");
+            let status = child.try_wait().expect("the status of the box is known");
             code = status.and_then(|s| s.code());
             status.is_some()
         });
--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -62,7 +62,7 @@
     }
 
     fn record(&self) -> MutexGuard<'_, Record> {
-        self.record.lock().expect("no holder panicked")
+        self.record.lock().expect("the lock is not poisoned")
     }
 
     /// Sends a request to the box of index `number` modulo the number of boxes.
@@ -193,7 +193,7 @@
             }
         }
         Answer::Status(410, _) => {
-            findings.report(id, "a job that was taken is not known".into());
+            findings.report(id, "an accepted job is not known".into());
             jobs.update(id, |job| job.final_state = "unknown".into());
         }
         _ => {}
--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -36,7 +36,7 @@
             id: id.into(),
             detail,
         };
-        let mut all = self.all.lock().expect("no holder panicked");
+        let mut all = self.all.lock().expect("the lock is not poisoned");
         if !all.contains(&violation) {
             println!("BROKEN {id}: {}", violation.detail);
             all.push(violation);
@@ -45,7 +45,7 @@
 
     /// Returns all violations.
     pub fn all(&self) -> Vec<Violation> {
-        self.all.lock().expect("no holder panicked").clone()
+        self.all.lock().expect("the lock is not poisoned").clone()
     }
 
     /// Tells the threads that wait for open jobs to stop waiting.
@@ -67,16 +67,17 @@
 /// Checks the guarantees that must hold at any time.
 pub fn check_always(jobs: &BTreeMap<String, Job>, record: &Record, findings: &Findings) {
     for task in &record.duplicates {
-        let detail = format!("{task} ran twice at a time, or again after its end was noted");
+        let detail = format!("{task} ran twice at a time, or again after its end was acknowledged");
         findings.report(job_id(task), detail);
     }
     for task in record.starts.keys() {
         let id = job_id(task);
         match jobs.get(id).map(|job| job.status) {
             None => findings.report(id, format!("{task} was started and nobody asked for it")),
-            Some(SubmitStatus::Refused) => {
-                findings.report(id, format!("{task} was started, its job refused"))
-            }
+            Some(SubmitStatus::Refused) => findings.report(
+                id,
+                format!("{task} was started, although its job was refused"),
+            ),
             Some(_) => {}
         }
     }
@@ -97,17 +98,17 @@
         match job.final_state.as_str() {
             "completed" if done == all => {}
             "completed" => {
-                findings.report(id, format!("completed, {done} of {all} tasks ended so"))
+                findings.report(id, format!("completed, but {done} of {all} tasks are done"))
             }
             "cancelled" if job.cancel_requested => {}
             "failed" if max_lost_runs(record, id) >= MIN_LOSSES_TO_FAIL => {}
-            "" => findings.report(id, "was taken and does not end".into()),
+            "" => findings.report(id, "was accepted and does not end".into()),
             other => findings.report(id, format!("shown as {other} without a cause")),
         }
         // A cancellation has no effect on a job whose tasks were all done by then.
         let may_complete = job.done_at_cancel.is_none_or(|done| done == all);
         if !may_complete && job.final_state == "completed" {
-            findings.report(id, "was cancelled and went on to its end".into());
+            findings.report(id, "was cancelled, but completed".into());
         }
     }
 }
--- a/tools/soak/src/jobs.rs
+++ b/tools/soak/src/jobs.rs
@@ -40,7 +40,7 @@
 impl Jobs {
     /// Locks all jobs; the guard must not be held during a request.
     pub fn all(&self) -> MutexGuard<'_, BTreeMap<String, Job>> {
-        self.jobs.lock().expect("no holder panicked")
+        self.jobs.lock().expect("the lock is not poisoned")
     }
 
     /// Records a job that is about to be submitted.
--- a/tools/soak/src/run.rs
+++ b/tools/soak/src/run.rs
@@ -106,7 +106,10 @@
         std::thread::sleep(CHECK_INTERVAL);
     }
     for index in pending {
-        findings.report("", format!("box {index} takes no job once all is well"));
+        findings.report(
+            "",
+            format!("box {index} accepts no job after the faults ended"),
+        );
     }
 }
 
