--- a/benches/path.rs
+++ b/benches/path.rs
@@ -51,7 +51,7 @@
     ];
     println!(
         "{:36} {:>9} {:>9} {:>12} {:>15}",
-        "way", "p50 us", "p99 us", "requests/s", "entry cpu us"
+        "path", "p50 us", "p99 us", "requests/s", "box cpu us"
     );
     let mut direct_p50 = 0;
     for (name, address) in paths {
@@ -60,18 +60,18 @@
         let mut times = send_requests(address, 1, REQUESTS / 4).await;
         times.sort_unstable();
         let (p50, p99) = (times[times.len() / 2], times[times.len() * 99 / 100]);
-        let cpu_before = entry_cpu();
+        let cpu_before = box_cpu();
         let start = clock::micros();
         send_requests(address, CALLERS, REQUESTS).await;
         let seconds = (clock::micros() - start) as f64 / 1e6;
         let rate = REQUESTS as f64 / seconds;
-        let cpu_each = (entry_cpu() - cpu_before) * 1e6 / REQUESTS as f64;
+        let cpu_each = (box_cpu() - cpu_before) * 1e6 / REQUESTS as f64;
         if direct_p50 == 0 {
             direct_p50 = p50;
         }
         println!("{name:36} {p50:>9} {p99:>9} {rate:>12.0} {cpu_each:>15.1}");
         println!(
-            "{:36} {:>9.2} times the direct way",
+            "{:36} {:>9.2} times the direct path",
             "",
             p50 as f64 / direct_p50 as f64
         );
@@ -137,7 +137,7 @@
 }
 
 /// Returns the processor time of all boxes' threads in seconds.
-fn entry_cpu() -> f64 {
+fn box_cpu() -> f64 {
     let Ok(tasks) = std::fs::read_dir("/proc/self/task") else {
         return 0.0;
     };
--- a/src/sched/tests/incarnation.rs
+++ b/src/sched/tests/incarnation.rs
@@ -427,9 +427,9 @@
         return vec![Vec::new()];
     }
     let mut all = Vec::new();
-    for place in 0..steps.len() {
+    for index in 0..steps.len() {
         let mut rest = steps.to_vec();
-        let first = rest.remove(place);
+        let first = rest.remove(index);
         all.extend(permutations(&rest).into_iter().map(|mut order| {
             order.insert(0, first);
             order
--- a/tools/trial/src/world/messages.rs
+++ b/tools/trial/src/world/messages.rs
@@ -476,8 +476,8 @@
         let (rows, _) = self.table.scan("lot/", "", usize::MAX);
         let shards = rows.iter().filter_map(decode::<JobShardRow>);
         let mut tasks = shards
-            .filter(|l| l.spec.id == run.job)
-            .flat_map(|l| l.tasks);
+            .filter(|s| s.spec.id == run.job)
+            .flat_map(|s| s.tasks);
         let row = tasks.find(|t| t.index == run.task);
         let fits = row
             .as_ref()
